--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -23,8 +23,8 @@
 from chalkyoke.http1.pool import ConnectFailure
 from chalkyoke.http1.server import Answering
 from chalkyoke.invariants import require
-from chalkyoke.quarantine.identity import identify
-from chalkyoke.quotas.client import Passed
+from chalkyoke.quarantine.identity import request_digest
+from chalkyoke.quotas.client import QuotaDecision
 from chalkyoke.scheduling.state import ReleaseOutcome
 
 # How long opening a connection may take, in seconds: far beyond a round trip, below most aims.
@@ -82,7 +82,7 @@
         self._connection: ClientConnection | None = None
         self._granted: Granted | None = None
         self._admission: Admission | None = None
-        self._charge: Passed | None = None
+        self._charge: QuotaDecision | None = None
         self._left = False
 
     # What the caller's connection tells.
@@ -193,8 +193,8 @@
     async def _serve(self, admission: Admission) -> None:
         if self._is_held_back(admission):
             return
-        allowed = await self._parts.quotas.take(admission)
-        if not allowed.passed:
+        allowed = await self._parts.quotas.charge(admission)
+        if not allowed.allowed:
             self._replies.over_quota(admission, allowed)
             return
         self._charge = allowed
@@ -225,7 +225,7 @@
             request, admission = self._request, self._admission
             caller = admission.team.name if admission is not None and admission.team else ""
             host = (find(request.headers, b"host") or b"").decode("latin-1")
-            self._named = identify(request.method, host, request.target, caller, request.body)
+            self._named = request_digest(request.method, host, request.target, caller, request.body)
         return self._named
 
     _named = b""
@@ -273,7 +273,7 @@
             time_left = time_left and now < admission.patience
         if end is SendEnd.DECLINED:
             time_left = time_left and not self._has_tried_all(admission)
-        budget = parts.budget.left(admission.service.name, parts.nodes(), now) >= 1
+        budget = parts.budget.remaining(admission.service.name, parts.nodes(), now) >= 1
         follows = after(
             end, admission.route, progress.sends, begun=begun, budget=budget, time_left=time_left
         )
@@ -403,7 +403,7 @@
         now = parts.now()
         if not progress.first_counted:
             progress.first_counted = True
-            parts.budget.note_first(admission.service.name, now)
+            parts.budget.record_first(admission.service.name, now)
         resumed_after = str(self._delivery.cutter.last_id) if self._delivery.head_sent else ""
         forwarding = Forwarding(
             granted.replica.expected_id,
@@ -478,7 +478,7 @@
     def _patience_with(self, admission: Admission, relay: Relay) -> float:
         """Tell until when a silent replica is waited for."""
         route, sends = admission.route, self._progress.sends
-        budget = self._parts.budget.left(
+        budget = self._parts.budget.remaining(
             admission.service.name, self._parts.nodes(), self._parts.now()
         )
         if not route.repeatable or sends.runs >= route.attempts or budget < 1:
--- a/packages/chalkyoke/src/chalkyoke/gateway/granted.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/granted.py
@@ -12,7 +12,7 @@
 
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.gateway.reception import Admission
-from chalkyoke.limits.client import NotYet, Permit
+from chalkyoke.limits.client import Permit, PermitDenied
 
 # When a caller comes back where nobody can tell, in seconds.
 DEFAULT_RETRY_S = 0.5
@@ -87,7 +87,7 @@
     def holds(self, permit: Permit) -> bool:
         """Tell whether a permit still serves."""
 
-    async def ask(self, service: str, replica: str, most_wait_s: float) -> Permit | NotYet:
+    async def ask(self, service: str, replica: str, most_wait_s: float) -> Permit | PermitDenied:
         """Ask for a permit to send one request.
 
         :param most_wait_s: how long the request would wait.
--- a/packages/chalkyoke/src/chalkyoke/gateway/replies.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/replies.py
@@ -11,7 +11,7 @@
 from chalkyoke.http1.messages import AnswerHead, Headers, reason_of
 from chalkyoke.http1.server import Answering
 from chalkyoke.invariants import require
-from chalkyoke.quotas.client import Passed
+from chalkyoke.quotas.client import QuotaDecision
 
 # The longest time that a caller is told to stay away, in seconds.
 MAX_RETRY_AFTER_S = 60.0
@@ -69,7 +69,7 @@
         self._parts.record("refused", admission, reason=reason, retry_after_s=retry_after_s)
         self.answer(503, reason, retry_after_s)
 
-    def over_quota(self, admission: Admission, decided: Passed) -> None:
+    def over_quota(self, admission: Admission, decided: QuotaDecision) -> None:
         """Tell that the team's quota is spent."""
         self._parts.record(
             "over_quota",
@@ -77,7 +77,7 @@
             cost=admission.cost,
             decided_by=decided.decided_by,
             window_spent=round(decided.spent),
-            window_most=round(decided.most),
+            window_most=round(decided.window_limit),
             retry_after_s=round(decided.retry_after_s, 3),
         )
         self.answer(429, "over quota", decided.retry_after_s)
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
@@ -11,7 +11,7 @@
 from chalkyoke.gateway.ports import RequestFields
 from chalkyoke.http1.messages import Request
 from chalkyoke.http1.pool import ConnectFailure
-from chalkyoke.quotas.client import Passed
+from chalkyoke.quotas.client import QuotaDecision
 from msgspec.structs import replace
 
 from tests import virtual
@@ -31,11 +31,11 @@
     def __init__(self):
         self.refunded = []
 
-    async def take(self, charged):
-        return Passed(True, decided_by="owner", lease_of=7)
+    async def charge(self, charged):
+        return QuotaDecision(True, decided_by="owner", lease_window=7)
 
     def refund(self, charged, passed):
-        self.refunded.append((charged.cost, passed.lease_of))
+        self.refunded.append((charged.cost, passed.lease_window))
         return True
 
 
@@ -102,7 +102,7 @@
             rest_left_s=lambda replicas, now: 0.0,
         ),
         quotas=quotas,
-        budget=SimpleNamespace(left=lambda *_: 0.0, try_spend=lambda *_: False),
+        budget=SimpleNamespace(remaining=lambda *_: 0.0, try_spend=lambda *_: False),
         connections=SimpleNamespace(connect=connect),
         nodes=lambda: 3,
         now=loop.time,
@@ -214,9 +214,9 @@
         exchange, _, answering = exchange_with(acquire, connect)
         parts = exchange._parts
         if stage == "quota":
-            parts.quotas.take = forever
+            parts.quotas.charge = forever
         parts.headers.forward = lambda headers, forwarding: []
-        parts.budget.note_first = lambda *_: None
+        parts.budget.record_first = lambda *_: None
         parts.grants.started = lambda admission, granted: None
         exchange.task = asyncio.get_running_loop().create_task(exchange.run())
         await asyncio.sleep(0.3)
@@ -259,7 +259,7 @@
         parts.connections.drop_kept = lambda ip, port: dropped.append((ip, port))
         parts.headers.forward = lambda headers, forwarding: []
         parts.budget = SimpleNamespace(
-            left=lambda *_: 9.0, try_spend=lambda *_: True, note_first=lambda *_: None
+            remaining=lambda *_: 9.0, try_spend=lambda *_: True, record_first=lambda *_: None
         )
         parts.grants.started = lambda admission, granted: None
         parts.balancer.seen = lambda replica: SimpleNamespace(note_failure=lambda *_: None)
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
@@ -6,7 +6,7 @@
 from chalkyoke.gateway.grants import Grants
 from chalkyoke.gateway.ports import RequestFields
 from chalkyoke.gateway.reception import Admission
-from chalkyoke.limits.client import NotYet, Permit
+from chalkyoke.limits.client import Permit, PermitDenied
 from chalkyoke.scheduling.messages import Acquire, Grant, Queued, Release, Withdraw
 from chalkyoke.scheduling.state import ReleaseOutcome
 
@@ -150,7 +150,7 @@
         if replica != "m1" or most_wait_s >= self.opens_in_s:
             limit = 3.8 if replica == "m1" else None
             return Permit(service, replica, limit, "k", self.opens_in_s if limit else 0.0)
-        return NotYet(self.opens_in_s)
+        return PermitDenied(self.opens_in_s)
 
     def give_back(self, permit):
         self.returned.append(permit)
--- a/packages/chalkyoke/src/chalkyoke/limits/allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/allowance.py
@@ -30,7 +30,7 @@
         self.share = share
         self._bucket = Bucket(self._rate(), self._capacity(), 0.0, now)
 
-    def reshape(self, limit_per_s: float, share: float, now: float) -> bool:
+    def reconfigure(self, limit_per_s: float, share: float, now: float) -> bool:
         """Take another limit or another part of it.
 
         :return: whether it is another one.
@@ -38,7 +38,7 @@
         if (limit_per_s, share) == (self.limit_per_s, self.share):
             return False
         self.limit_per_s, self.share = limit_per_s, share
-        self._bucket.reshape(self._rate(), self._capacity(), now)
+        self._bucket.reconfigure(self._rate(), self._capacity(), now)
         return True
 
     @property
@@ -56,11 +56,11 @@
         """Tell whether one more request may go now."""
         return self.opens_in_s(now) <= 0
 
-    def save_up(self, requests: float) -> None:
+    def set_level(self, requests: float) -> None:
         """Begin with a part of a request in hand."""
         self._bucket.level = min(self._bucket.capacity, requests)
 
-    def take(self, now: float) -> None:
+    def consume(self, now: float) -> None:
         """Count a request, one that can't wait included: what follows waits for it."""
         self._bucket.refill(now)
         self._bucket.level -= 1.0
@@ -74,7 +74,7 @@
         wait_s = self.opens_in_s(now)
         if wait_s > most_wait_s:
             return None
-        self.take(now)
+        self.consume(now)
         return wait_s
 
     def give_back(self) -> None:
--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -71,7 +71,7 @@
         else:
             self._pending.add(replica)
 
-    def take(self, replica: str, limit_per_s: float | None, at: float) -> None:
+    def apply_report(self, replica: str, limit_per_s: float | None, at: float) -> None:
         """Take what another node believes that asks this one.
 
         :param at: when the replica said so, on this node's clock.
@@ -91,7 +91,7 @@
             self._changed()
         relay_on(self._view, self._send, message)
 
-    def joined(self, member: MemberRecord) -> None:
+    def member_joined(self, member: MemberRecord) -> None:
         """Tell a node that has started or was cut off the limits that were first heard here.
 
         A node that misses this learns it by the first answer of the replica itself.
@@ -100,25 +100,25 @@
         if first_here := [each for each in self._broadcast_from if each in limits][:MOST_BROADCAST]:
             self._send(member.address, self._message(first_here))
 
-    def keep_house(self) -> None:
+    def broadcast_pending(self) -> None:
         """Tell what has changed since it was told last, and drop what is over."""
         now = self._now()
         self._known.forget(self._state.replicas.keys(), now)
         self._broadcast_from = {
-            name: at for name, at in self._broadcast_from.items() if self._known.remembers(name)
+            name: at for name, at in self._broadcast_from.items() if self._known.has_report(name)
         }
         if late := sorted(self._pending & self._broadcast_from.keys())[:MOST_BROADCAST]:
             self._broadcast(late)
         self._pending &= self._broadcast_from.keys()
 
     def _take(self, replica: str, limit_per_s: float | None, at: float, source: str) -> bool:
-        before = self._known.of(replica)
+        before = self._known.limit_of(replica)
         if not self._known.update(replica, limit_per_s, at):
             return False
         log.info(
             "replica_limit",
             replica=replica,
-            limit_per_s=self._known.of(replica),
+            limit_per_s=self._known.limit_of(replica),
             before=before,
             source=source,
             age_s=round(self._now() - at, 4),
@@ -137,7 +137,9 @@
         now = self._now()
         return ReplicaAttributes(
             tuple(
-                ReplicaAttribute(each, LIMIT, self._known.of(each), now - self._known.said_at(each))
+                ReplicaAttribute(
+                    each, LIMIT, self._known.limit_of(each), now - self._known.reported_at(each)
+                )
                 for each in replicas
             )
         )
--- a/packages/chalkyoke/src/chalkyoke/limits/client.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/client.py
@@ -47,7 +47,7 @@
     wait_s: float = 0.0
 
 
-class NotYet(msgspec.Struct, frozen=True):
+class PermitDenied(msgspec.Struct, frozen=True):
     """No permit within the time for which the request would wait.
 
     :param opens_in_s: when to ask again.
@@ -105,19 +105,19 @@
 
     def is_limited(self, replica: str) -> bool:
         """Tell whether a replica names a limit."""
-        return self._known.of(replica) is not None
+        return self._known.limit_of(replica) is not None
 
     def holds(self, permit: Permit) -> bool:
         """Tell whether a permit still serves: the replica may have named a lower limit since."""
-        now_is = self._known.of(permit.replica)
+        now_is = self._known.limit_of(permit.replica)
         return now_is is None or (permit.limit_per_s is not None and now_is >= permit.limit_per_s)
 
-    async def ask(self, service: str, replica: str, most_wait_s: float) -> Permit | NotYet:
+    async def ask(self, service: str, replica: str, most_wait_s: float) -> Permit | PermitDenied:
         """Ask for a permit to send one request.
 
         :param most_wait_s: how long the request would wait.
         """
-        limit_per_s = self._known.of(replica)
+        limit_per_s = self._known.limit_of(replica)
         if limit_per_s is None:
             return Permit(service, replica)
         for process in self._port.keepers(service)[:KEEPERS_ASKED]:
@@ -147,7 +147,7 @@
     async def _ask_one(
         self, process: str, service: str, replica: str, limit_per_s: float, most_wait_s: float
     ) -> PermitAnswer | None:
-        age_s = max(0.0, self._now() - self._known.said_at(replica))
+        age_s = max(0.0, self._now() - self._known.reported_at(replica))
         number = next(self._numbers)
         request = PermitRequest(number, service, replica, limit_per_s, age_s, most_wait_s)
         if self._port.is_here(process):
@@ -165,18 +165,18 @@
 
     def _ask_alone(
         self, service: str, replica: str, limit_per_s: float, most_wait_s: float
-    ) -> Permit | NotYet:
+    ) -> Permit | PermitDenied:
         """Use this node's own part; the parts of all nodes stay far below what may be too much."""
         now = self._now()
         share = ALONE_SHARE / max(1, self._port.nodes())
         alone = self._alone.get(replica)
         if alone is None:
             alone = self._alone[replica] = Allowance(limit_per_s, share, now)
-            alone.save_up(self._random())
-        alone.reshape(limit_per_s, share, now)
+            alone.set_level(self._random())
+        alone.reconfigure(limit_per_s, share, now)
         wait_s = alone.reserve(most_wait_s, now)
         if wait_s is None:
-            return NotYet(min(AVOID_S, alone.opens_in_s(now)))
+            return PermitDenied(min(AVOID_S, alone.opens_in_s(now)))
         return Permit(service, replica, limit_per_s, ALONE, wait_s)
 
     # For other nodes.
@@ -195,7 +195,7 @@
         waiting = self._waiting.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
-        elif answer.given:
+        elif answer.granted:
             # Nobody waits for it any more.
             self._port.send(process, PermitReturned(answer.service, answer.replica))
 
@@ -218,12 +218,12 @@
 
     # Housekeeping.
 
-    def keep_house(self) -> None:
+    def drop_expired(self) -> None:
         """Drop what is over."""
         now = self._now()
         self._keeper.refresh(now)
         self._avoid = {name: until for name, until in self._avoid.items() if until > now}
-        for replica in [each for each in self._alone if self._known.of(each) is None]:
+        for replica in [each for each in self._alone if self._known.limit_of(each) is None]:
             del self._alone[replica]
 
 
@@ -231,7 +231,7 @@
     return PermitAnswer(request.number, request.service, request.replica, given, wait_s)
 
 
-def _decided(answer: PermitAnswer, permit: Permit) -> Permit | NotYet:
-    if not answer.given:
-        return NotYet(answer.wait_s)
+def _decided(answer: PermitAnswer, permit: Permit) -> Permit | PermitDenied:
+    if not answer.granted:
+        return PermitDenied(answer.wait_s)
     return msgspec.structs.replace(permit, wait_s=answer.wait_s)
--- a/packages/chalkyoke/src/chalkyoke/limits/keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/keeper.py
@@ -21,7 +21,7 @@
 MAJOR_SHARE = 0.5
 
 
-class KeptLimit(msgspec.Struct, frozen=True):
+class AllocatedLimit(msgspec.Struct, frozen=True):
     """What this process gives out of one replica's limit from now on.
 
     :param limit_per_s: requests a second that the replica takes from all nodes.
@@ -48,7 +48,7 @@
         known: KnownLimits,
         keeps: Callable[[str], bool],
         fleet_share: Callable[[], float],
-        changed: Callable[[KeptLimit], None],
+        changed: Callable[[AllocatedLimit], None],
     ) -> None:
         self._known = known
         self._keeps = keeps
@@ -58,7 +58,7 @@
 
     def allowance(self, service: str, replica: str, now: float) -> Allowance | None:
         """Give the allowance of a replica; nothing where it names no limit."""
-        limit_per_s = self._known.of(replica)
+        limit_per_s = self._known.limit_of(replica)
         if limit_per_s is None:
             self._kept.pop(replica, None)
             return None
@@ -66,9 +66,9 @@
         found = self._kept.get(replica)
         if found is None:
             found = self._kept[replica] = (service, Allowance(limit_per_s, share, now))
-        elif not found[1].reshape(limit_per_s, share, now):
+        elif not found[1].reconfigure(limit_per_s, share, now):
             return found[1]
-        self._changed(KeptLimit(service, replica, limit_per_s, share))
+        self._changed(AllocatedLimit(service, replica, limit_per_s, share))
         return found[1]
 
     def refresh(self, now: float) -> None:
--- a/packages/chalkyoke/src/chalkyoke/limits/known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/known.py
@@ -56,28 +56,28 @@
         report.limit_per_s, report.at = limit_per_s, at
         return changed
 
-    def of(self, start: str) -> float | None:
+    def limit_of(self, start: str) -> float | None:
         """Give the limit of a replica, in requests a second; nothing where it names none."""
         report = self._reports.get(start)
         return None if report is None else report.limit_per_s
 
-    def remembers(self, start: str) -> bool:
+    def has_report(self, start: str) -> bool:
         """Tell whether anything is known of a replica, that its limit is over included."""
         return start in self._reports
 
-    def said_at(self, start: str) -> float:
+    def reported_at(self, start: str) -> float:
         """Tell when what is believed was said, on the node's clock."""
         report = self._reports.get(start)
         return -math.inf if report is None else report.at
 
     def limits(self) -> dict[str, float]:
         """Give the limits that are in force, by start, in requests a second."""
-        found = ((start, self.of(start)) for start in self._reports)
+        found = ((start, self.limit_of(start)) for start in self._reports)
         return {start: limit_per_s for start, limit_per_s in found if limit_per_s is not None}
 
     def forget(self, listed: Container[str], now: float) -> None:
         """Drop what is over."""
         self._reports.forget(listed, now)
         for start in self._reports:
-            if self.of(start) is None and now - self.said_at(start) > ENDED_KEPT_S:
+            if self.limit_of(start) is None and now - self.reported_at(start) > ENDED_KEPT_S:
                 self._reports.drop(start)
--- a/packages/chalkyoke/src/chalkyoke/limits/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/messages.py
@@ -35,7 +35,7 @@
     number: int
     service: str
     replica: str
-    given: bool
+    granted: bool
     wait_s: float
 
 
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -98,7 +98,7 @@
             now,
         )
         self.permits = PermitClient(
-            known, self.keeper, self, self.announcements.take, self.random.random, now
+            known, self.keeper, self, self.announcements.apply_report, self.random.random, now
         )
         self.balancer = LocalBalancer(str(self.domain), self.random.random)
         self.grants = Grants(
@@ -255,8 +255,8 @@
         while True:
             await asyncio.sleep(1.0)
             for node in self.nodes.values():
-                node.announcements.keep_house()
-                node.permits.keep_house()
+                node.announcements.broadcast_pending()
+                node.permits.drop_expired()
 
     async def _ask(self, node):
         now = self.now()
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
@@ -14,7 +14,7 @@
     assert not allowance.is_open(10.0)
     assert allowance.opens_in_s(10.0) == 0.25
     assert allowance.is_open(10.25)
-    allowance.take(10.25)
+    allowance.consume(10.25)
     assert allowance.opens_in_s(10.25) == 0.25
 
 
@@ -49,7 +49,7 @@
     def take_what_is_open(self, count):
         for _ in range(count):
             if self.allowance.is_open(self.now):
-                self.allowance.take(self.now)
+                self.allowance.consume(self.now)
                 self.sent.append(self.now)
 
     @rule(count=st.integers(1, 20), most_wait_s=st.sampled_from((0.0, 0.2, 1.0)))
@@ -71,7 +71,7 @@
         for _ in [each for each in self.sent if each > self.now]:
             self.allowance.give_back()
         self.sent = [each for each in self.sent if each <= self.now]
-        self.allowance.reshape(limit_per_s, 1.0, self.now)
+        self.allowance.reconfigure(limit_per_s, 1.0, self.now)
         self.limits.append((self.now, limit_per_s))
 
     @invariant()
@@ -93,7 +93,7 @@
         saved = Allowance(rate, 1.0, self.now - 1000.0)
         count = 0
         while saved.is_open(self.now):
-            saved.take(self.now)
+            saved.consume(self.now)
             count += 1
         assert count <= BURST_REQUESTS + BURST_S * rate
 
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
@@ -66,10 +66,10 @@
     assert len(made.sent) / 3 <= 1.0 / BROADCAST_S
     made.sent.clear()
     made._now.now = 1.1
-    made.keep_house()
+    made.broadcast_pending()
     assert words(made)[0] == ("n2", "p1", 3.99)
     made.sent.clear()
-    made.keep_house()
+    made.broadcast_pending()
     assert not made.sent
 
 
@@ -80,7 +80,7 @@
     made._now.now = 2.0
     items = (ReplicaAttribute("p1", "limit", 1.0, 0.1), ReplicaAttribute("p2", "mood", 7.0, 0.0))
     made.receive("n2", ReplicaAttributes(items))
-    made.keep_house()
+    made.broadcast_pending()
     assert not made.sent
     assert made.known.limits() == {"p1": 1.0}
     made.receive("n2", ReplicaAttributes(items, relay=True))
@@ -90,10 +90,10 @@
 def test_a_node_that_joins_is_told_what_was_first_heard_here():
     made = news()
     made.note_answer("p1", 3.8)
-    made.take("p2", 2.0, 0.0)
+    made.apply_report("p2", 2.0, 0.0)
     made.sent.clear()
     made._now.now = 4.0
-    made.joined(SimpleNamespace(address="n9"))
+    made.member_joined(SimpleNamespace(address="n9"))
     ((address, message),) = made.sent
     assert (address, message.items) == ("n9", (ReplicaAttribute("p1", "limit", 3.8, 4.0),))
 
@@ -106,7 +106,7 @@
     made.note_answer("p1", None)
     assert words(made)[0] == ("n2", "p1", None)
     made._now.now = 2.0 + ENDED_KEPT_S
-    made.keep_house()
+    made.broadcast_pending()
     made.sent.clear()
-    made.joined(SimpleNamespace(address="n9"))
+    made.member_joined(SimpleNamespace(address="n9"))
     assert not made.sent
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
@@ -7,9 +7,9 @@
     assert known.update("a", 3.8, 10.0)
     assert not known.update("a", 3.8, 11.0)
     assert not known.update("a", 9.0, 10.5)
-    assert known.of("a") == 3.8
+    assert known.limit_of("a") == 3.8
     assert known.update("a", 1.0, 11.5)
-    assert known.said_at("a") == 11.5
+    assert known.reported_at("a") == 11.5
 
 
 def test_a_limit_is_over_when_an_answer_names_none():
@@ -17,21 +17,21 @@
     assert not known.update("a", None, 1.0)
     known.update("a", 2.0, 2.0)
     assert known.update("a", None, 3.0)
-    assert known.of("a") is None
+    assert known.limit_of("a") is None
     assert known.limits() == {}
     # News of the limit that are older come late.
     assert not known.update("a", 2.0, 2.5)
-    assert known.of("a") is None
+    assert known.limit_of("a") is None
 
 
 def test_what_is_no_limit_is_taken_for_none():
     known = KnownLimits()
     for value in (MOST_PER_S, 1e300, float("inf"), float("nan"), -1.0):
         assert not known.update("a", value, 1.0), value
-        assert known.of("a") is None
+        assert known.limit_of("a") is None
     known.update("a", 2.0, 2.0)
     assert known.update("a", 1e9, 3.0)
-    assert known.of("a") is None
+    assert known.limit_of("a") is None
 
 
 def test_what_is_over_is_forgotten():
@@ -41,12 +41,12 @@
     known.update("ended", 2.0, 0.0)
     known.update("ended", None, 1.0)
     known.forget({"listed"}, ENDED_KEPT_S)
-    assert known.remembers("ended")
+    assert known.has_report("ended")
     known.forget({"listed"}, ENDED_KEPT_S + 2.0)
-    assert not known.remembers("ended")
-    assert known.of("gone") == 2.0
+    assert not known.has_report("ended")
+    assert known.limit_of("gone") == 2.0
     known.forget({"listed"}, KEPT_S + 1.0)
-    assert (known.of("listed"), known.of("gone")) == (2.0, None)
+    assert (known.limit_of("listed"), known.limit_of("gone")) == (2.0, None)
 
 
 def test_no_more_starts_are_remembered_than_bounded():
@@ -54,4 +54,4 @@
     for number in range(MOST_KEPT + 5):
         known.update(f"r{number}", 1.0, float(number))
     assert len(known.limits()) == MOST_KEPT
-    assert known.of("r0") is None
+    assert known.limit_of("r0") is None
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -38,7 +38,7 @@
 from chalkyoke.http1.server import ServerConnection, ServerLimits, Start
 from chalkyoke.limits.announcements import LimitAnnouncements
 from chalkyoke.limits.client import PermitClient
-from chalkyoke.limits.keeper import KeptLimit, LimitKeeper
+from chalkyoke.limits.keeper import AllocatedLimit, LimitKeeper
 from chalkyoke.limits.known import KnownLimits
 from chalkyoke.links.connection import Connection, Identity
 from chalkyoke.links.keepalive import KEEP_S, confirm_every_s
@@ -69,9 +69,9 @@
 from chalkyoke.node.schedulers import SchedulerHost
 from chalkyoke.node.supervisor import Supervisor
 from chalkyoke.quarantine.heldrecords import HeldRecords
-from chalkyoke.quarantine.records import read_also_held
+from chalkyoke.quarantine.records import with_held_records
 from chalkyoke.quarantine.spread import Quarantine
-from chalkyoke.quotas.client import TELL_S, QuotaClient
+from chalkyoke.quotas.client import WINDOW_REPLICATION_INTERVAL_S, QuotaClient
 from chalkyoke.quotas.leases import HeldLeases
 from chalkyoke.quotas.owner import Presence, QuotaOwner
 from chalkyoke.quotas.window import QuotaLimits
@@ -187,7 +187,7 @@
         caller = Caller(self._store_connections, settings.store.address)
         self.store = platform.make_store(caller)
         state = CatalogState(
-            platform.read_catalog, read_also_held(platform.read_record, platform.keys.held)
+            platform.read_catalog, with_held_records(platform.read_record, platform.keys.held)
         )
         self.catalog = CatalogKeeper(
             state,
@@ -267,7 +267,7 @@
             known,
             self.keeper,
             PeerKeepers(schedulers, self.hosted, self.view, self.links.send, self.nodes),
-            self.limits.take,
+            self.limits.apply_report,
             random.random,
             self.now,
         )
@@ -324,7 +324,7 @@
             self.links.send,
             self.metrics,
             lambda request: self.gateway.request_held(request),
-            self.held_records.remember,
+            self.held_records.queue_record,
             random.random,
             self.now,
         )
@@ -355,7 +355,7 @@
         self.hosted.limits_changed()
         self.balancer.limits_changed()
 
-    def _limit_kept(self, kept: KeptLimit) -> None:
+    def _limit_kept(self, kept: AllocatedLimit) -> None:
         log.info(
             "limit_kept",
             service=kept.service,
@@ -488,7 +488,7 @@
         loops.repeat(KEEP_S, self._keep_links)
         loops.repeat(self.view.interval_s, self.catalog.settle)
         loops.repeat(HOUSEKEEPING_S, self._keep_house)
-        loops.repeat(TELL_S, self.quotas.tell_successors)
+        loops.repeat(WINDOW_REPLICATION_INTERVAL_S, self.quotas.replicate_windows)
         loops.repeat(ROLLOUTS_TICK_S, self.rollouts.tick)
         loops.start(self._tick_pools())
         loops.start(self.catalog.run())
@@ -522,7 +522,7 @@
             log.info("monitoring", begun=self._is_monitor, live=len(self.view.live()))
         if self._seen_generation != self.view.generation:
             self._seen_generation = self.view.generation
-            self.quotas.keep_house()
+            self.quotas.refresh_ownership()
 
     async def _tick_pools(self) -> None:
         """Let the pools that are scheduled here go on; most nodes schedule none."""
@@ -538,11 +538,11 @@
         self.connections.expire()
         self._store_connections.expire()
         self.balancer.forget(self.catalog.state.replicas, self.now())
-        self.quotas.keep_house()
+        self.quotas.refresh_ownership()
         self.suspicions.tick()
         self.quarantine.tick()
-        self.limits.keep_house()
-        self.permits.keep_house()
+        self.limits.broadcast_pending()
+        self.permits.drop_expired()
 
     # Messages.
 
@@ -562,7 +562,7 @@
             log.info(event, member=record.process, failure_domain=record.failure_domain)
             if joined:
                 self.announcements.joined(record)
-                self.limits.joined(record)
+                self.limits.member_joined(record)
             else:
                 self.hosted.member_left(record.process)
         if changes:
@@ -584,7 +584,7 @@
         self.hosted.reconfigure()
         self.grants.check_owners(self.pools.pools)
         self.quarantine.replicas_changed(state.replicas)
-        self.quarantine.stored(state.held, state.released)
+        self.quarantine.apply_stored_holds(state.held, state.released)
 
     def _epoch_changed(self, epoch: int) -> None:
         """Check what this node has in the store, where it was restored from a copy."""
--- a/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
@@ -83,7 +83,7 @@
         )
 
 
-class EvidenceBook:
+class EvidenceTracker:
     """Count ends of replicas by the requests that ran under them."""
 
     def __init__(self) -> None:
@@ -122,7 +122,7 @@
             self._checksum = xxhash.xxh64_intdigest(joined) if joined else 0
         return self._checksum
 
-    def note_end(self, request: bytes, start: str, weight: float, at: float, now: float) -> bool:
+    def record_end(self, request: bytes, start: str, weight: float, at: float, now: float) -> bool:
         """Count an end.
 
         :param at: when the run broke, on this node's clock.
@@ -132,7 +132,7 @@
         self._under.setdefault(start, set()).add(request)
         known = self._known.get(request)
         if known is None:
-            known = self._known[request] = Suspicion(served_at=self._served.last(request))
+            known = self._known[request] = Suspicion(served_at=self._served.last_served_at(request))
         if at <= known.served_at or known.knows(start, at):
             return False
         known.ends[start] = _End(at, weight)
@@ -144,7 +144,7 @@
         self._hold(request, known, now + hold_s)
         return True
 
-    def acquit_explained(self) -> list[bytes]:
+    def release_explained(self) -> list[bytes]:
         """Let go what was held back for ends that a request found since explains.
 
         :return: what is let go.
@@ -162,11 +162,11 @@
             self._let_go(request)
         return acquitted
 
-    def note_delivered(self, request: bytes, at: float) -> None:
+    def record_delivered(self, request: bytes, at: float) -> None:
         """Remember a whole answer, in case the request is suspected later."""
-        self._served.note(request, at)
+        self._served.record(request, at)
 
-    def note_served(self, request: bytes, at: float) -> bool:
+    def record_served(self, request: bytes, at: float) -> bool:
         """Take back what a whole answer refutes: who is served does not end its replica.
 
         :return: whether the request was held back.
@@ -203,7 +203,7 @@
         self._hold(told.request, known, now + min(MAX_HOLD_S, told.left_s))
         return True
 
-    def tell_held(self, now: float) -> tuple[HeldRequest, ...]:
+    def held_requests(self, now: float) -> tuple[HeldRequest, ...]:
         """Word what is held back for another node."""
         return tuple(
             HeldRequest(each, now - self._known[each].last_end, self._known[each].held_until - now)
--- a/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
@@ -44,7 +44,7 @@
         self._lease: LeaseGranted | None = None
         self._lease_until = 0.0
 
-    def remember(self, request: bytes) -> None:
+    def queue_record(self, request: bytes) -> None:
         """Have a request written; where too many wait, the oldest is dropped."""
         self._waiting.append(request)
         self._wake.set()
@@ -58,7 +58,7 @@
         if lost:
             log.notice("records_again", records=len(lost))
         for request in lost:
-            self.remember(request)
+            self.queue_record(request)
 
     async def run(self) -> None:
         """Write what waits, for as long as the process lives."""
--- a/packages/chalkyoke/src/chalkyoke/quarantine/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/messages.py
@@ -11,7 +11,7 @@
 class SuspectRun(msgspec.Struct, frozen=True, array_like=True):
     """A run that broke as its replica ended.
 
-    :param request: its name, as :func:`chalkyoke.quarantine.identity.identify` makes it.
+    :param request: its name, as :func:`chalkyoke.quarantine.identity.request_digest` makes it.
     :param weight: how much it counts against the request.
     :param age_s: how long ago it broke, in seconds.
     """
@@ -63,7 +63,7 @@
     checksum: int
 
 
-class HeldTold(msgspec.Struct, frozen=True, array_like=True, tag="held"):
+class HeldRequests(msgspec.Struct, frozen=True, array_like=True, tag="held"):
     """All that a node holds back.
 
     :param is_answer: whether it answers another one, and is not answered itself.
@@ -83,5 +83,5 @@
     is_released: bool = False
 
 
-QuarantineMessage = ReplicaEnded | RequestsServed | HeldSummary | HeldTold
-QUARANTINE_MESSAGES = (ReplicaEnded, RequestsServed, HeldSummary, HeldTold)
+QuarantineMessage = ReplicaEnded | RequestsServed | HeldSummary | HeldRequests
+QUARANTINE_MESSAGES = (ReplicaEnded, RequestsServed, HeldSummary, HeldRequests)
--- a/packages/chalkyoke/src/chalkyoke/quarantine/records.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/records.py
@@ -11,7 +11,7 @@
 
 from result import Err, Ok, Result
 
-from chalkyoke.quarantine.identity import NAME_BYTES
+from chalkyoke.quarantine.identity import DIGEST_BYTES
 from chalkyoke.quarantine.messages import HeldRecord
 from chalkyoke.storage.messages import Item
 
@@ -30,12 +30,12 @@
         request = bytes.fromhex(name)
     except ValueError as error:
         return Err(str(error))
-    if len(request) != NAME_BYTES:
+    if len(request) != DIGEST_BYTES:
         return Err(f"it has {len(request)} bytes")
     return Ok(HeldRecord(request, is_released=value.strip() == RELEASED))
 
 
-def read_also_held(
+def with_held_records(
     read_others: Callable[[Item], Result[T, str]], prefix: str
 ) -> Callable[[Item], Result[T | HeldRecord, str]]:
     """Read records under a prefix as those of held requests, and all others as before."""
--- a/packages/chalkyoke/src/chalkyoke/quarantine/runs.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/runs.py
@@ -35,9 +35,7 @@
     def __init__(self) -> None:
         self._runs: dict[str, list[_Run]] = {}
 
-    def note(
-        self, start: str, request: bytes, now: float, *, output_s: float, broken: bool
-    ) -> None:
+    def add(self, start: str, request: bytes, now: float, *, output_s: float, broken: bool) -> None:
         """Remember a run.
 
         :param start: of the replica.
@@ -52,7 +50,7 @@
         """Forget what broke off before at a replica that has answered since."""
         self._runs.pop(start, None)
 
-    def take(self, start: str, now: float) -> tuple[SuspectRun, ...]:
+    def pop(self, start: str, now: float) -> tuple[SuspectRun, ...]:
         """Take out the runs under the end of a replica."""
         found = self._runs.pop(start, [])
         return tuple(
--- a/packages/chalkyoke/src/chalkyoke/quarantine/served.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/served.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self._at: dict[bytes, float] = {}
 
-    def note(self, request: bytes, at: float) -> None:
+    def record(self, request: bytes, at: float) -> None:
         """Note that a request was served whole.
 
         :param at: in seconds on the node's clock.
@@ -26,6 +26,6 @@
         if len(self._at) > MOST_SERVED:
             del self._at[next(iter(self._at))]
 
-    def last(self, request: bytes) -> float:
+    def last_served_at(self, request: bytes) -> float:
         """Tell when a request was last served whole; long ago where that is not known."""
         return self._at.get(request, float("-inf"))
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -16,11 +16,11 @@
 from chalkyoke.links.broadcast import relay_on, tell_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.view import MembershipView
-from chalkyoke.quarantine.evidence import HOLD_S, EvidenceBook
+from chalkyoke.quarantine.evidence import HOLD_S, EvidenceTracker
 from chalkyoke.quarantine.messages import (
     HeldRequest,
+    HeldRequests,
     HeldSummary,
-    HeldTold,
     QuarantineMessage,
     ReplicaEnded,
     RequestsServed,
@@ -68,7 +68,7 @@
         self._remember = remember
         self._random = random
         self._now = now
-        self._book = EvidenceBook()
+        self._book = EvidenceTracker()
         self._runs = UnansweredRuns()
         self._probes: dict[str, asyncio.Task[None]] = {}
         metrics.gauge("requests_held_back", lambda: len(self._book.held))
@@ -84,7 +84,7 @@
         """Note that a replica has served a request whole."""
         self.answered(replica)
         name = request()
-        self._book.note_delivered(name, self._now())
+        self._book.record_delivered(name, self._now())
         known = self._book.find(name)
         if known is None or not known.ends:
             return
@@ -104,7 +104,7 @@
         Its record goes only after three heartbeats, when the next replicas have met the request.
         """
         now = self._now()
-        self._runs.note(replica.id, request, now, output_s=output_s, broken=True)
+        self._runs.add(replica.id, request, now, output_s=output_s, broken=True)
         if replica.id not in self._probes:
             probe = asyncio.ensure_future(self._probe(replica, admission.service.max_connections))
             self._probes[replica.id] = probe
@@ -113,7 +113,7 @@
     def left(self, replica: Replica, request: bytes, output_s: float) -> None:
         """Note that this side has left a run."""
         now = self._now()
-        self._runs.note(replica.id, request, now, output_s=output_s, broken=False)
+        self._runs.add(replica.id, request, now, output_s=output_s, broken=False)
 
     def unreachable(self, replica: Replica) -> None:
         """Note that a replica can't be connected to: what broke there was its end."""
@@ -137,14 +137,14 @@
             if start not in there:
                 self._ended(start, "record")
 
-    def stored(self, held: Iterable[bytes], released: Iterable[bytes]) -> None:
+    def apply_stored_holds(self, held: Iterable[bytes], released: Iterable[bytes]) -> None:
         """Take what the store says is held back, and what operators have released there.
 
         How long ago that was decided is not known, so it counts from now.
         """
         now = self._now()
         for request in released:
-            if self._book.note_served(request, now):
+            if self._book.record_served(request, now):
                 log.notice("request_released", digest=_name(request), why="operator")
         for request in held:
             known = self._book.find(request)
@@ -158,7 +158,7 @@
     def _ended(self, start: str, source: str) -> None:
         """Count the end of a replica against what ran there from here, and tell all nodes."""
         now = self._now()
-        runs = self._runs.take(start, now)
+        runs = self._runs.pop(start, now)
         if not runs:
             return
         message = ReplicaEnded(start, runs)
@@ -175,7 +175,7 @@
         decided: list[bytes] = []
         for run in message.runs:
             book = self._book
-            held = book.note_end(run.request, message.start, run.weight, now - run.age_s, now)
+            held = book.record_end(run.request, message.start, run.weight, now - run.age_s, now)
             known = book.find(run.request)
             if held and known is not None:
                 decided.append(run.request)
@@ -183,7 +183,7 @@
                 for_s = round(known.held_until - now)
                 self._begin_hold(run.request, starts=starts, for_s=for_s)
         if decided:
-            for request in self._book.acquit_explained():
+            for request in self._book.release_explained():
                 log.notice("request_released", digest=_name(request), why="explained")
         return decided
 
@@ -200,8 +200,8 @@
         """
         if isinstance(message, HeldSummary):
             if message.checksum != self._book.checksum():
-                self._send(address, HeldTold(self._book.tell_held(self._now())))
-        elif isinstance(message, HeldTold):
+                self._send(address, HeldRequests(self._book.held_requests(self._now())))
+        elif isinstance(message, HeldRequests):
             self._merge(address, message)
         else:
             self._take_news(message)
@@ -217,10 +217,10 @@
     def _take_served(self, message: RequestsServed) -> None:
         at = self._now() - message.age_s
         for request in message.requests:
-            if self._book.note_served(request, at):
+            if self._book.record_served(request, at):
                 log.notice("request_released", digest=_name(request), why="served")
 
-    def _merge(self, address: str, message: HeldTold) -> None:
+    def _merge(self, address: str, message: HeldRequests) -> None:
         now = self._now()
         for each in message.requests:
             if self._book.merge_held(each, now):
@@ -228,7 +228,7 @@
         for request, served_at in self._book.refuted(message.requests, now):
             self._send(address, RequestsServed((request,), now - served_at))
         if not message.is_answer and len(message.requests) != len(self._book.held):
-            self._send(address, HeldTold(self._book.tell_held(now), is_answer=True))
+            self._send(address, HeldRequests(self._book.held_requests(now), is_answer=True))
 
     def _tell(self, message: ReplicaEnded | RequestsServed) -> None:
         """Tell all nodes; what is lost with a node or a link is told again by what is held back."""
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
@@ -48,11 +48,11 @@
 def test_requests_at_once_share_a_lease_and_later_ones_do_not():
     async def check(store, records):
         for number in range(10):
-            records.remember(bytes([number]))
+            records.queue_record(bytes([number]))
         await asyncio.sleep(1.0)
         assert (len(store.written), store.calls) == (10, 11)
         await asyncio.sleep(SHARED_S)
-        records.remember(b"later")
+        records.queue_record(b"later")
         await asyncio.sleep(1.0)
         assert set(store.written.values()) == {1, 2}
 
@@ -63,7 +63,7 @@
     async def check(store, records):
         store.away = True
         for number in range(2 * MOST_WAITING):
-            records.remember(b"%d" % number)
+            records.queue_record(b"%d" % number)
         await asyncio.sleep(60.0)
         assert store.calls < 15
         store.away = False
@@ -75,10 +75,10 @@
 
 def test_a_lease_that_has_run_out_is_taken_anew():
     async def check(store, records):
-        records.remember(b"a")
+        records.queue_record(b"a")
         await asyncio.sleep(1.0)
         store.leases = [7]
-        records.remember(b"b")
+        records.queue_record(b"b")
         await asyncio.sleep(3.0)
         assert "held/" + b"b".hex() in store.written
 
@@ -88,9 +88,9 @@
 # Guards against records of held requests that are gone for good with the store's lost seconds.
 def test_records_that_a_restored_store_may_have_lost_are_written_again():
     async def check(store, records):
-        records.remember(b"old")
+        records.queue_record(b"old")
         await asyncio.sleep(MOST_COPY_AGE_S)
-        records.remember(b"new")
+        records.queue_record(b"new")
         await asyncio.sleep(1.0)
         # Its lease numbers are given out again, to others as well.
         store.written.clear()
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_records.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_records.py
@@ -1,10 +1,10 @@
 """Records of requests that are held back."""
 
-from chalkyoke.quarantine.records import read_also_held
+from chalkyoke.quarantine.records import with_held_records
 from chalkyoke.storage.messages import Item
 from result import Err, Ok
 
-read = read_also_held(lambda item: Ok("another record"), "held/")
+read = with_held_records(lambda item: Ok("another record"), "held/")
 
 
 def test_a_record_names_a_request_and_others_are_read_as_before():
--- a/packages/chalkyoke/src/chalkyoke/quotas/bucket.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/bucket.py
@@ -24,13 +24,13 @@
         self.level = min(self.capacity, self.level + earned)
         self.at = max(self.at, now)
 
-    def reshape(self, rate_per_s: float, capacity: float, now: float) -> None:
+    def reconfigure(self, rate_per_s: float, capacity: float, now: float) -> None:
         """Take another rate and capacity."""
         self.refill(now)
         self.rate_per_s, self.capacity = rate_per_s, capacity
         self.level = min(self.level, capacity)
 
-    def take(self, need: float, now: float) -> bool:
+    def try_consume(self, need: float, now: float) -> bool:
         """Take cost for a request; one that is larger than the bucket takes a full one.
 
         :return: whether there was enough.
--- a/packages/chalkyoke/src/chalkyoke/quotas/client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/client.py
@@ -45,25 +45,25 @@
 # When a caller comes back that a node alone refused, in seconds: owners are found again by then.
 ALONE_RETRY_S = 0.3
 # A copy of a window is behind by so much, in seconds: a tenth of what a cut goes unnoticed.
-TELL_S = 0.25
+WINDOW_REPLICATION_INTERVAL_S = 0.25
 
 
-class Passed(msgspec.Struct, frozen=True):
+class QuotaDecision(msgspec.Struct, frozen=True):
     """Whether a request is within its team's quota.
 
     :param retry_after_s: when to come back, where it is not.
     :param decided_by: ``lease``, ``owner``, ``alone`` or ``no quota``.
     :param spent: what the owner that refused it counts in the window.
     :param most: what that owner leases in a window at most.
-    :param lease_of: the window that the cost was leased of; 0 where it was of none.
+    :param lease_window: the window that the cost was leased of; 0 where it was of none.
     """
 
-    passed: bool
+    allowed: bool
     retry_after_s: float = 0.0
     decided_by: str = "no quota"
     spent: float = 0.0
-    most: float = 0.0
-    lease_of: int = 0
+    window_limit: float = 0.0
+    lease_window: int = 0
 
 
 class Charged(Protocol):
@@ -139,24 +139,24 @@
         self._waiting: dict[int, asyncio.Future[QuotaGrant]] = {}
         self._avoid: dict[str, float] = {}
 
-    async def take(self, charged: Charged) -> Passed:
+    async def charge(self, charged: Charged) -> QuotaDecision:
         """Take the cost of a request from its team's quota.
 
-        :rtype: Passed
+        :rtype: QuotaDecision
         """
         team = charged.team
         if team is None or team.rate_per_s <= 0:
-            return Passed(True)
+            return QuotaDecision(True)
         if self._leases.spend(team, charged.cost, charged.version, self._now()):
-            lease_of = self._leases.lease_of(team.name)
-            return Passed(True, decided_by="lease", lease_of=lease_of)
+            lease_window = self._leases.lease_window(team.name)
+            return QuotaDecision(True, decided_by="lease", lease_window=lease_window)
         if self._is_new_member():
-            if self._leases.spend_alone(team, charged.cost, self._now()):
-                return Passed(True, decided_by="alone")
+            if self._leases.spend_own_share(team, charged.cost, self._now()):
+                return QuotaDecision(True, decided_by="alone")
             await self._until_owners_are_known()
         return await self._ask_owner(team, charged)
 
-    async def _ask_owner(self, team: Team, charged: Charged) -> Passed:
+    async def _ask_owner(self, team: Team, charged: Charged) -> QuotaDecision:
         """Ask the owner; while it is silent, spend this node's own share, and wait on where that
         is too small: a refusal costs the caller more than a moment.
         """
@@ -165,9 +165,9 @@
         if address is None:
             return self._granted(charged, self._answer(team, message))
         silent = self._avoid.get(address, 0.0) > self._now()
-        if silent and self._leases.spend_alone(team, charged.cost, self._now()):
+        if silent and self._leases.spend_own_share(team, charged.cost, self._now()):
             self._leases.note_alone(team.name, message.alone)
-            return Passed(True, decided_by="alone")
+            return QuotaDecision(True, decided_by="alone")
         answer: asyncio.Future[QuotaGrant] = asyncio.get_running_loop().create_future()
         self._waiting[message.number] = answer
         try:
@@ -176,9 +176,9 @@
             if not answer.done():
                 self._avoid[address] = self._now() + AVOID_S
             if not answer.done() and not silent:
-                if self._leases.spend_alone(team, charged.cost, self._now()):
+                if self._leases.spend_own_share(team, charged.cost, self._now()):
                     self._leases.note_alone(team.name, message.alone)
-                    return Passed(True, decided_by="alone")
+                    return QuotaDecision(True, decided_by="alone")
                 await asyncio.wait([answer], timeout=LAST_ANSWER_S)
         finally:
             del self._waiting[message.number]
@@ -186,23 +186,25 @@
             self._avoid.pop(address, None)
             return self._granted(charged, answer.result())
         self._leases.note_alone(team.name, message.alone)
-        return Passed(False, ALONE_RETRY_S, "alone")
+        return QuotaDecision(False, ALONE_RETRY_S, "alone")
 
-    def _granted(self, charged: Charged, grant: QuotaGrant) -> Passed:
-        passed = self._leases.take(grant, charged.cost, self._now())
-        retry_s, lease_of = grant.retry_after_s, grant.lease_of
-        return Passed(passed, retry_s, "owner", grant.spent, grant.most, lease_of)
+    def _granted(self, charged: Charged, grant: QuotaGrant) -> QuotaDecision:
+        passed = self._leases.accept_grant(grant, charged.cost, self._now())
+        retry_s, lease_window = grant.retry_after_s, grant.lease_window
+        return QuotaDecision(passed, retry_s, "owner", grant.spent, grant.most, lease_window)
 
-    def refund(self, charged: Charged, passed: Passed) -> bool:
+    def refund(self, charged: Charged, passed: QuotaDecision) -> bool:
         """Give the cost of a request back that has not run and never will.
 
         Call once for a charge. What was spent alone is not given back.
 
         :return: whether it could be given back.
         """
-        if charged.team is None or not passed.lease_of:
+        if charged.team is None or not passed.lease_window:
             return False
-        return self._leases.refund(charged.team.name, charged.cost, passed.lease_of, self._now())
+        return self._leases.refund(
+            charged.team.name, charged.cost, passed.lease_window, self._now()
+        )
 
     def _is_new_member(self) -> bool:
         """Tell whether this node may not know yet who is the owner."""
@@ -225,11 +227,11 @@
             team.name,
             next(self._numbers),
             charged.cost,
-            self._leases.ahead(team),
+            self._leases.cost_ahead(team),
             charged.version,
             charged.urgency,
-            *self._leases.give_back(team.name),
-            self._leases.take_alone(team.name),
+            *self._leases.take_remainder(team.name),
+            self._leases.pop_unreported(team.name),
         )
 
     def receive(self, sender: str, message: QuotaMessage) -> None:
@@ -241,7 +243,7 @@
             future = self._waiting.get(message.number)
             if future is None:
                 # The request went its way without it; the next one may spend the lease.
-                self._leases.keep(message, self._now())
+                self._leases.add_grant(message, self._now())
             elif not future.done():
                 future.set_result(message)
             return
@@ -250,18 +252,18 @@
             return
         if isinstance(message, QuotaReturned):
             before = self._owner.spent(message.team, self._now())
-            self._owner.take_returned(message, self._now())
+            self._owner.apply_returned(message, self._now())
             self._note_window(message.team, "returned", before, told_by=sender)
             return
         if isinstance(message, QuotaWindows):
-            self._owner.take_windows(message, self._now())
+            self._owner.apply_window_updates(message, self._now())
             return
         team = self._teams().get(message.team)
         if team is None or team.rate_per_s <= 0:
             return
         if isinstance(message, QuotaSpent):
             before = self._owner.spent(message.team, self._now())
-            self._owner.take_spent(team, message, self._port.presence(), self._now())
+            self._owner.apply_spending_report(team, message, self._port.presence(), self._now())
             if message.window:
                 how = "copied" if message.copied else "handed over"
                 self._note_window(message.team, how, before, told_by=sender)
@@ -271,15 +273,15 @@
     def _answer(self, team: Team, message: QuotaRequest) -> QuotaGrant:
         """Answer as the owner."""
         self._open(team)
-        return self._owner.ask(team, message, self._port.presence(), self._now())
+        return self._owner.answer_request(team, message, self._port.presence(), self._now())
 
     def _open(self, team: Team) -> None:
         """Be a team's owner; a new one asks all others what was spent before."""
         if not self._owner.is_new(team.name):
             return
         mine = self._spent(team.name)
-        self._owner.open(team, self._port.presence(), self._now())
-        self._owner.take_spent(team, mine, self._port.presence(), self._now())
+        self._owner.start_owning(team, self._port.presence(), self._now())
+        self._owner.apply_spending_report(team, mine, self._port.presence(), self._now())
         self._note_window(team.name, "opened", -1.0)
         for address in self._port.others():
             self._port.send(address, QuotaSurvey(team.name))
@@ -300,7 +302,7 @@
 
     def _spent(self, team: str) -> QuotaSpent:
         now = self._now()
-        handed = self._owner.hand_over(team, now)
+        handed = self._owner.hand_off(team, now)
         spent = self._leases.spent(team, now)
         return QuotaSpent(
             team,
@@ -313,22 +315,22 @@
             handed.share,
         )
 
-    def tell_successors(self) -> None:
+    def replicate_windows(self) -> None:
         """Tell what this node has leased to those that would succeed it.
 
-        Call every :data:`TELL_S`.
+        Call every :data:`WINDOW_REPLICATION_INTERVAL_S`.
         """
-        for telling in self._owner.tell_windows(self._port.successors, self._now()):
+        for telling in self._owner.window_updates(self._port.successors, self._now()):
             self._port.send(telling.address, telling.message)
 
-    def keep_house(self) -> None:
+    def refresh_ownership(self) -> None:
         """Give up the teams whose owner is elsewhere, and begin to be the owner of others.
 
         Call after each change of the membership and about once a second: then an owner knows
         what was spent before it is asked.
         """
         mine = self._port.owner
-        for returned in self._owner.forget_others(lambda team: mine(team) is None, self._now()):
+        for returned in self._owner.release_unowned(lambda team: mine(team) is None, self._now()):
             address = mine(returned.team)
             if address is not None:
                 self._port.send(address, returned)
--- a/packages/chalkyoke/src/chalkyoke/quotas/copies.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/copies.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from chalkyoke.quotas.ledger import Ledger
-from chalkyoke.quotas.messages import ToldWindow
+from chalkyoke.quotas.messages import WindowUpdate
 from chalkyoke.quotas.window import SpendingWindow
 
 # A window in which nothing changes is told so often, in seconds: a silent copy is then a lost one.
@@ -31,12 +31,14 @@
     whole_at: float
 
 
-class WindowTeller(msgspec.Struct):
+class WindowReplicator(msgspec.Struct):
     """The owner's side: words what has changed since a successor was told last."""
 
     _told: dict[tuple[str, str], _Told] = msgspec.field(default_factory=dict)
 
-    def due(self, address: str, team: str, ledger: Ledger, now: float) -> ToldWindow | None:
+    def next_update(
+        self, address: str, team: str, ledger: Ledger, now: float
+    ) -> WindowUpdate | None:
         """Word a team's window for a successor; nothing where it need not be told now.
 
         :param address: the successor's link address.
@@ -46,11 +48,11 @@
         if told is None or told.number != number or now - told.whole_at >= TELL_WHOLE_S:
             self._told[address, team] = _Told(number, ledger.leased, now, now)
             parts = ledger.window.parts(now)
-            return ToldWindow(team, number, ledger.leased, ledger.share, parts)
+            return WindowUpdate(team, number, ledger.leased, ledger.share, parts)
         if told.total == ledger.leased and now - told.at < TELL_UNCHANGED_S:
             return None
         told.total, told.at = ledger.leased, now
-        return ToldWindow(team, number, ledger.leased, ledger.share)
+        return WindowUpdate(team, number, ledger.leased, ledger.share)
 
     def forget(self, kept: Iterable[tuple[str, str]]) -> None:
         """Forget successors that are none any more, so that they are told whole windows again.
@@ -72,7 +74,7 @@
     share: float
     at: float
 
-    def with_untold(self, untold: float, now: float) -> tuple[float, ...]:
+    def with_unreported(self, untold: float, now: float) -> tuple[float, ...]:
         """Give the window with what the owner may have leased just after it told last.
 
         :return: parts of the window that ends now, oldest first.
@@ -93,7 +95,7 @@
         self._window_s = window_s
         self._copies: dict[str, Copy] = {}
 
-    def take(self, told: ToldWindow, now: float) -> None:
+    def apply(self, told: WindowUpdate, now: float) -> None:
         """Take what an owner tells of its window."""
         copy = self._copies.get(told.team)
         if told.parts:
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -30,7 +30,7 @@
     demand_per_s: float = 0.0
     demand_at: float = 0.0
     version: int = 0
-    lease_of: int = 0
+    lease_window: int = 0
 
 
 class HeldLeases:
@@ -64,57 +64,57 @@
         self._note_spent(team.name, cost, now)
         return True
 
-    def lease_of(self, team: str) -> int:
+    def lease_window(self, team: str) -> int:
         """Name the window that the present lease of a team is of."""
-        return self._of(team).lease_of
+        return self._of(team).lease_window
 
-    def refund(self, team: str, cost: float, lease_of: int, now: float) -> bool:
+    def refund(self, team: str, cost: float, lease_window: int, now: float) -> bool:
         """Put cost back into the lease that it was spent from, for work that never ran.
 
         It serves the next request, or goes back to the owner with the next question.
 
-        :param lease_of: the window that the lease was of; another owner does not know of it.
+        :param lease_window: the window that the lease was of; another owner does not know of it.
         :return: whether it could be put back.
         """
         held = self._of(team)
-        if held.lease_of != lease_of:
+        if held.lease_window != lease_window:
             return False
         held.balance += cost
         self._spent_by(team).give_back(cost, now)
         return True
 
-    def ahead(self, team: Team) -> float:
+    def cost_ahead(self, team: Team) -> float:
         """Tell how much cost is worth leasing ahead.
 
         :rtype: float
         """
         return self._of(team.name).demand_per_s * AHEAD_S
 
-    def give_back(self, team: str) -> tuple[float, int]:
+    def take_remainder(self, team: str) -> tuple[float, int]:
         """Empty a lease that is not enough or over, to return what is left of it.
 
         :return: what is left, and the window that it is of.
         """
         held = self._of(team)
         left, held.balance = held.balance, 0.0
-        return left, held.lease_of
+        return left, held.lease_window
 
-    def keep(self, grant: QuotaGrant, now: float) -> None:
+    def add_grant(self, grant: QuotaGrant, now: float) -> None:
         """Add a lease to what may be spent."""
         held = self._of(grant.team)
         if grant.amount <= 0:
             return
-        if held.lease_of != grant.lease_of:
-            held.balance, held.lease_of = 0.0, grant.lease_of
+        if held.lease_window != grant.lease_window:
+            held.balance, held.lease_window = 0.0, grant.lease_window
         held.balance += grant.amount
         held.until = now + grant.valid_s
 
-    def take(self, grant: QuotaGrant, cost: float, now: float) -> bool:
+    def accept_grant(self, grant: QuotaGrant, cost: float, now: float) -> bool:
         """Take a lease, and spend the cost of the request that asked for it.
 
         :return: whether the request may pass.
         """
-        self.keep(grant, now)
+        self.add_grant(grant, now)
         held = self._of(grant.team)
         if grant.amount <= 0 or held.balance < cost:
             return False
@@ -122,21 +122,21 @@
         self._note_spent(grant.team, cost, now)
         return True
 
-    def spend_alone(self, team: Team, cost: float, now: float) -> bool:
+    def spend_own_share(self, team: Team, cost: float, now: float) -> bool:
         """Spend from this node's own share, while no owner answers.
 
         :rtype: bool
         """
         nodes = max(1, self._nodes())
         rate = ALONE_RATE_SHARE * team.rate_per_s / nodes
-        most = self.limits.most(team.rate_per_s, team.burst)
+        most = self.limits.window_limit(team.rate_per_s, team.burst)
         capacity = ALONE_SHARE * most / nodes
         bucket = self._alone.get(team.name)
         if bucket is None:
             bucket = self._alone[team.name] = Bucket(rate, capacity, capacity, now)
         elif (bucket.rate_per_s, bucket.capacity) != (rate, capacity):
-            bucket.reshape(rate, capacity, now)
-        passed = bucket.take(cost, now)
+            bucket.reconfigure(rate, capacity, now)
+        passed = bucket.try_consume(cost, now)
         if passed:
             self._note_spent(team.name, cost, now)
             self.note_alone(team.name, cost)
@@ -146,7 +146,7 @@
         """Note cost that was spent alone and that no owner knows of yet."""
         self._spent_alone[team] = self._spent_alone.get(team, 0.0) + cost
 
-    def take_alone(self, team: str) -> float:
+    def pop_unreported(self, team: str) -> float:
         """Give what was spent alone since an owner was told last; it is told now."""
         return self._spent_alone.pop(team, 0.0)
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
@@ -65,12 +65,12 @@
 
     window: SpendingWindow
     before: SpendingWindow
-    most: float
+    window_limit: float
     began: float
     share: float
     share_at: float
     surveyed: bool
-    told: dict[str, QuotaSpent] = msgspec.field(default_factory=dict)
+    spending_reports: dict[str, QuotaSpent] = msgspec.field(default_factory=dict)
     leased: float = 0.0
     common: Parts = NOTHING
     others_own: Parts = NOTHING
@@ -78,18 +78,18 @@
     copied_share: float = 1.0
     returned: float = 0.0
 
-    def follow_limit(self, most: float) -> None:
+    def apply_limit(self, most: float) -> None:
         """Take a new limit of the window.
 
         A lower one binds from now on only: what was spent before was within the old limit, so it
         counts as the part of the new one that it was of the old one.
         """
-        if most < self.most:
-            self.window.scale(most / self.most)
-            self.before.scale(most / self.most)
-        self.most = most
+        if most < self.window_limit:
+            self.window.scale(most / self.window_limit)
+            self.before.scale(most / self.window_limit)
+        self.window_limit = most
 
-    def follow_share(self, share: float, unnoticed_s: float, now: float) -> None:
+    def apply_share(self, share: float, unnoticed_s: float, now: float) -> None:
         """Follow the share of the fleet that is in sight.
 
         :param unnoticed_s: how long a cut may go unnoticed, in seconds.
@@ -102,7 +102,7 @@
         self.share = min(share, grown + returned)
         self.share_at = now
 
-    def take_returned(self, parts: Parts, share: float, now: float) -> None:
+    def apply_returned(self, parts: Parts, share: float, now: float) -> None:
         """Take what another side of a cut leased on its own, and its share of the limit.
 
         :param parts: parts of the window, oldest first.
@@ -153,7 +153,7 @@
         """Note that leased cost has come back unspent."""
         self.leased -= self.window.give_back(amount, now)
 
-    def own(self, now: float) -> Parts:
+    def own_spending(self, now: float) -> Parts:
         """Give what only this node can tell of, in parts of the window, oldest first."""
         pairs = zip(self.window.parts(now), self.before.parts(now), strict=True)
         return tuple(max(0.0, spent - before) for spent, before in pairs)
@@ -193,7 +193,7 @@
         self.before.resume(spent, now)
         self.window.add(self.leased, now)
 
-    def go_on_from(self, window: Parts, share: float, now: float) -> None:
+    def resume_from_copy(self, window: Parts, share: float, now: float) -> None:
         """Go on from the copy that an owner out of sight has told until a moment ago.
 
         :param share: the share of the limit that it had.
--- a/packages/chalkyoke/src/chalkyoke/quotas/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/messages.py
@@ -13,7 +13,7 @@
     :param number: names the question; the answer has the same.
     :param need: cost of the request that waits for it.
     :param ahead: cost that is welcome on top, for the next requests.
-    :param lease_of: the window that those leases were of; an owner takes back only its own.
+    :param lease_window: the window that those leases were of; an owner takes back only its own.
     :param returned: what is left of earlier leases and comes back with this question.
     :param rank: how urgent the request's route is; the less urgent are refused first.
     :param version: configuration version by which the asking node judges.
@@ -27,7 +27,7 @@
     version: int
     rank: int = 0
     returned: float = 0.0
-    lease_of: int = 0
+    lease_window: int = 0
     alone: float = 0.0
 
 
@@ -35,7 +35,7 @@
     """Lease some cost; 0 is a refusal.
 
     :param retry_after_s: when to come back after a refusal.
-    :param lease_of: names the window that the lease is of.
+    :param lease_window: names the window that the lease is of.
     :param valid_s: how long what is left of the lease may be spent.
     :param spent: what the owner counts in the window.
     :param most: what it leases in a window at most.
@@ -46,7 +46,7 @@
     amount: float
     retry_after_s: float
     valid_s: float
-    lease_of: int = 0
+    lease_window: int = 0
     spent: float = 0.0
     most: float = 0.0
 
@@ -79,7 +79,7 @@
     share: float = 1.0
 
 
-class ToldWindow(msgspec.Struct, frozen=True, array_like=True):
+class WindowUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What one team's owner has leased, for the nodes that would succeed it.
 
     :param number: names the window.
@@ -98,7 +98,7 @@
 class QuotaWindows(msgspec.Struct, frozen=True, array_like=True, tag="quota_windows"):
     """An owner tells a node that would succeed it what it has leased lately."""
 
-    windows: tuple[ToldWindow, ...]
+    windows: tuple[WindowUpdate, ...]
 
 
 class QuotaReturned(msgspec.Struct, frozen=True, array_like=True, tag="quota_returned"):
--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from chalkyoke.catalog.resources import Team
-from chalkyoke.quotas.copies import WindowCopies, WindowTeller
+from chalkyoke.quotas.copies import WindowCopies, WindowReplicator
 from chalkyoke.quotas.ledger import (
     NOTHING,
     Handed,
@@ -26,7 +26,7 @@
     QuotaReturned,
     QuotaSpent,
     QuotaWindows,
-    ToldWindow,
+    WindowUpdate,
 )
 from chalkyoke.quotas.window import QuotaLimits
 
@@ -121,7 +121,7 @@
         self._first_start = first_start
         self._ledgers: dict[str, Ledger] = {}
         self._given_up: dict[str, _GivenUp] = {}
-        self._teller = WindowTeller()
+        self._teller = WindowReplicator()
         self._copies = WindowCopies(limits.window_s)
 
     def is_new(self, team: str) -> bool:
@@ -131,11 +131,11 @@
         """
         return team not in self._ledgers
 
-    def open(self, team: Team, presence: Presence, now: float) -> None:
+    def start_owning(self, team: Team, presence: Presence, now: float) -> None:
         """Begin to be a team's owner."""
         self._ledger(team, presence, now)
 
-    def hand_over(self, team: str, now: float) -> Handed:
+    def hand_off(self, team: str, now: float) -> Handed:
         """Give the window of a team up to its new owner, which asks for it.
 
         Asked once more, this node tells the same window as one that others know of too.
@@ -147,7 +147,7 @@
             held = kept.ledger.window.parts(now)
             if not kept.told:
                 kept.told = True
-                return Handed(held, kept.ledger.own(now))
+                return Handed(held, kept.ledger.own_spending(now))
         share = 1.0
         copy = self._copies.find(team, now)
         if copy is not None and fuller(held, parts := copy.window.parts(now)) is parts:
@@ -159,16 +159,18 @@
         if ledger is not None:
             self._given_up[team] = _GivenUp(ledger, now, told=told)
 
-    def ask(self, team: Team, message: QuotaRequest, presence: Presence, now: float) -> QuotaGrant:
+    def answer_request(
+        self, team: Team, message: QuotaRequest, presence: Presence, now: float
+    ) -> QuotaGrant:
         """Answer a node that asks for cost of a limited team.
 
         :rtype: QuotaGrant
         """
         ledger = self._ledger(team, presence, now)
         window = ledger.window
-        ledger.follow_share(presence.share, presence.unnoticed_s, now)
-        ledger.follow_limit(self.limits.most(team.rate_per_s, team.burst))
-        if message.lease_of == window.number:
+        ledger.apply_share(presence.share, presence.unnoticed_s, now)
+        ledger.apply_limit(self.limits.window_limit(team.rate_per_s, team.burst))
+        if message.lease_window == window.number:
             ledger.take_back(message.returned, now)
         if message.alone > 0 and ledger.surveyed:
             # A window that is assumed to be full has room for it.
@@ -176,7 +178,7 @@
         # The less urgent are refused first: a part of the window is kept for the others.
         cheap = self._is_cheap(team, message)
         ranks_held = 0 if cheap else min(message.rank, MOST_RANKS_HELD)
-        most = ledger.most * USED_SHARE * (1.0 - HELD_PER_RANK * ranks_held)
+        most = ledger.window_limit * USED_SHARE * (1.0 - HELD_PER_RANK * ranks_held)
         room = ledger.room(most, now)
         if room < message.need:
             retry = ledger.free_in_s(message.need - room, most, presence.share, now)
@@ -200,17 +202,19 @@
         ledger = self._ledgers.get(team)
         return 0.0 if ledger is None else ledger.window.spent(now)
 
-    def tell_windows(self, successors: Callable[[str], Iterable[str]], now: float) -> list[Telling]:
+    def window_updates(
+        self, successors: Callable[[str], Iterable[str]], now: float
+    ) -> list[Telling]:
         """Word what has changed in the windows of this node's teams, for their successors.
 
         :param successors: gives the link addresses for a team.
         """
-        changed: dict[str, list[ToldWindow]] = {}
+        changed: dict[str, list[WindowUpdate]] = {}
         kept: list[tuple[str, str]] = []
         for team, ledger in self._ledgers.items():
             for address in successors(team):
                 kept.append((address, team))
-                told = self._teller.due(address, team, ledger, now)
+                told = self._teller.next_update(address, team, ledger, now)
                 if told is not None:
                     changed.setdefault(address, []).append(told)
         self._teller.forget(kept)
@@ -218,16 +222,18 @@
             Telling(address, QuotaWindows(tuple(windows))) for address, windows in changed.items()
         ]
 
-    def take_windows(self, message: QuotaWindows, now: float) -> None:
+    def apply_window_updates(self, message: QuotaWindows, now: float) -> None:
         """Keep what another owner tells of its windows, to go on from when it is lost."""
         for told in message.windows:
-            self._copies.take(told, now)
+            self._copies.apply(told, now)
 
     def _is_cheap(self, team: Team, message: QuotaRequest) -> bool:
         """Tell whether a request costs so little that refusing it makes no room for others."""
         return message.need <= CHEAP_COSTS * team.plain_cost
 
-    def take_spent(self, team: Team, message: QuotaSpent, presence: Presence, now: float) -> None:
+    def apply_spending_report(
+        self, team: Team, message: QuotaSpent, presence: Presence, now: float
+    ) -> None:
         """Take what a node has spent before; once all have told, it replaces what was assumed.
 
         The window of the owner before replaces it at once.
@@ -243,8 +249,8 @@
             ledger.resume(handed, now)
         if ledger.surveyed:
             return
-        ledger.told[message.host] = message
-        told = ledger.told.values()
+        ledger.spending_reports[message.host] = message
+        told = ledger.spending_reports.values()
         whole = all(each.known_s >= self.limits.window_s for each in told)
         if not whole or len(told) < presence.known:
             return
@@ -252,16 +258,16 @@
         spent = sum(each.cost for each in told)
         ledger.window.assume(spent + ledger.leased, ledger.began)
 
-    def take_returned(self, message: QuotaReturned, now: float) -> None:
+    def apply_returned(self, message: QuotaReturned, now: float) -> None:
         """Take what another side of a healed cut leased on its own.
 
         An owner that has begun just now is told by its survey, and by this once more.
         """
         ledger = self._ledgers.get(message.team)
         if ledger is not None and now - ledger.began > SURVEY_S:
-            ledger.take_returned(message.parts, message.share, now)
+            ledger.apply_returned(message.parts, message.share, now)
 
-    def forget_others(self, mine: Callable[[str], bool], now: float) -> list[QuotaReturned]:
+    def release_unowned(self, mine: Callable[[str], bool], now: float) -> list[QuotaReturned]:
         """Give up the windows of teams whose owner is elsewhere.
 
         They are kept for a while, to be handed to their new owners.
@@ -271,7 +277,7 @@
         """
         returned: list[QuotaReturned] = []
         for name in [each for each in self._ledgers if not mine(each)]:
-            ledger, own = self._ledgers[name], self._ledgers[name].own(now)
+            ledger, own = self._ledgers[name], self._ledgers[name].own_spending(now)
             returns = ledger.share < WHOLE_SHARE and any(own)
             if returns:
                 returned.append(QuotaReturned(name, ledger.share, own))
@@ -286,13 +292,13 @@
         if ledger is not None:
             return ledger
         number = self._identity + next(self._numbers)
-        most = self.limits.most(team.rate_per_s, team.burst)
+        most = self.limits.window_limit(team.rate_per_s, team.burst)
         ledger = new_ledger(self.limits, number, most, presence.share, now)
         self._ledgers[team.name] = ledger
         copy = self._copies.find(team.name, now)
         if copy is not None:
-            window = copy.with_untold(most * USED_SHARE * UNTOLD_SHARE, now)
-            ledger.go_on_from(window, copy.share, now)
+            window = copy.with_unreported(most * USED_SHARE * UNTOLD_SHARE, now)
+            ledger.resume_from_copy(window, copy.share, now)
             self._copies.drop(team.name)
         elif self._first_start and now < FIRST_OWNERS_S:
             ledger.surveyed = True
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
@@ -4,7 +4,7 @@
 
 import msgspec
 from chalkyoke.catalog.resources import Team
-from chalkyoke.quotas.client import TELL_S
+from chalkyoke.quotas.client import WINDOW_REPLICATION_INTERVAL_S
 from chalkyoke.quotas.leases import HeldLeases
 from chalkyoke.quotas.ledger import Handed
 from chalkyoke.quotas.messages import QuotaRequest, QuotaSpent
@@ -65,18 +65,18 @@
         if self.reach is not None and self.now >= self.noticed_at:
             reach, self.reach = self.reach, None
             self.cut(*reach)
-        if self.now - self.told_at < TELL_S:
+        if self.now - self.told_at < WINDOW_REPLICATION_INTERVAL_S:
             return
         self.told_at = self.now
         for side in self.sides:
             owner = self.nodes[self.owner_of(next(iter(side)))]
-            tellings = owner.owner.tell_windows(
+            tellings = owner.owner.window_updates(
                 lambda _, name=owner.name: self.successors(name), owner.local(self.now)
             )
             for telling in tellings:
                 if self.reaches(owner.name, telling.address):
                     other = self.nodes[telling.address]
-                    other.owner.take_windows(telling.message, other.local(self.now))
+                    other.owner.apply_window_updates(telling.message, other.local(self.now))
 
     def successors(self, name):
         """The next in line, and the first in line of each other third of the fleet."""
@@ -113,9 +113,9 @@
             if not any(name in side for side in self.sides):
                 continue
             mine = self.owner_of(name) == name
-            for message in node.owner.forget_others(lambda _, m=mine: m, node.local(self.now)):
+            for message in node.owner.release_unowned(lambda _, m=mine: m, node.local(self.now)):
                 owner = self.nodes[self.owner_of(name)]
-                owner.owner.take_returned(message, owner.local(self.now))
+                owner.owner.apply_returned(message, owner.local(self.now))
         for side in self.sides:
             owner = self.nodes[self.owner_of(next(iter(side)))]
             self._open(owner, Presence(len(side), len(self.nodes)))
@@ -126,10 +126,10 @@
         if node.leases.spend(self.team, cost, 1, node.local(self.now)):
             passed = True
         elif not self.reaches(name, owner.name):
-            passed = node.leases.spend_alone(self.team, cost, node.local(self.now))
+            passed = node.leases.spend_own_share(self.team, cost, node.local(self.now))
         else:
             grant = self._grant(node, owner, cost, rank)
-            passed = node.leases.take(grant, cost, node.local(self.now))
+            passed = node.leases.accept_grant(grant, cost, node.local(self.now))
         (self.passed if passed else self.refused).append((self.now, cost))
         return passed
 
@@ -139,23 +139,23 @@
             "t",
             1,
             cost,
-            node.leases.ahead(self.team),
+            node.leases.cost_ahead(self.team),
             1,
             rank,
-            *node.leases.give_back("t"),
-            node.leases.take_alone("t"),
+            *node.leases.take_remainder("t"),
+            node.leases.pop_unreported("t"),
         )
         self._open(owner, presence)
-        return owner.owner.ask(self.team, message, presence, owner.local(self.now))
+        return owner.owner.answer_request(self.team, message, presence, owner.local(self.now))
 
     def _open(self, owner, presence):
         if not owner.owner.is_new("t"):
             return
-        owner.owner.open(self.team, presence, owner.local(self.now))
+        owner.owner.start_owning(self.team, presence, owner.local(self.now))
         for other in self.side(owner.name):
             each = self.nodes[other]
             known = each.local(self.now)
-            handed = each.owner.hand_over("t", known) if each is not owner else Handed()
+            handed = each.owner.hand_off("t", known) if each is not owner else Handed()
             spent = QuotaSpent(
                 "t",
                 str(other),
@@ -163,7 +163,7 @@
                 known,
                 *msgspec.structs.astuple(handed),
             )
-            owner.owner.take_spent(self.team, spent, presence, owner.local(self.now))
+            owner.owner.apply_spending_report(self.team, spent, presence, owner.local(self.now))
 
     def worst_window(self, since=0.0):
         worst, start, total = 0.0, 0, 0.0
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_client.py
@@ -75,11 +75,11 @@
 def test_a_request_beyond_the_own_share_waits_for_a_slow_owner():
     async def main():
         client = client_of(SlowOwner(delay_s=0.08))
-        first = await client.take(Charge(14_000))
-        assert (first.passed, first.decided_by) == (True, "alone")
+        first = await client.charge(Charge(14_000))
+        assert (first.allowed, first.decided_by) == (True, "alone")
         await asyncio.sleep(0.6)
-        second = await client.take(Charge(15_000))
-        assert (second.passed, second.decided_by) == (True, "owner")
+        second = await client.charge(Charge(15_000))
+        assert (second.allowed, second.decided_by) == (True, "owner")
         assert asyncio.get_running_loop().time() < 0.75
 
     virtual.run(main)
@@ -94,9 +94,9 @@
         owner = SlowOwner(delay_s=0.002)
         owner.known_from_s = 0.26
         client = client_of(owner, first_start=False)
-        assert (await client.take(Charge(14_000))).decided_by == "alone"
-        passed = await client.take(Charge(14_500))
-        assert (passed.passed, passed.decided_by) == (True, "owner")
+        assert (await client.charge(Charge(14_000))).decided_by == "alone"
+        passed = await client.charge(Charge(14_500))
+        assert (passed.allowed, passed.decided_by) == (True, "owner")
         assert 0.26 <= asyncio.get_running_loop().time() < 0.3
 
     virtual.run(main)
@@ -107,9 +107,9 @@
         owner = SlowOwner(delay_s=9.0)
         owner.known_from_s = 99.0
         client = client_of(owner, first_start=False)
-        assert (await client.take(Charge(14_000))).decided_by == "alone"
-        passed = await client.take(Charge(15_000))
-        assert not passed.passed
+        assert (await client.charge(Charge(14_000))).decided_by == "alone"
+        passed = await client.charge(Charge(15_000))
+        assert not passed.allowed
         assert 0.5 <= asyncio.get_running_loop().time() < 0.7
 
     virtual.run(main)
@@ -119,11 +119,11 @@
     async def main():
         owner = SlowOwner(delay_s=0.08)
         client = client_of(owner)
-        first = await client.take(Charge(300))
-        assert (first.passed, first.decided_by) == (True, "alone")
+        first = await client.charge(Charge(300))
+        assert (first.allowed, first.decided_by) == (True, "alone")
         await asyncio.sleep(0.1)
-        second = await client.take(Charge(300))
-        assert (second.passed, second.decided_by, owner.asked) == (True, "lease", 1)
+        second = await client.charge(Charge(300))
+        assert (second.allowed, second.decided_by, owner.asked) == (True, "lease", 1)
 
     virtual.run(main)
 
@@ -132,10 +132,10 @@
     async def main():
         owner = SlowOwner(delay_s=9.0)
         client = client_of(owner)
-        await client.take(Charge(14_000))
+        await client.charge(Charge(14_000))
         began = asyncio.get_running_loop().time()
-        second = await client.take(Charge(14_000))
-        assert not second.passed and second.retry_after_s > 0
+        second = await client.charge(Charge(14_000))
+        assert not second.allowed and second.retry_after_s > 0
         assert asyncio.get_running_loop().time() - began < 0.2
 
     virtual.run(main)
@@ -145,11 +145,11 @@
     async def main():
         owner = SlowOwner(delay_s=0.001)
         client = client_of(owner)
-        first = await client.take(Charge(9_000))
+        first = await client.charge(Charge(9_000))
         assert first.decided_by == "owner"
         assert client.refund(Charge(9_000), first)
-        second = await client.take(Charge(9_000))
-        assert (second.passed, second.decided_by, owner.asked) == (True, "lease", 1)
+        second = await client.charge(Charge(9_000))
+        assert (second.allowed, second.decided_by, owner.asked) == (True, "lease", 1)
 
     virtual.run(main)
 
@@ -157,7 +157,7 @@
 def test_cost_spent_alone_is_not_given_back():
     async def main():
         client = client_of(SlowOwner(delay_s=9.0))
-        spent = await client.take(Charge(200))
+        spent = await client.charge(Charge(200))
         assert spent.decided_by == "alone"
         assert not client.refund(Charge(200), spent)
 
@@ -169,10 +169,10 @@
         owner = SlowOwner(delay_s=9.0)
         client = client_of(owner)
         for _ in range(3):
-            assert (await client.take(Charge(200))).decided_by == "alone"
+            assert (await client.charge(Charge(200))).decided_by == "alone"
         await asyncio.sleep(1.0)
         owner.delay_s = 0.001
-        assert (await client.take(Charge(9_000))).decided_by == "owner"
+        assert (await client.charge(Charge(9_000))).decided_by == "owner"
         assert owner.alone == [0.0, 600.0]
 
     virtual.run(main)
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 from .fleet import LIMITS, TEAM, Fleet
 
-MOST = LIMITS.most(TEAM.rate_per_s, TEAM.burst)
+MOST = LIMITS.window_limit(TEAM.rate_per_s, TEAM.burst)
 
 
 def play(fleet, demand, seconds, seed=1, events=(), only=None):
@@ -108,12 +108,12 @@
 def test_of_two_windows_that_are_handed_over_the_fuller_one_counts(first):
     """A owner that moved twice in a moment: the one before last tells an old window."""
     owner = QuotaOwner(LIMITS, first_start=False, identity=9)
-    owner.open(TEAM, Presence(9, 9), 100.0)
+    owner.start_owning(TEAM, Presence(9, 9), 100.0)
     windows = [tuple([100.0] * 40), tuple([5000.0] * 40)]
     for index in (first, 1 - first):
         told = QuotaSpent("t", f"n{index}", 0.0, 90.0, windows[index])
-        owner.take_spent(TEAM, told, Presence(9, 9), 100.01)
-    grant = owner.ask(TEAM, QuotaRequest("t", 1, 1e9, 0.0, 1), Presence(9, 9), 100.02)
+        owner.apply_spending_report(TEAM, told, Presence(9, 9), 100.01)
+    grant = owner.answer_request(TEAM, QuotaRequest("t", 1, 1e9, 0.0, 1), Presence(9, 9), 100.02)
     assert grant.amount == 0 and 190_000 < grant.spent <= 200_000
 
 
@@ -138,7 +138,7 @@
 def test_a_lowered_quota_binds_what_is_spent_from_then_on():
     fleet = Fleet()
     play(fleet, 1.0, 30, events=[(10, lower)])
-    lowered = LIMITS.most(12_000, 12_000)
+    lowered = LIMITS.window_limit(12_000, 12_000)
     assert fleet.worst_window() <= MOST
     assert fleet.worst_window(since=10.0) <= lowered
 
@@ -212,13 +212,13 @@
 def test_spending_that_was_only_assumed_is_not_returned():
     """After a kill of all, nodes that own teams for a moment have leased nothing."""
     owner = QuotaOwner(LIMITS, first_start=False, identity=9)
-    owner.open(TEAM, Presence(5, 9), 0.5)
-    assert owner.forget_others(lambda _: False, 0.9) == []
+    owner.start_owning(TEAM, Presence(5, 9), 0.5)
+    assert owner.release_unowned(lambda _: False, 0.9) == []
 
-    owner.open(TEAM, Presence(3, 9), 1.0)
-    asked = owner.ask(TEAM, QuotaRequest("t", 1, 500.0, 0.0, 1), Presence(3, 9), 1.1)
+    owner.start_owning(TEAM, Presence(3, 9), 1.0)
+    asked = owner.answer_request(TEAM, QuotaRequest("t", 1, 500.0, 0.0, 1), Presence(3, 9), 1.1)
     assert asked.amount == 500.0
-    (returned,) = owner.forget_others(lambda _: False, 1.2)
+    (returned,) = owner.release_unowned(lambda _: False, 1.2)
     assert sum(returned.parts) == 500.0
 
 
@@ -231,8 +231,8 @@
 
     def refund_due(fleet):
         while waiting and waiting[0][0] <= fleet.now:
-            _, node, cost, lease_of = waiting.pop(0)
-            node.leases.refund("t", cost, lease_of, node.local(fleet.now))
+            _, node, cost, lease_window = waiting.pop(0)
+            node.leases.refund("t", cost, lease_window, node.local(fleet.now))
 
     while fleet.now < 30.0:
         refund_due(fleet)
@@ -240,8 +240,8 @@
         node = fleet.nodes[name]
         if fleet.ask(name, cost) and rng.random() < 0.33:
             fleet.passed.pop()
-            lease_of = node.leases.lease_of("t")
-            waiting.append((fleet.now + rng.uniform(0.0, 2.0), node, cost, lease_of))
+            lease_window = node.leases.lease_window("t")
+            waiting.append((fleet.now + rng.uniform(0.0, 2.0), node, cost, lease_window))
             waiting.sort(key=lambda each: each[0])
         fleet.now += rng.expovariate(6.0 * TEAM.rate_per_s / 3350)
     assert 0.6 * MOST < fleet.worst_window() <= MOST
@@ -263,14 +263,18 @@
     the limit, a third at its start, grew by an eighth a second.
     """
     owner = QuotaOwner(LIMITS, first_start=False, identity=9)
-    owner.open(TEAM, Presence(3, 9), 0.5)
-    while owner.ask(TEAM, QuotaRequest("t", 1, 3000.0, 0.0, 1), Presence(3, 9), 0.6).amount:
+    owner.start_owning(TEAM, Presence(3, 9), 0.5)
+    while owner.answer_request(
+        TEAM, QuotaRequest("t", 1, 3000.0, 0.0, 1), Presence(3, 9), 0.6
+    ).amount:
         pass
-    grant = owner.ask(TEAM, QuotaRequest("t", 2, 3000.0, 0.0, 1), Presence(9, 9), 0.6)
+    grant = owner.answer_request(TEAM, QuotaRequest("t", 2, 3000.0, 0.0, 1), Presence(9, 9), 0.6)
     assert grant.amount == 0 and grant.retry_after_s < 0.2
     later = 0.6 + grant.retry_after_s + 0.05
-    assert owner.ask(TEAM, QuotaRequest("t", 3, 3000.0, 0.0, 1), Presence(9, 9), later).amount
-    cut = owner.ask(TEAM, QuotaRequest("t", 4, 9000.0, 0.0, 1), Presence(3, 9), later)
+    assert owner.answer_request(
+        TEAM, QuotaRequest("t", 3, 3000.0, 0.0, 1), Presence(9, 9), later
+    ).amount
+    cut = owner.answer_request(TEAM, QuotaRequest("t", 4, 9000.0, 0.0, 1), Presence(3, 9), later)
     assert cut.amount == 0 and cut.retry_after_s > 1.0
 
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
@@ -20,8 +20,8 @@
     unnoticed_s = foreign_patience_s(spacing_s(members, 0.25), 0.25)
     ledger = new_ledger(LIMITS, 1, MOST, 1.0, 0.0)
     ledger.lease(100.0, 20.0)
-    ledger.follow_share(1 / 3, unnoticed_s, 20.0 + spent_before_s)
-    return sum(ledger.own(20.0 + spent_before_s))
+    ledger.apply_share(1 / 3, unnoticed_s, 20.0 + spent_before_s)
+    return sum(ledger.own_spending(20.0 + spent_before_s))
 
 
 @pytest.mark.parametrize(("members", "spent_before_s"), [(3, 2.4), (28, 2.4), (28, 3.2), (28, 3.8)])
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
@@ -38,7 +38,7 @@
 
 def test_a_bucket_may_pass_one_request_that_is_larger_than_itself():
     bucket = Bucket(10.0, 100.0, 100.0, 0.0)
-    assert bucket.take(500.0, 0.0)
-    assert not bucket.take(1.0, 1.0)
-    bucket.reshape(10.0, 50.0, 100.0)
-    assert bucket.take(40.0, 100.0)
+    assert bucket.try_consume(500.0, 0.0)
+    assert not bucket.try_consume(1.0, 1.0)
+    bucket.reconfigure(10.0, 50.0, 100.0)
+    assert bucket.try_consume(40.0, 100.0)
--- a/packages/chalkyoke/src/chalkyoke/quotas/window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/window.py
@@ -29,7 +29,7 @@
     over: float = 0.1
     slack: float = 0.0
 
-    def most(self, rate_per_s: float, burst: float) -> float:
+    def window_limit(self, rate_per_s: float, burst: float) -> float:
         """Give the cost that any window may see.
 
         :rtype: float
--- a/packages/chalkyoke/src/chalkyoke/retries/budget.py
+++ b/packages/chalkyoke/src/chalkyoke/retries/budget.py
@@ -41,7 +41,7 @@
     Usage::
 
       >>> budget = RetryBudget(BudgetLimits())
-      >>> budget.note_first("seats", now=0.0)
+      >>> budget.record_first("seats", now=0.0)
       >>> budget.try_spend("seats", nodes=9, now=0.1)
     """
 
@@ -49,12 +49,12 @@
         self.limits = limits
         self._windows: dict[str, _Window] = {}
 
-    def note_first(self, service: str, now: float) -> None:
+    def record_first(self, service: str, now: float) -> None:
         """Count the first send of a request."""
         window = self._expired(service, now)
         window.firsts.append(now)
 
-    def left(self, service: str, nodes: int, now: float) -> float:
+    def remaining(self, service: str, nodes: int, now: float) -> float:
         """Tell how many repeats may be sent now.
 
         :param nodes: nodes that there may be in the fleet, dead ones included.
@@ -71,7 +71,7 @@
         :param nodes: nodes that there may be in the fleet, dead ones included.
         :rtype: bool
         """
-        if self.left(service, nodes, now) < 1:
+        if self.remaining(service, nodes, now) < 1:
             return False
         self._windows[service].repeats.append(now)
         return True
--- a/packages/chalkyoke/src/chalkyoke/retries/tests/test_budget.py
+++ b/packages/chalkyoke/src/chalkyoke/retries/tests/test_budget.py
@@ -16,7 +16,7 @@
         now += pause
         budget = budgets[node % nodes]
         if wants_first:
-            budget.note_first("s", now)
+            budget.record_first("s", now)
             firsts.append(now)
         elif budget.try_spend("s", nodes, now):
             repeats.append(now)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
@@ -169,7 +169,7 @@
         self._pool.queues[item.rank].charge(item.team, work, self._pool.weight(item.team))
         self._pool.prefixes.insert(upstream.spec.id, item.blocks)
         if upstream.allowance is not None:
-            upstream.allowance.take(now)
+            upstream.allowance.consume(now)
         running = Running(
             request=item.request,
             attempt=item.attempt,
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -10,7 +10,7 @@
 
 import asyncio
 
-from chalkyoke.quarantine.identity import identify
+from chalkyoke.quarantine.identity import request_digest
 from chalkyoke.quarantine.messages import ReplicaEnded, SuspectRun
 from chalkyoke_fakes.platformfleet import HOST, TEAM
 
@@ -120,7 +120,7 @@
         await asyncio.sleep(0.2)
         waiting = asyncio.ensure_future(fleet.ask(0, "/explain/1", CRASHING))
         await asyncio.sleep(0.1)
-        name = identify(b"POST", HOST, b"/explain/1", TEAM, CRASHING)
+        name = request_digest(b"POST", HOST, b"/explain/1", TEAM, CRASHING)
         began = loop.time()
         ended = [ReplicaEnded(f"m{each}/9", (SuspectRun(name, 1.0, 0.0),)) for each in range(3)]
         for message in ended:
