--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -19,7 +19,7 @@
 from chalkyoke.configuration.state import ConfigurationState
 from chalkyoke.links.codec import FrameCodec
 from chalkyoke.membership.messages import Digest, Heartbeat, MemberRecord, ShortHeartbeat, Summary
-from chalkyoke.membership.view import FULL_EVERY, MembershipView
+from chalkyoke.membership.view import FULL_EVERY_BEATS, MembershipView
 from chalkyoke.node.fleet import FleetView
 from chalkyoke.node.process import LINK_MESSAGES
 from chalkyoke.scheduling.messages import Acquire, Grant, Progress, ProgressItem, Release, Usage
@@ -107,7 +107,7 @@
         frames = [CODEC.encode(STAMP, each) for each in beats]
 
         def second(view: MembershipView = view, beats: list[Heartbeat] = beats) -> None:
-            for send in view.beat(1.0):
+            for send in view.due_messages(1.0):
                 CODEC.encode(STAMP, send.message)
             for beat in beats:
                 again = Heartbeat(beat.record, beat.beat + 1)
@@ -122,7 +122,7 @@
     member = record(1, "d0")
     whole = size_of(Heartbeat(member, 12345, digests))
     short = size_of(ShortHeartbeat(member.host, member.incarnation, "d0", 12345, digests))
-    return fit(times), fit(memory), (whole + (FULL_EVERY - 1) * short) / FULL_EVERY
+    return fit(times), fit(memory), (whole + (FULL_EVERY_BEATS - 1) * short) / FULL_EVERY_BEATS
 
 
 # Scheduling.
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -61,7 +61,7 @@
         self.node, self.live_names = node, set(live)
         self.record = SimpleNamespace(process=node.process)
 
-    def audience(self):
+    def broadcast_targets(self):
         return [each for each in sorted(self.live_names) if each != self.node.name], []
 
     def domain_addresses(self):
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
@@ -10,7 +10,7 @@
 
 
 class View:
-    def audience(self):
+    def broadcast_targets(self):
         return ["n2", "n3"], ["far"]
 
     def domain_addresses(self):
--- a/packages/chalkyoke/src/chalkyoke/links/broadcast.py
+++ b/packages/chalkyoke/src/chalkyoke/links/broadcast.py
@@ -13,7 +13,7 @@
 class Audience(Protocol):
     """Who is there to be told, as the membership knows it."""
 
-    def audience(self) -> tuple[list[str], list[str]]:
+    def broadcast_targets(self) -> tuple[list[str], list[str]]:
         """List link addresses of nodes, and of those that are to tell their failure domain."""
 
     def domain_addresses(self) -> list[str]:
@@ -37,7 +37,7 @@
     :param send: sends a message to a node by its link address.
     :return: how many nodes were told directly, those that relay included.
     """
-    direct, relays = audience.audience()
+    direct, relays = audience.broadcast_targets()
     for address in direct:
         send(address, message)
     for address in relays:
--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_broadcast.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_broadcast.py
@@ -7,7 +7,7 @@
 
 
 class Audience:
-    def audience(self):
+    def broadcast_targets(self):
         return ["near-1", "near-2"], ["far-1"]
 
     def domain_addresses(self):
--- a/packages/chalkyoke/src/chalkyoke/membership/rosters.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/rosters.py
@@ -29,7 +29,7 @@
     :param heard: when the monitor last said so, in seconds.
     """
 
-    heard: float
+    confirmed_s: float
     version: int = 0
     records: dict[str, MemberRecord] = msgspec.field(default_factory=dict)
 
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self._rosters: dict[str, Roster] = {}
 
-    def note(self, digest: Digest, now: float) -> bool:
+    def confirm(self, digest: Digest, now: float) -> bool:
         """Note that a monitor still hears what a digest names.
 
         :return: whether that is what is known here; else the monitor is to be asked.
@@ -48,15 +48,15 @@
         known = self._rosters.get(digest.reporter)
         if known is None or known.version != digest.version:
             return False
-        known.heard = now
+        known.confirmed_s = now
         return True
 
-    def take(self, monitor: str, records: Iterable[MemberRecord], now: float) -> None:
+    def replace(self, monitor: str, records: Iterable[MemberRecord], now: float) -> None:
         """Take all that a monitor hears."""
         held = {each.process: each for each in records}
         self._rosters[monitor] = Roster(now, checksum(held.values()), held)
 
-    def change(self, message: RosterChange, now: float) -> bool:
+    def apply_change(self, message: RosterChange, now: float) -> bool:
         """Take what has changed for a monitor; a change that came twice does no harm.
 
         :return: whether what is known here now is what the monitor names.
@@ -67,9 +67,9 @@
             roster.records.pop(process, None)
         roster.records.update({each.process: each for each in message.joined})
         roster.version = checksum(roster.records.values())
-        return self.note(message.digest, now)
+        return self.confirm(message.digest, now)
 
-    def listed(
+    def vouched_members(
         self, now: float, patience_s: float, own_patience_s: float
     ) -> Mapping[str, MemberRecord]:
         """List who is heard by some monitor, by process, and forget monitors of long ago.
@@ -80,11 +80,11 @@
         if not self._rosters:
             return {}
         for monitor, roster in list(self._rosters.items()):
-            if now - roster.heard > patience_s:
+            if now - roster.confirmed_s > patience_s:
                 del self._rosters[monitor]
         found: dict[str, MemberRecord] = {}
         for roster in self._rosters.values():
-            is_silent = now - roster.heard > own_patience_s
+            is_silent = now - roster.confirmed_s > own_patience_s
             for process, record in roster.records.items():
                 if is_silent and process in self._rosters:
                     # Lost monitors would vouch for each other.
@@ -99,37 +99,37 @@
     """What this process hears as a monitor, and what it has told of it."""
 
     def __init__(self) -> None:
-        self._held: dict[str, MemberRecord] = {}
-        self._told: dict[str, MemberRecord] = {}
+        self._members: dict[str, MemberRecord] = {}
+        self._sent: dict[str, MemberRecord] = {}
         self.version = checksum(())
 
     @property
     def records(self) -> tuple[MemberRecord, ...]:
         """Who is heard, as last updated."""
-        return tuple(self._held.values())
+        return tuple(self._members.values())
 
     def update(self, records: Iterable[MemberRecord]) -> None:
         """Take who is heard now."""
         held = {each.process: each for each in records}
-        if not _same(held, self._held):
+        if not _same_members(held, self._members):
             self.version = checksum(held.values())
-        self._held = held
+        self._members = held
 
-    def untold(self, digest: Digest) -> RosterChange | None:
+    def next_change(self, digest: Digest) -> RosterChange | None:
         """Give what has changed since this was last called, if anything has."""
-        if _same(self._held, self._told):
+        if _same_members(self._members, self._sent):
             return None
         joined = tuple(
             each
-            for process, each in self._held.items()
-            if (told := self._told.get(process)) is None or told.edition != each.edition
+            for process, each in self._members.items()
+            if (told := self._sent.get(process)) is None or told.edition != each.edition
         )
-        left = tuple(process for process in self._told if process not in self._held)
-        self._told = self._held
+        left = tuple(process for process in self._sent if process not in self._members)
+        self._sent = self._members
         return RosterChange(digest, joined, left)
 
 
-def _same(one: Mapping[str, MemberRecord], other: Mapping[str, MemberRecord]) -> bool:
+def _same_members(one: Mapping[str, MemberRecord], other: Mapping[str, MemberRecord]) -> bool:
     return one.keys() == other.keys() and all(
         each.edition == other[process].edition for process, each in one.items()
     )
--- a/packages/chalkyoke/src/chalkyoke/membership/spacing.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/spacing.py
@@ -12,16 +12,16 @@
 # Up to so many members, all of a failure domain send each other their signs of life. In a larger
 # one they are sent to a few monitors only: all to all, they and their confirmations grow with the
 # square of the members.
-FEW_MEMBERS = 8
+MAX_FULL_MESH_MEMBERS = 8
 # Beyond that a member's beats get sparser, by this at most, and it is lost after so many beats that
 # were due: a monitor hears all members.
-MOST_SPARSE = 4.0
+MAX_SPACING_FACTOR = 4.0
 SPARSE_SUSPECT_BEATS = 3.5
 # What a monitor has told vouches for others so much longer than the monitor itself is believed
 # alive, in beats: the next ones hear everybody meanwhile.
-ROSTER_BEATS = 2.0
+ROSTER_EXTRA_BEATS = 2.0
 # Reporters of a large failure domain beat to the others so often within a beat of their own.
-OUTSIDE_BEATS = 2.0
+REPORTS_PER_BEAT = 2.0
 
 
 def spacing_s(members: int, interval_s: float) -> float:
@@ -29,24 +29,24 @@
 
     :param members: how many there are, this process included.
     """
-    return interval_s * min(MOST_SPARSE, max(1.0, members / FEW_MEMBERS))
+    return interval_s * min(MAX_SPACING_FACTOR, max(1.0, members / MAX_FULL_MESH_MEMBERS))
 
 
-def outside_spacing_s(members: int, interval_s: float) -> float:
+def report_interval_s(members: int, interval_s: float) -> float:
     """Give the time between two heartbeats to other failure domains, in seconds."""
-    return max(interval_s, spacing_s(members, interval_s) / OUTSIDE_BEATS)
+    return max(interval_s, spacing_s(members, interval_s) / REPORTS_PER_BEAT)
 
 
-def patience_s(spacing: float, interval_s: float) -> float:
+def suspect_timeout_s(spacing: float, interval_s: float) -> float:
     """Tell after how long without a sign of life a member is lost, in seconds."""
     return max(SUSPECT_INTERVALS * interval_s, SPARSE_SUSPECT_BEATS * spacing)
 
 
-def roster_patience_s(spacing: float, interval_s: float) -> float:
+def roster_timeout_s(spacing: float, interval_s: float) -> float:
     """Tell for how long a monitor's word on others holds after its last beat, in seconds."""
-    return patience_s(spacing, interval_s) + ROSTER_BEATS * spacing
+    return suspect_timeout_s(spacing, interval_s) + ROSTER_EXTRA_BEATS * spacing
 
 
-def foreign_patience_s(spacing: float, interval_s: float) -> float:
+def foreign_timeout_s(spacing: float, interval_s: float) -> float:
     """Tell after how long without a digest a failure domain is lost, in seconds."""
     return FOREIGN_SUSPECT_INTERVALS * interval_s + 2 * (spacing - interval_s)
--- a/packages/chalkyoke/src/chalkyoke/membership/state.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/state.py
@@ -10,7 +10,7 @@
 from chalkyoke.membership.messages import Digest, MemberRecord
 
 # When a member was last heard that was never heard, in seconds.
-NEVER_S = float("-inf")
+NEVER_HEARD_S = float("-inf")
 
 
 class Candidate(msgspec.Struct, frozen=True):
@@ -35,7 +35,7 @@
 
     record: MemberRecord
     beat: int
-    heard: float
+    last_beat_s: float
     alive: bool = True
     retired: set[int] = msgspec.field(default_factory=set)
 
@@ -49,8 +49,8 @@
 
     digest: Digest
     records: tuple[MemberRecord, ...]
-    heard: float
-    direct: dict[int, float] = msgspec.field(default_factory=dict)
+    last_digest_s: float
+    direct_versions: dict[int, float] = msgspec.field(default_factory=dict)
 
 
 class Joined(msgspec.Struct, frozen=True):
--- a/packages/chalkyoke/src/chalkyoke/membership/tests/test_view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/tests/test_view.py
@@ -115,10 +115,10 @@
 def test_a_change_is_told_whole_at_once():
     view = MembershipView(record("me"))
     view.set_candidates([Candidate("h", "h:1", "d1")])
-    kinds = [type(view.beat(i)[0].message) for i in range(1, 20)]
+    kinds = [type(view.due_messages(i)[0].message) for i in range(1, 20)]
     assert ShortHeartbeat in kinds
     view.update_self(revision=2)
-    assert view.beat(20)[0].message.record.revision == 2
+    assert view.due_messages(20)[0].message.record.revision == 2
 
 
 def test_every_change_of_what_the_view_shows_changes_its_generation():
@@ -151,9 +151,9 @@
     shown = {each.host for each in fleet.views["b1"].live()}
     fresh = newcomer("a9")
     for _ in range(3):
-        for send in fresh.beat(0.0):
+        for send in fresh.due_messages(0.0):
             assert send.message.digests == ()
-        changes, _ = fleet.views["b1"].receive("a9:1", fresh.introduction(), fleet.now)
+        changes, _ = fleet.views["b1"].receive("a9:1", fresh.full_heartbeat(), fleet.now)
         assert changes == []
     assert {each.host for each in fleet.views["b1"].live()} == shown
 
@@ -163,11 +163,11 @@
     fleet.run(3)
     fresh = newcomer("a9")
     seed = fleet.views["a1"]
-    _, sends = seed.receive("a9:1", fresh.introduction(), fleet.now)
+    _, sends = seed.receive("a9:1", fresh.full_heartbeat(), fleet.now)
     for send in sends:
         if send.address == "a9:1":
             fresh.receive(seed.record.address, send.message, 0.0)
-    told = {send.address for send in fresh.beat(0.1)}
+    told = {send.address for send in fresh.due_messages(0.1)}
     for host in TWO["d1"]:
         assert fleet.views[host].record.address in told
     assert {each.host for each in fresh.live()} >= set(TWO["d2"])
--- a/packages/chalkyoke/src/chalkyoke/membership/view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/view.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from chalkyoke.membership.inside import OwnDomain, standing
+from chalkyoke.membership.inside import OwnDomain, announced_state
 from chalkyoke.membership.messages import (
     Digest,
     Heartbeat,
@@ -24,21 +24,21 @@
 from chalkyoke.membership.outside import REPORTERS, OtherDomains
 from chalkyoke.membership.owners import ranked_hosts
 from chalkyoke.membership.rosters import checksum
-from chalkyoke.membership.spacing import FEW_MEMBERS, foreign_patience_s, outside_spacing_s
+from chalkyoke.membership.spacing import MAX_FULL_MESH_MEMBERS, foreign_timeout_s, report_interval_s
 from chalkyoke.membership.state import Candidate, Change, Joined
 
 DEFAULT_INTERVAL_S = 0.25
 # The whole record is sent in so many beats after a change, and then in each so many.
-FULL_AFTER_CHANGE = 4
-FULL_EVERY = 5
+FULL_BEATS_AFTER_CHANGE = 4
+FULL_EVERY_BEATS = 5
 # A new member reports nothing in its first beats: others know more of the domain than it does. It
 # waits longer where it knows but a few of many that are listed.
-FIRST_BEATS = 2
-SETTLED_BEATS = 3
-LARGE_FIRST_BEATS = 8
+NEWCOMER_BEATS = 2
+NEWCOMER_BEATS_WITH_SENIORS = 3
+LARGE_NEWCOMER_BEATS = 8
 
 
-class Send(msgspec.Struct, frozen=True):
+class OutgoingMessage(msgspec.Struct, frozen=True):
     """A message for the link listener at an address."""
 
     address: str
@@ -60,24 +60,24 @@
 
     def __init__(self, record: MemberRecord, interval_s: float = DEFAULT_INTERVAL_S) -> None:
         self.interval_s = interval_s
-        self._inside = OwnDomain(record, interval_s)
-        self._outside = OtherDomains(record.failure_domain, interval_s)
+        self._own_domain = OwnDomain(record, interval_s)
+        self._other_domains = OtherDomains(record.failure_domain, interval_s)
         self._generation = 0
         self._beat = 0
-        self._next_inside = 0.0
-        self._next_outside = 0.0
+        self._next_heartbeat_s = 0.0
+        self._next_report_s = 0.0
         self._candidates: list[Candidate] = []
-        self._told = msgspec.structs.replace(record, incarnation=-1)
-        self._whole_until = 0
+        self._announced = msgspec.structs.replace(record, incarnation=-1)
+        self._full_until_beat = 0
         self._summary: tuple[int, Summary] | None = None
-        self._told_outside = 0
-        self._told_inside: tuple[Digest, ...] = ()
+        self._reported_version = 0
+        self._announced_digests: tuple[Digest, ...] = ()
         self._ranks: tuple[int, dict[str, list[MemberRecord]]] = (-1, {})
 
     @property
     def record(self) -> MemberRecord:
         """This process."""
-        return self._inside.record
+        return self._own_domain.record
 
     @property
     def domain(self) -> str:
@@ -87,22 +87,22 @@
     @property
     def generation(self) -> int:
         """Grows with each change of who is alive and how they stand, for caches over the view."""
-        return self._generation + self._inside.generation
+        return self._generation + self._own_domain.generation
 
     @property
     def spacing_s(self) -> float:
         """The time between two heartbeats inside this failure domain, by its size, in seconds."""
-        return self._inside.spacing_s
+        return self._own_domain.spacing_s
 
     @property
-    def foreign_patience_s(self) -> float:
+    def foreign_timeout_s(self) -> float:
         """How long another failure domain may be silent before it counts as lost, in seconds."""
-        return foreign_patience_s(self.spacing_s, self.interval_s)
+        return foreign_timeout_s(self.spacing_s, self.interval_s)
 
     @property
     def is_monitor(self) -> bool:
         """Whether this process hears all others of its failure domain for them."""
-        return self._inside.is_monitor
+        return self._own_domain.is_monitor
 
     # What others ask of the view.
 
@@ -111,7 +111,7 @@
 
         :rtype: list[MemberRecord]
         """
-        return self._inside.live() + self._outside.records()
+        return self._own_domain.live() + self._other_domains.records()
 
     def find(self, host: str) -> MemberRecord | None:
         """Find a live process by host id.
@@ -170,7 +170,7 @@
 
         :param able: tells who can do it; others hold it only where too few can.
         """
-        staying = [each for each in self._inside.live() if not each.leaving] or [self.record]
+        staying = [each for each in self._own_domain.live() if not each.leaving] or [self.record]
         order = ranked_hosts(f"{duty}/{self.domain}", staying)
         if able is not None:
             order.sort(key=lambda each: not able(each))
@@ -178,9 +178,9 @@
 
     def domain_addresses(self) -> list[str]:
         """List the link addresses of the other members of this failure domain."""
-        return self._inside.other_addresses()
+        return self._own_domain.other_addresses()
 
-    def audience(self) -> tuple[list[str], list[str]]:
+    def broadcast_targets(self) -> tuple[list[str], list[str]]:
         """List whom to tell what all of the fleet should know soon.
 
         Of a large failure domain these are the first monitors: they have links to all others.
@@ -189,16 +189,19 @@
         """
         direct: list[str] = []
         relays: list[str] = []
-        for ranking in [self._inside.ranking(), *self._outside.rankings().values()]:
+        for ranking in [
+            self._own_domain.monitor_ranking(),
+            *self._other_domains.rankings().values(),
+        ]:
             first = ranking[:REPORTERS]
             mine = self.record.host
-            if len(ranking) <= FEW_MEMBERS or mine in {each.host for each in first}:
+            if len(ranking) <= MAX_FULL_MESH_MEMBERS or mine in {each.host for each in first}:
                 direct += [each.address for each in ranking if each.host != mine]
             else:
                 relays += [each.address for each in first]
         return direct, relays
 
-    def introduction(self) -> Heartbeat:
+    def full_heartbeat(self) -> Heartbeat:
         """Make the message with which this process makes itself known at an address.
 
         :rtype: Heartbeat
@@ -210,7 +213,7 @@
     def set_candidates(self, candidates: Iterable[Candidate]) -> None:
         """Take the hosts that the platform's list or the settings name."""
         self._candidates = [each for each in candidates if each.host != self.record.host]
-        self._inside.set_candidates(
+        self._own_domain.set_candidates(
             each for each in self._candidates if each.failure_domain == self.domain
         )
 
@@ -218,12 +221,12 @@
         """Change what this process says of itself, for example ``leaving`` or ``revision``."""
         before = self.record
         after = msgspec.structs.replace(before, **changes)
-        if standing(before) != standing(after):
+        if announced_state(before) != announced_state(after):
             after = msgspec.structs.replace(after, edition=before.edition + 1)
             self._generation += 1
-        self._inside.record = after
+        self._own_domain.record = after
 
-    def beat(self, now: float) -> list[Send]:
+    def due_messages(self, now: float) -> list[OutgoingMessage]:
         """Send the signs of life that are due; call once per interval.
 
         What others go by in this process's own record is told at once.
@@ -232,52 +235,57 @@
         :rtype: list[Send]
         """
         self._beat += 1
-        sends: list[Send] = []
-        is_news = standing(self.record) != standing(self._told)
-        if not self._inside.is_large:
-            is_news = is_news or self.record != self._told
-        digests = self._inside_digests(now)
-        if now >= self._next_inside or is_news or self._has_news_from_outside(digests):
-            self._next_inside = now + self.spacing_s - self.interval_s / 2
-            self._told_inside = digests
+        sends: list[OutgoingMessage] = []
+        is_news = announced_state(self.record) != announced_state(self._announced)
+        if not self._own_domain.is_large:
+            is_news = is_news or self.record != self._announced
+        digests = self._current_digests(now)
+        if now >= self._next_heartbeat_s or is_news or self._has_new_foreign_digests(digests):
+            self._next_heartbeat_s = now + self.spacing_s - self.interval_s / 2
+            self._announced_digests = digests
             inside = self._heartbeat(digests)
-            sends += [Send(address, inside) for address in self._inside.targets(self._beat)]
-        sends += self._spread(now)
+            sends += [
+                OutgoingMessage(address, inside)
+                for address in self._own_domain.heartbeat_targets(self._beat)
+            ]
+        sends += self._roster_change_messages(now)
         if self._is_reporter():
-            sends += self._report(now)
+            sends += self._report_messages(now)
         return sends
 
     def receive(
         self, sender: str, message: MembershipMessage, now: float
-    ) -> tuple[list[Change], list[Send]]:
+    ) -> tuple[list[Change], list[OutgoingMessage]]:
         """Take a message in.
 
         :param sender: address of the sender's link listener.
         :return: changes of the view, and answers.
         """
         if isinstance(message, Heartbeat):
-            return self._take_heartbeat(sender, message, now)
+            return self._apply_heartbeat(sender, message, now)
         if isinstance(message, ShortHeartbeat):
             changes: list[Change] = []
             if message.failure_domain == self.domain:
-                changes = self._inside.take_beat(
+                changes = self._own_domain.apply_short_heartbeat(
                     message.host, message.incarnation, message.beat, now
                 )
-            return changes, self._take_digests(sender, message.failure_domain, message.digests, now)
+            return changes, self._apply_digests(
+                sender, message.failure_domain, message.digests, now
+            )
         if isinstance(message, SummaryRequest):
-            return [], self._answer(sender, message)
+            return [], self._answer_request(sender, message)
         if isinstance(message, RosterChange):
-            changes, ask = self._inside.take_change(message, now)
-            return changes, [Send(sender, SummaryRequest(message.digest))] if ask else []
-        return self._take_summary(sender, message, now), []
+            changes, ask = self._own_domain.apply_roster_change(message, now)
+            return changes, [OutgoingMessage(sender, SummaryRequest(message.digest))] if ask else []
+        return self._apply_summary(sender, message, now), []
 
     def tick(self, now: float) -> list[Change]:
         """Find who has fallen silent.
 
         :rtype: list[Change]
         """
-        inside = self._inside.tick(now)
-        outside = self._outside.tick(self.spacing_s, now)
+        inside = self._own_domain.tick(now)
+        outside = self._other_domains.tick(self.spacing_s, now)
         self._generation += len(outside)
         return inside + outside
 
@@ -286,63 +294,63 @@
     def _heartbeat(self, digests: tuple[Digest, ...]) -> Heartbeat | ShortHeartbeat:
         """Make a sign of life: whole after a change of the record and each few beats."""
         record = self.record
-        if record != self._told:
-            self._told = record
-            self._whole_until = self._beat + FULL_AFTER_CHANGE
-        if self._beat <= self._whole_until or self._beat % FULL_EVERY == 0:
+        if record != self._announced:
+            self._announced = record
+            self._full_until_beat = self._beat + FULL_BEATS_AFTER_CHANGE
+        if self._beat <= self._full_until_beat or self._beat % FULL_EVERY_BEATS == 0:
             return Heartbeat(record, self._beat, digests)
         return ShortHeartbeat(
             record.host, record.incarnation, record.failure_domain, self._beat, digests
         )
 
-    def _inside_digests(self, now: float) -> tuple[Digest, ...]:
-        heard = self._outside.heard(now)
-        return (*heard, self._inside.digest()) if self._inside.is_monitor else heard
+    def _current_digests(self, now: float) -> tuple[Digest, ...]:
+        heard = self._other_domains.direct_digests(now)
+        return (*heard, self._own_domain.digest()) if self._own_domain.is_monitor else heard
 
-    def _has_news_from_outside(self, digests: tuple[Digest, ...]) -> bool:
+    def _has_new_foreign_digests(self, digests: tuple[Digest, ...]) -> bool:
         """Tell whether a monitor heard of other failure domains what its members don't know yet.
 
         After a start of all they then know each other in 1.5 s in place of 3.5 (five domains of 39
         in the model); until then each owner uses its share of the quotas only.
         """
-        told = {(each.failure_domain, each.version) for each in self._told_inside}
+        told = {(each.failure_domain, each.version) for each in self._announced_digests}
         news = {(each.failure_domain, each.version) for each in digests}
-        return self._inside.is_monitor and not news <= told
+        return self._own_domain.is_monitor and not news <= told
 
-    def _spread(self, now: float) -> list[Send]:
+    def _roster_change_messages(self, now: float) -> list[OutgoingMessage]:
         """Tell the members of a large domain what this process hears anew as its monitor."""
-        change = self._inside.untold(now)
+        change = self._own_domain.next_roster_change(now)
         if change is None:
             return []
-        return [Send(address, change) for address in self.domain_addresses()]
+        return [OutgoingMessage(address, change) for address in self.domain_addresses()]
 
-    def _report(self, now: float) -> list[Send]:
+    def _report_messages(self, now: float) -> list[OutgoingMessage]:
         """Tell the other failure domains that this one lives, and at once how it has changed."""
         digest = self._own_summary().digest
-        if now < self._next_outside and digest.version == self._told_outside:
+        if now < self._next_report_s and digest.version == self._reported_version:
             return []
-        self._told_outside = digest.version
-        spacing = outside_spacing_s(len(self._inside.live()), self.interval_s)
-        self._next_outside = now + spacing - self.interval_s / 2
+        self._reported_version = digest.version
+        spacing = report_interval_s(len(self._own_domain.live()), self.interval_s)
+        self._next_report_s = now + spacing - self.interval_s / 2
         outside = self._heartbeat((digest,))
-        targets = self._outside.targets(self._candidates, self._beat)
-        return [Send(address, outside) for address in targets]
+        targets = self._other_domains.report_targets(self._candidates, self._beat)
+        return [OutgoingMessage(address, outside) for address in targets]
 
     def _is_newcomer(self) -> bool:
         """Tell whether others of this failure domain know more of it than this process yet."""
-        if self._inside.may_know_few():
-            return self._beat < LARGE_FIRST_BEATS
-        older = self._inside.knows_older(self._beat)
-        return self._beat < (SETTLED_BEATS if older else FIRST_BEATS)
+        if self._own_domain.may_be_incomplete():
+            return self._beat < LARGE_NEWCOMER_BEATS
+        older = self._own_domain.knows_senior_member(self._beat)
+        return self._beat < (NEWCOMER_BEATS_WITH_SENIORS if older else NEWCOMER_BEATS)
 
     def _is_reporter(self) -> bool:
-        reporters = [each.host for each in self._inside.ranking()[:REPORTERS]]
+        reporters = [each.host for each in self._own_domain.monitor_ranking()[:REPORTERS]]
         return self.record.host in reporters and not self._is_newcomer()
 
     def _own_summary(self) -> Summary:
         """Tell who is believed alive in this failure domain."""
         if self._summary is None or self._summary[0] != self.generation:
-            records = tuple(sorted(self._inside.live(), key=lambda each: each.host))
+            records = tuple(sorted(self._own_domain.live(), key=lambda each: each.host))
             # Reporters that see the same name it alike, so that nobody asks each of them for it.
             digest = Digest(self.domain, self.record.process, checksum(records))
             self._summary = (self.generation, Summary(digest, records))
@@ -350,51 +358,55 @@
 
     # Receiving.
 
-    def _take_heartbeat(
+    def _apply_heartbeat(
         self, sender: str, message: Heartbeat, now: float
-    ) -> tuple[list[Change], list[Send]]:
+    ) -> tuple[list[Change], list[OutgoingMessage]]:
         record = message.record
         changes: list[Change] = []
-        sends: list[Send] = []
+        sends: list[OutgoingMessage] = []
         if record.failure_domain == self.domain:
-            changes = self._inside.take_record(record, message.beat, now)
+            changes = self._own_domain.apply_record(record, message.beat, now)
             if record.leaving:
                 # All others are to give it nothing more from now on.
-                sends += self._spread(now)
-        sends += self._take_digests(sender, record.failure_domain, message.digests, now)
+                sends += self._roster_change_messages(now)
+        sends += self._apply_digests(sender, record.failure_domain, message.digests, now)
         is_foreign = record.failure_domain != self.domain
-        is_stranger = is_foreign and not self._outside.knows(record)
+        is_stranger = is_foreign and not self._other_domains.is_live_member(record)
         if is_stranger or any(isinstance(each, Joined) for each in changes):
             # A newcomer may know nobody else.
-            own = self._own_summary() if is_stranger else self._inside.summary()
-            told = [own or self._own_summary(), *self._outside.summaries()]
-            sends += [Send(sender, each) for each in told]
+            own = self._own_summary() if is_stranger else self._own_domain.summary()
+            told = [own or self._own_summary(), *self._other_domains.summaries()]
+            sends += [OutgoingMessage(sender, each) for each in told]
         return changes, sends
 
-    def _take_digests(
+    def _apply_digests(
         self, sender: str, domain: str, digests: tuple[Digest, ...], now: float
-    ) -> list[Send]:
-        sends: list[Send] = []
+    ) -> list[OutgoingMessage]:
+        sends: list[OutgoingMessage] = []
         for digest in digests:
             if digest.failure_domain != self.domain:
-                ask = self._outside.take_digest(domain, digest, now)
+                ask = self._other_domains.apply_digest(domain, digest, now)
             else:
-                ask = domain == self.domain and self._inside.take_digest(digest, now)
+                ask = domain == self.domain and self._own_domain.apply_digest(digest, now)
             if ask:
-                sends.append(Send(sender, SummaryRequest(digest)))
+                sends.append(OutgoingMessage(sender, SummaryRequest(digest)))
         return sends
 
-    def _answer(self, sender: str, message: SummaryRequest) -> list[Send]:
+    def _answer_request(self, sender: str, message: SummaryRequest) -> list[OutgoingMessage]:
         wanted = message.digest
         if wanted.failure_domain == self.domain:
-            roster = self._inside.summary()
+            roster = self._own_domain.summary()
             is_roster = roster is not None and roster.digest.version == wanted.version
-            return [Send(sender, roster if roster and is_roster else self._own_summary())]
-        known = self._outside.find(wanted.failure_domain)
-        return [] if known is None else [Send(sender, Summary(known.digest, known.records))]
+            return [
+                OutgoingMessage(sender, roster if roster and is_roster else self._own_summary())
+            ]
+        known = self._other_domains.find_domain(wanted.failure_domain)
+        return (
+            [] if known is None else [OutgoingMessage(sender, Summary(known.digest, known.records))]
+        )
 
-    def _take_summary(self, sender: str, message: Summary, now: float) -> list[Change]:
+    def _apply_summary(self, sender: str, message: Summary, now: float) -> list[Change]:
         if message.digest.failure_domain == self.domain:
-            return self._inside.take_summary(message, now)
+            return self._own_domain.apply_summary(message, now)
         self._generation += 1
-        return self._outside.take_summary(sender, message, now)
+        return self._other_domains.apply_summary(sender, message, now)
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -378,7 +378,7 @@
 
         :rtype: Presence
         """
-        return Presence(len(self.view.live()), self.nodes(), self.view.foreign_patience_s)
+        return Presence(len(self.view.live()), self.nodes(), self.view.foreign_timeout_s)
 
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here.
@@ -496,12 +496,12 @@
         loops.start(self.held_records.run())
 
     def _beat(self) -> None:
-        for send in self.view.beat(self.now()):
+        for send in self.view.due_messages(self.now()):
             self.links.send(send.address, send.message)
         known = {each.address for each in self.view.live()}
         for seed in self.settings.peers.seeds:
             if seed not in known:
-                self.links.send(seed, self.view.introduction())
+                self.links.send(seed, self.view.full_heartbeat())
 
     def _note_fitness(self) -> None:
         """Take duties for the fleet once this node knows the others, or finds none that does."""
--- a/packages/chalkyoke/src/chalkyoke/node/process.py
+++ b/packages/chalkyoke/src/chalkyoke/node/process.py
@@ -308,7 +308,7 @@
             await asyncio.sleep(interval_s)
 
     def _beat(self) -> None:
-        for send in self.view.beat(self.now()):
+        for send in self.view.due_messages(self.now()):
             self.links.send(send.address, send.message)
 
     def _keep_links(self) -> None:
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -254,7 +254,7 @@
 
     def _some_others(self) -> Iterable[str]:
         """Choose among those who are told news too: links to all others would grow as a square."""
-        direct, relays = self._view.audience()
+        direct, relays = self._view.broadcast_targets()
         others = [*direct, *relays]
         count = min(SUMMARIES, len(others))
         return {others[int(self._random() * len(others))] for _ in range(count)}
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
@@ -7,7 +7,7 @@
 """
 
 import pytest
-from chalkyoke.membership.spacing import foreign_patience_s, spacing_s
+from chalkyoke.membership.spacing import foreign_timeout_s, spacing_s
 from chalkyoke.quotas.ledger import new_ledger
 from chalkyoke.quotas.window import QuotaLimits
 
@@ -17,7 +17,7 @@
 
 def own_after_cut(members, spent_before_s):
     """Spend 100, notice a cut later, and tell how much of it counts as this side's own."""
-    unnoticed_s = foreign_patience_s(spacing_s(members, 0.25), 0.25)
+    unnoticed_s = foreign_timeout_s(spacing_s(members, 0.25), 0.25)
     ledger = new_ledger(LIMITS, 1, MOST, 1.0, 0.0)
     ledger.lease(100.0, 20.0)
     ledger.follow_share(1 / 3, unnoticed_s, 20.0 + spent_before_s)
--- a/tests/catalogfleet.py
+++ b/tests/catalogfleet.py
@@ -296,7 +296,7 @@
 
     async def beat(self):
         while True:
-            for send in self.view.beat(self._now()):
+            for send in self.view.due_messages(self._now()):
                 self.links.send(send.address, send.message)
             await asyncio.sleep(DEFAULT_INTERVAL_S)
 
--- a/tests/memberfleet.py
+++ b/tests/memberfleet.py
@@ -63,7 +63,7 @@
             self.now += INTERVAL_S
             for host, view in list(self.views.items()):
                 if host not in self.cut:
-                    self.carry(view, view.beat(self.now))
+                    self.carry(view, view.due_messages(self.now))
             for view in self.views.values():
                 view.tick(self.now)
 
@@ -112,7 +112,7 @@
                 continue
             _, host = heapq.heappop(beats)
             self.views[host].tick(at)
-            self.carry(self.views[host], self.views[host].beat(at))
+            self.carry(self.views[host], self.views[host].due_messages(at))
             heapq.heappush(beats, (at + INTERVAL_S, host))
         self.now = end
 
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -37,7 +37,7 @@
         self._number = number
         self.record = SimpleNamespace(host=str(number))
 
-    def audience(self):
+    def broadcast_targets(self):
         direct, relays = [], []
         for domain in self._fleet.domains:
             first = domain[:MONITORS]
--- a/tests/world.py
+++ b/tests/world.py
@@ -149,7 +149,7 @@
         self.tasks.append(task)
 
     def beat(self):
-        for send in self.view.beat(self.now()):
+        for send in self.view.due_messages(self.now()):
             self.send(send.address, send.message)
 
     def tick(self):
