--- a/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
@@ -12,7 +12,7 @@
 from chalkyoke.balancing.messages import ReplicaReport, SuspectReplicas, SuspicionMessage
 from chalkyoke.balancing.observer import Observer
 from chalkyoke.balancing.reports import ReportBook
-from chalkyoke.links.broadcast import relay_on, tell_all
+from chalkyoke.links.broadcast import relay_to_domain, send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.view import MembershipView
 
@@ -76,7 +76,7 @@
             self._take_report(message)
             return
         self._take_suspects(message)
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
     def _report(self, service: str) -> None:
         report = self._book.take(service)
@@ -103,7 +103,7 @@
         self._told[service] = _Told(suspects, now)
         message = SuspectReplicas(service, suspects)
         self._take_suspects(message)
-        told_to = tell_all(self._view, self._send, message)
+        told_to = send_to_all(self._view, self._send, message)
         if not same:
             log.notice("suspects_named", service=service, replicas=suspects, told_to=told_to)
 
--- a/packages/chalkyoke/src/chalkyoke/catalog/records.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/records.py
@@ -92,7 +92,7 @@
         self._items[item.key] = item
         record = read.ok_value
         if isinstance(record, RolloutOrder):
-            return self._put_order(record.named_in(epoch), since, again=again)
+            return self._put_order(record.with_name(epoch), since, again=again)
         if isinstance(record, RolloutStatus):
             changed = self.statuses.get(record.service) != record
             self.statuses[record.service] = record
--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -11,7 +11,7 @@
 from chalkyoke.catalog.messages import ReplicaAttribute, ReplicaAttributes
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.limits.known import KnownLimits
-from chalkyoke.links.broadcast import relay_on, tell_all
+from chalkyoke.links.broadcast import relay_to_domain, send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.messages import MemberRecord
 from chalkyoke.membership.view import MembershipView
@@ -89,7 +89,7 @@
         new = [self._take(each.replica, each.value, now - each.age_s, address) for each in limits]
         if any(new):
             self._changed()
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
     def joined(self, member: MemberRecord) -> None:
         """Tell a node that has started or was cut off the limits that were first heard here.
@@ -131,7 +131,7 @@
         for each in replicas:
             self._broadcast_from[each] = now + BROADCAST_S
         self._pending.difference_update(replicas)
-        tell_all(self._view, self._send, self._message(replicas))
+        send_to_all(self._view, self._send, self._message(replicas))
 
     def _message(self, replicas: list[str]) -> ReplicaAttributes:
         now = self._now()
--- a/packages/chalkyoke/src/chalkyoke/links/broadcast.py
+++ b/packages/chalkyoke/src/chalkyoke/links/broadcast.py
@@ -10,7 +10,7 @@
 import msgspec
 
 
-class Audience(Protocol):
+class BroadcastTargets(Protocol):
     """Who is there to be told, as the membership knows it."""
 
     def broadcast_targets(self) -> tuple[list[str], list[str]]:
@@ -20,7 +20,7 @@
         """List the link addresses of the other members of this failure domain."""
 
 
-class Relayed(Protocol):
+class RelayableMessage(Protocol):
     """A message that says whether its receiver tells the other nodes of its failure domain."""
 
     @property
@@ -28,10 +28,10 @@
         """Whether it does."""
 
 
-M = TypeVar("M", bound=Relayed)
+M = TypeVar("M", bound=RelayableMessage)
 
 
-def tell_all(audience: Audience, send: Callable[[str, M], None], message: M) -> int:
+def send_to_all(audience: BroadcastTargets, send: Callable[[str, M], None], message: M) -> int:
     """Tell all other nodes.
 
     :param send: sends a message to a node by its link address.
@@ -41,20 +41,20 @@
     for address in direct:
         send(address, message)
     for address in relays:
-        send(address, _marked(message, relay=True))
+        send(address, _with_relay(message, relay=True))
     return len(direct) + len(relays)
 
 
-def relay_on(audience: Audience, send: Callable[[str, M], None], message: M) -> None:
+def relay_to_domain(audience: BroadcastTargets, send: Callable[[str, M], None], message: M) -> None:
     """Tell the other nodes of this failure domain, where the message asks for it."""
     if not message.relay:
         return
-    told = _marked(message, relay=False)
+    told = _with_relay(message, relay=False)
     for address in audience.domain_addresses():
         send(address, told)
 
 
-def _marked(message: M, *, relay: bool) -> M:
+def _with_relay(message: M, *, relay: bool) -> M:
     """Copy a message; a protocol can't say that it is a struct, as all messages are."""
     marked: M = msgspec.structs.replace(cast(Any, message), relay=relay)
     return marked
--- a/packages/chalkyoke/src/chalkyoke/links/connection.py
+++ b/packages/chalkyoke/src/chalkyoke/links/connection.py
@@ -22,19 +22,19 @@
     make_welcome,
     welcome_is_valid,
 )
-from chalkyoke.links.intake import Intake
+from chalkyoke.links.intake import ByteStreamReader
 from chalkyoke.links.messages import Challenge, Hello, Skipped, Welcome
 
 # How long proving who one is may take, in seconds: some round trips between regions.
 HANDSHAKE_S = 2.0
 # Read at once at most, in bytes: what a socket usually holds.
-READ_BYTES = 65_536
+MAX_READ_BYTES = 65_536
 # What may wait for one peer, in bytes: 1.6 s of the smallest links that operators run (5 Mbit/s).
 # What waits longer is no news any more, and its sender repeats what must not be lost.
 MAX_UNSENT_BYTES = 1_000_000
 
 
-Take = Callable[[msgspec.Struct], Awaitable[None] | None]
+MessageReceiver = Callable[[msgspec.Struct], Awaitable[None] | None]
 
 
 class Clock(Protocol):
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        reader: Intake,
+        reader: ByteStreamReader,
         writer: asyncio.StreamWriter,
         codec: FrameCodec,
         clock: Clock,
@@ -149,7 +149,7 @@
         """
         while not self._ready:
             try:
-                data = await self._reader.read(READ_BYTES)
+                data = await self._reader.read(MAX_READ_BYTES)
             except OSError:
                 # Not only ConnectionError: behind a cut the system gives up with ETIMEDOUT.
                 return None
@@ -159,7 +159,7 @@
         self._counters.received += 1
         return self._ready.pop(0)
 
-    async def deliver(self, take: Take) -> Awaitable[None] | None:
+    async def deliver(self, take: MessageReceiver) -> Awaitable[None] | None:
         """Hand messages over as they come, until the peer closes or one is to be answered here.
 
         :param take: takes a message; what it returns is that message's answer on this stream.
@@ -171,16 +171,16 @@
         def take_bytes(data: bytes) -> None:
             try:
                 self._decode(data)
-                answered = self._hand_over(take)
+                answered = self._deliver_ready(take)
             except ProtocolError as error:
-                self._reader.hand_over(None)
+                self._reader.set_receiver(None)
                 ends.set_exception(error)
                 return
             if answered is not None:
-                self._reader.hand_over(None)
+                self._reader.set_receiver(None)
                 ends.set_result(answered)
 
-        self._reader.hand_over(take_bytes)
+        self._reader.set_receiver(take_bytes)
         if self._ready and not ends.done():
             take_bytes(b"")
         ended = asyncio.ensure_future(self._reader.ended.wait())
@@ -189,10 +189,10 @@
             await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
         finally:
             ended.cancel()
-            self._reader.hand_over(None)
+            self._reader.set_receiver(None)
         return ends.result() if ends.done() else None
 
-    def _hand_over(self, take: Take) -> Awaitable[None] | None:
+    def _deliver_ready(self, take: MessageReceiver) -> Awaitable[None] | None:
         while self._ready:
             self._counters.received += 1
             answered = take(self._ready.pop(0))
@@ -211,7 +211,7 @@
             self._clock.observe(stamp)
             self._ready.append(message)
 
-    async def greet(self, me: Identity) -> None:
+    async def handshake_as_caller(self, me: Identity) -> None:
         """Prove who this is, as the calling side, and check the listener.
 
         :raises LinkError: when the listener does not hold the fleet's key or does not answer.
@@ -234,7 +234,7 @@
         self.peer = welcome.process
         self.peer_kinds = frozenset(welcome.kinds)
 
-    async def accept(self, me: Identity) -> None:
+    async def handshake_as_listener(self, me: Identity) -> None:
         """Check the calling side, and prove who this is.
 
         :raises LinkError: when the caller does not hold the fleet's key or does not answer.
--- a/packages/chalkyoke/src/chalkyoke/links/intake.py
+++ b/packages/chalkyoke/src/chalkyoke/links/intake.py
@@ -9,10 +9,10 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import SupportsIndex
 
-Serve = Callable[["Intake", asyncio.StreamWriter], Awaitable[None]]
+Serve = Callable[["ByteStreamReader", asyncio.StreamWriter], Awaitable[None]]
 
 
-class Intake(asyncio.StreamReader):
+class ByteStreamReader(asyncio.StreamReader):
     """A stream reader that can hand bytes over at once.
 
     :ivar ended: set when nothing more comes.
@@ -21,11 +21,11 @@
     def __init__(self) -> None:
         super().__init__()
         self.ended = asyncio.Event()
-        self._take: Callable[[bytes], None] | None = None
+        self._receiver: Callable[[bytes], None] | None = None
 
-    def hand_over(self, take: Callable[[bytes], None] | None) -> None:
+    def set_receiver(self, take: Callable[[bytes], None] | None) -> None:
         """Hand bytes over from here on, those that are held first; nothing is: hold them again."""
-        self._take = take
+        self._receiver = take
         held = bytes(self._buffer)  # type: ignore[attr-defined]
         if take is not None and held:
             self._buffer.clear()  # type: ignore[attr-defined]
@@ -33,10 +33,10 @@
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
         """Take bytes from the transport."""
-        if self._take is None:
+        if self._receiver is None:
             super().feed_data(data)
         else:
-            self._take(bytes(data))
+            self._receiver(bytes(data))
 
     def feed_eof(self) -> None:
         """Learn that the peer has closed."""
@@ -49,13 +49,13 @@
         self.ended.set()
 
 
-async def open_stream(ip: str, port: int) -> tuple[Intake, asyncio.StreamWriter]:
+async def open_stream(ip: str, port: int) -> tuple[ByteStreamReader, asyncio.StreamWriter]:
     """Open a connection.
 
     :raises OSError: when the address is not reached.
     """
     loop = asyncio.get_running_loop()
-    intake = Intake()
+    intake = ByteStreamReader()
     protocol = asyncio.StreamReaderProtocol(intake)
     transport, _ = await loop.create_connection(lambda: protocol, ip, port)
     return intake, asyncio.StreamWriter(transport, protocol, intake, loop)
@@ -68,6 +68,6 @@
     """
 
     def accept() -> asyncio.StreamReaderProtocol:
-        return asyncio.StreamReaderProtocol(Intake(), serve)  # type: ignore[arg-type]
+        return asyncio.StreamReaderProtocol(ByteStreamReader(), serve)  # type: ignore[arg-type]
 
     return await asyncio.get_running_loop().create_server(accept, ip, port)
--- a/packages/chalkyoke/src/chalkyoke/links/keepalive.py
+++ b/packages/chalkyoke/src/chalkyoke/links/keepalive.py
@@ -7,28 +7,28 @@
 """
 
 # How often a node looks for links that went silent, in seconds: a heartbeat.
-KEEP_S = 0.25
+KEEPALIVE_INTERVAL_S = 0.25
 # A listener confirms what it took each half second, and where heartbeats are sparse after so many
 # of their spaces.
-CONFIRM_S = 0.5
-CONFIRM_SPACES = 1.45
+MIN_CONFIRM_INTERVAL_S = 0.5
+CONFIRM_HEARTBEATS = 1.45
 # How long messages may stay unconfirmed, in times between two confirmations. Together with a look
 # that is less than the heartbeats whose absence means that a peer is lost.
-SILENT_CONFIRMATIONS = 2.0
+SILENT_CONFIRM_INTERVALS = 2.0
 # What a listener is taken to need for a confirmation before it has told, in seconds: with the
 # sparsest heartbeats.
-LONGEST_CONFIRM_S = 1.45
+MAX_CONFIRM_INTERVAL_S = 1.45
 # After so long without a message a listener drops a link, in seconds: its caller may be gone
 # without a word. A caller that lives makes the link anew with its next message.
-UNUSED_S = 120.0
+IDLE_TIMEOUT_S = 120.0
 
 
-def confirm_every_s(heartbeat_spacing_s: float) -> float:
+def confirm_interval_s(heartbeat_spacing_s: float) -> float:
     """Tell how often a listener confirms, by how often its peers send at least.
 
     :return: seconds.
     """
-    return max(CONFIRM_S, CONFIRM_SPACES * heartbeat_spacing_s)
+    return max(MIN_CONFIRM_INTERVAL_S, CONFIRM_HEARTBEATS * heartbeat_spacing_s)
 
 
 class Unconfirmed:
@@ -37,8 +37,8 @@
     def __init__(self) -> None:
         self.sent = 0
         self._confirmed = 0
-        self._since = 0.0
-        self._every_s = LONGEST_CONFIRM_S
+        self._unconfirmed_since_s = 0.0
+        self._confirm_interval_s = MAX_CONFIRM_INTERVAL_S
 
     @property
     def count(self) -> int:
@@ -51,7 +51,7 @@
         :param now: seconds on a steady clock.
         """
         if not self.count:
-            self._since = now
+            self._unconfirmed_since_s = now
         self.sent += 1
 
     def note_confirmed(self, count: int, every_s: float, now: float) -> None:
@@ -59,13 +59,17 @@
 
         :param every_s: how often the listener confirms, in seconds.
         """
-        self._every_s = every_s
+        self._confirm_interval_s = every_s
         if self._confirmed < count <= self.sent:
-            self._confirmed, self._since = count, now
+            self._confirmed, self._unconfirmed_since_s = count, now
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the listener has been silent for too long."""
-        return self.count > 0 and now - self._since > SILENT_CONFIRMATIONS * self._every_s
+        return (
+            self.count > 0
+            and now - self._unconfirmed_since_s
+            > SILENT_CONFIRM_INTERVALS * self._confirm_interval_s
+        )
 
 
 class Receipts:
@@ -75,25 +79,25 @@
     """
 
     def __init__(self, now: float) -> None:
-        self._taken = 0
-        self._told = 0
-        self._at = now
+        self._received_count = 0
+        self._confirmed_count = 0
+        self._last_received_s = now
 
-    def note_taken(self, now: float) -> None:
+    def note_received(self, now: float) -> None:
         """Note that a message came in."""
-        self._taken += 1
-        self._at = now
+        self._received_count += 1
+        self._last_received_s = now
 
-    def due(self) -> int | None:
+    def next_confirmation(self) -> int | None:
         """Give what is to be confirmed now; nothing where nothing came since.
 
         :rtype: int or None
         """
-        if self._told == self._taken:
+        if self._confirmed_count == self._received_count:
             return None
-        self._told = self._taken
-        return self._taken
+        self._confirmed_count = self._received_count
+        return self._received_count
 
-    def is_unused(self, now: float) -> bool:
+    def is_idle(self, now: float) -> bool:
         """Tell whether nothing has come for so long that the caller may be gone."""
-        return now - self._at > UNUSED_S
+        return now - self._last_received_s > IDLE_TIMEOUT_S
--- a/packages/chalkyoke/src/chalkyoke/links/kinds.py
+++ b/packages/chalkyoke/src/chalkyoke/links/kinds.py
@@ -7,7 +7,7 @@
 """
 
 # Peers that are remembered, in number: more than there are nodes. The oldest go first.
-MOST_PEERS = 2000
+MAX_PEERS = 2000
 
 
 class PeerKinds:
@@ -31,7 +31,7 @@
         """
         if kind not in self._together or peer in self._sent:
             return
-        if len(self._sent) >= MOST_PEERS:
+        if len(self._sent) >= MAX_PEERS:
             del self._sent[next(iter(self._sent))]
         self._sent[peer] = None
 
--- a/packages/chalkyoke/src/chalkyoke/links/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/links/messages.py
@@ -52,4 +52,4 @@
     """
 
     count: int
-    every_s: float
+    interval_s: float
--- a/packages/chalkyoke/src/chalkyoke/links/peers.py
+++ b/packages/chalkyoke/src/chalkyoke/links/peers.py
@@ -14,7 +14,7 @@
 from chalkyoke.links import intake
 from chalkyoke.links.codec import FrameCodec
 from chalkyoke.links.connection import Clock, Connection, Identity, LinkCounters
-from chalkyoke.links.keepalive import KEEP_S, Receipts, Unconfirmed
+from chalkyoke.links.keepalive import KEEPALIVE_INTERVAL_S, Receipts, Unconfirmed
 from chalkyoke.links.kinds import PeerKinds
 from chalkyoke.links.messages import Challenge, Hello, Received, Skipped, Welcome
 from chalkyoke.logs import logger
@@ -23,14 +23,14 @@
 # How long opening a link may take, in seconds: some round trips between regions.
 CONNECT_S = 0.5
 # Messages that wait for a link to come up, in number: some heartbeats' worth of a busy node.
-MAX_QUEUED = 2000
+MAX_QUEUED_MESSAGES = 2000
 # Pause after a failed opening, in seconds: doubled with each, up to the longest.
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
 # Failures in a row after which an address is forgotten, in number: it is retried as a new one.
-MOST_FAILURES = 20
+MAX_FAILURES = 20
 # Pairs of a peer and a kind of message that are remembered as told in the log, in number.
-MOST_UNKNOWN = 1000
+MAX_LOGGED_KINDS = 1000
 # How long the system waits for a peer's acknowledgement, in milliseconds: below the heartbeats
 # whose absence means that a peer is lost.
 USER_TIMEOUT_MS = 1000
@@ -44,7 +44,7 @@
     """One outgoing link: a bounded queue while it is not connected."""
 
     def __init__(self) -> None:
-        self.queue: deque[msgspec.Struct] = deque(maxlen=MAX_QUEUED)
+        self.queue: deque[msgspec.Struct] = deque(maxlen=MAX_QUEUED_MESSAGES)
         self.connection: Connection | None = None
         self.task: asyncio.Task[None] | None = None
         self.failures = 0
@@ -81,7 +81,7 @@
         self._clock = clock
         self._handler = handler
         self._kinds = kinds or PeerKinds()
-        self._unknown: set[tuple[str, str]] = set()
+        self._logged_kinds: set[tuple[str, str]] = set()
         self._outgoing: dict[str, _Outgoing] = {}
         self._incoming: dict[Connection, Receipts] = {}
         self._next_confirm = 0.0
@@ -119,22 +119,23 @@
             self._send_on(address, outgoing, message)
             return
 
-        if len(outgoing.queue) == MAX_QUEUED:
+        if len(outgoing.queue) == MAX_QUEUED_MESSAGES:
             self.counters.dropped += 1
         outgoing.queue.append(message)
         if outgoing.task is None:
             outgoing.task = asyncio.create_task(self._run(address, outgoing))
 
     def keep_alive(self, confirm_s: float) -> None:
-        """Confirm what came in, and drop links that went silent; call each ``KEEP_S``.
+        """Confirm received messages and abort outgoing links whose peer stopped confirming.
 
-        What was on a silent link is lost as by a reset; the next message makes the link anew.
+        Call every ``KEEPALIVE_INTERVAL_S``. Messages in transit on an aborted link are lost, as
+        after a reset; the next message to the peer opens a new link.
 
         :param confirm_s: how often to confirm, in seconds.
         """
         now = asyncio.get_running_loop().time()
         if now >= self._next_confirm:
-            self._next_confirm = now + confirm_s - KEEP_S / 2
+            self._next_confirm = now + confirm_s - KEEPALIVE_INTERVAL_S / 2
             self._confirm(confirm_s, now)
         for address, outgoing in self._outgoing.items():
             if outgoing.connection is None or not outgoing.unconfirmed.is_silent(now):
@@ -158,10 +159,10 @@
 
     def _confirm(self, every_s: float, now: float) -> None:
         for connection, receipts in list(self._incoming.items()):
-            due = receipts.due()
+            due = receipts.next_confirmation()
             if due is not None:
                 connection.send(Received(due, every_s))
-            elif receipts.is_unused(now):
+            elif receipts.is_idle(now):
                 connection.abort()
 
     def _send_on(self, address: str, outgoing: _Outgoing, message: msgspec.Struct) -> None:
@@ -171,7 +172,7 @@
         kind = str(message.__struct_config__.tag)
         if not self._kinds.understands(connection.peer, connection.peer_kinds, kind):
             self.counters.withheld += 1
-            self._note_unknown(connection.peer, kind, "withheld")
+            self._log_unknown_kind(connection.peer, kind, "withheld")
         elif connection.send(message):
             outgoing.is_full = False
             outgoing.unconfirmed.note_sent(asyncio.get_running_loop().time())
@@ -179,13 +180,13 @@
             outgoing.is_full = True
             log.notice("link_full", peer=address, unsent_bytes=connection.unsent_bytes)
 
-    def _note_unknown(self, peer: str, kind: str, how: str) -> None:
+    def _log_unknown_kind(self, peer: str, kind: str, how: str) -> None:
         """Tell the log once that two versions differ in a kind of message."""
-        if (peer, kind) in self._unknown:
+        if (peer, kind) in self._logged_kinds:
             return
-        if len(self._unknown) >= MOST_UNKNOWN:
-            self._unknown.clear()
-        self._unknown.add((peer, kind))
+        if len(self._logged_kinds) >= MAX_LOGGED_KINDS:
+            self._logged_kinds.clear()
+        self._logged_kinds.add((peer, kind))
         log.notice("kind_unknown", peer=peer, kind=kind, how=how)
 
     async def open(self, address: str) -> Connection:
@@ -202,7 +203,7 @@
         set_user_timeout(writer, USER_TIMEOUT_MS)
         connection = Connection(reader, writer, self._codec, self._clock, self.counters)
         try:
-            await connection.greet(self.me)
+            await connection.handshake_as_caller(self.me)
         except LinkError:
             connection.abort()
             raise
@@ -215,7 +216,7 @@
         and its peer would hear nothing more from this process.
         """
         try:
-            await self._hold(address, outgoing)
+            await self._run_connection(address, outgoing)
         except LinkError:
             outgoing.failures += 1
             doubled: float = FIRST_BACKOFF_S * 2 ** min(outgoing.failures, 6)
@@ -226,7 +227,7 @@
         finally:
             self._retire(address, outgoing)
 
-    async def _hold(self, address: str, outgoing: _Outgoing) -> None:
+    async def _run_connection(self, address: str, outgoing: _Outgoing) -> None:
         """Connect, send what has queued up, and watch for the end of the link.
 
         :raises LinkError: when the listener is not reached.
@@ -241,7 +242,7 @@
         def take(message: msgspec.Struct) -> None:
             if isinstance(message, Received):
                 now = asyncio.get_running_loop().time()
-                outgoing.unconfirmed.note_confirmed(message.count, message.every_s, now)
+                outgoing.unconfirmed.note_confirmed(message.count, message.interval_s, now)
 
         try:
             await connection.deliver(take)
@@ -254,22 +255,22 @@
         outgoing.connection = None
         outgoing.queue.clear()
         outgoing.task = None
-        if outgoing.failures == 0 or outgoing.failures > MOST_FAILURES:
+        if outgoing.failures == 0 or outgoing.failures > MAX_FAILURES:
             self._outgoing.pop(address, None)
 
-    async def _serve(self, reader: intake.Intake, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: intake.ByteStreamReader, writer: asyncio.StreamWriter) -> None:
         connection = Connection(reader, writer, self._codec, self._clock, self.counters)
         loop = asyncio.get_running_loop()
         receipts = Receipts(loop.time())
         try:
-            await connection.accept(self.me)
+            await connection.handshake_as_listener(self.me)
             self._incoming[connection] = receipts
 
             def take(message: msgspec.Struct) -> Awaitable[None] | None:
-                receipts.note_taken(loop.time())
+                receipts.note_received(loop.time())
                 if isinstance(message, Skipped):
                     self.counters.skipped += 1
-                    self._note_unknown(connection.peer, message.kind, "skipped")
+                    self._log_unknown_kind(connection.peer, message.kind, "skipped")
                     return None
                 self._kinds.note_sent(connection.peer, str(message.__struct_config__.tag))
                 return self._handler(connection, message)
--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_broadcast.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_broadcast.py
@@ -1,6 +1,6 @@
 """Telling all nodes, some of which relay."""
 
-from chalkyoke.links.broadcast import relay_on, tell_all
+from chalkyoke.links.broadcast import relay_to_domain, send_to_all
 from chalkyoke.quarantine.messages import RequestsServed
 
 MESSAGE = RequestsServed((b"name",))
@@ -21,7 +21,7 @@
 
 
 def test_those_who_relay_are_asked_to_and_the_others_are_not():
-    assert sent_by(tell_all, MESSAGE) == (
+    assert sent_by(send_to_all, MESSAGE) == (
         3,
         [("near-1", False), ("near-2", False), ("far-1", True)],
     )
@@ -29,5 +29,5 @@
 
 def test_what_is_to_be_relayed_goes_on_once():
     relayed = RequestsServed((b"name",), relay=True)
-    assert sent_by(relay_on, relayed)[1] == [("near-1", False), ("near-2", False)]
-    assert sent_by(relay_on, MESSAGE)[1] == []
+    assert sent_by(relay_to_domain, relayed)[1] == [("near-1", False), ("near-2", False)]
+    assert sent_by(relay_to_domain, MESSAGE)[1] == []
--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_keepalive.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_keepalive.py
@@ -3,14 +3,14 @@
 
 from chalkyoke.links.connection import Identity
 from chalkyoke.links.keepalive import (
-    CONFIRM_S,
-    KEEP_S,
-    LONGEST_CONFIRM_S,
-    SILENT_CONFIRMATIONS,
-    UNUSED_S,
+    IDLE_TIMEOUT_S,
+    KEEPALIVE_INTERVAL_S,
+    MAX_CONFIRM_INTERVAL_S,
+    MIN_CONFIRM_INTERVAL_S,
+    SILENT_CONFIRM_INTERVALS,
     Receipts,
     Unconfirmed,
-    confirm_every_s,
+    confirm_interval_s,
 )
 from chalkyoke.links.peers import Links
 from chalkyoke.membership.messages import Heartbeat, MemberRecord
@@ -22,14 +22,14 @@
 from .test_links import GRANT, TYPES, Clock
 
 BEAT_S = 0.25
-SILENT_S = SILENT_CONFIRMATIONS * CONFIRM_S
+SILENT_S = SILENT_CONFIRM_INTERVALS * MIN_CONFIRM_INTERVAL_S
 KEY = b"k" * 16
 
 
 async def keep(links):
     while True:
-        links.keep_alive(CONFIRM_S)
-        await asyncio.sleep(KEEP_S)
+        links.keep_alive(MIN_CONFIRM_INTERVAL_S)
+        await asyncio.sleep(KEEPALIVE_INTERVAL_S)
 
 
 async def linked(handler):
@@ -101,27 +101,27 @@
     unconfirmed = Unconfirmed()
     for _ in range(3):
         unconfirmed.note_sent(0.0)
-    unconfirmed.note_confirmed(2, CONFIRM_S, 0.9)
+    unconfirmed.note_confirmed(2, MIN_CONFIRM_INTERVAL_S, 0.9)
     assert unconfirmed.count == 1
     assert not unconfirmed.is_silent(0.9 + SILENT_S) and unconfirmed.is_silent(1.0 + SILENT_S)
-    unconfirmed.note_confirmed(3, CONFIRM_S, 1.0)
+    unconfirmed.note_confirmed(3, MIN_CONFIRM_INTERVAL_S, 1.0)
     assert not unconfirmed.is_silent(100.0)
 
 
 def test_a_confirmation_of_what_was_never_sent_counts_nothing():
     unconfirmed = Unconfirmed()
     unconfirmed.note_sent(0.0)
-    unconfirmed.note_confirmed(7, CONFIRM_S, 0.5)
+    unconfirmed.note_confirmed(7, MIN_CONFIRM_INTERVAL_S, 0.5)
     assert unconfirmed.count == 1
 
 
 def test_a_listener_confirms_once_what_it_took_and_drops_what_is_not_used():
     receipts = Receipts(0.0)
-    assert receipts.due() is None
-    receipts.note_taken(1.0)
-    receipts.note_taken(2.0)
-    assert (receipts.due(), receipts.due()) == (2, None)
-    assert not receipts.is_unused(2.0 + UNUSED_S) and receipts.is_unused(2.1 + UNUSED_S)
+    assert receipts.next_confirmation() is None
+    receipts.note_received(1.0)
+    receipts.note_received(2.0)
+    assert (receipts.next_confirmation(), receipts.next_confirmation()) == (2, None)
+    assert not receipts.is_idle(2.0 + IDLE_TIMEOUT_S) and receipts.is_idle(2.1 + IDLE_TIMEOUT_S)
 
 
 def test_a_silent_link_is_found_before_the_silence_of_its_peer_in_a_domain_of_any_size():
@@ -130,6 +130,8 @@
         for number in range(1, members):
             record = MemberRecord(f"h{number}", 1, f"h{number}:1", "", "d", False, True, 1, 1)
             view.receive(record.address, Heartbeat(record, 1), 0.0)
-        found_s = SILENT_CONFIRMATIONS * confirm_every_s(view.spacing_s) + KEEP_S
+        found_s = (
+            SILENT_CONFIRM_INTERVALS * confirm_interval_s(view.spacing_s) + KEEPALIVE_INTERVAL_S
+        )
         assert view.tick(found_s) == [], "the peers are still believed alive"
-        assert confirm_every_s(view.spacing_s) <= LONGEST_CONFIRM_S
+        assert confirm_interval_s(view.spacing_s) <= MAX_CONFIRM_INTERVAL_S
--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_kinds.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_kinds.py
@@ -5,7 +5,7 @@
 
 from chalkyoke.links import handshake
 from chalkyoke.links.connection import Identity
-from chalkyoke.links.kinds import MOST_PEERS, PeerKinds
+from chalkyoke.links.kinds import MAX_PEERS, PeerKinds
 from chalkyoke.links.peers import Links
 from chalkyoke.scheduling.messages import Grant, Queued, Withdraw
 
@@ -90,7 +90,7 @@
             await until(lambda: len(taken) == 2)
             assert taken == [GRANT, GRANT]
             assert listener.counters.skipped == 3
-            assert {kind for _, kind in listener._unknown} == {"queued", "withdraw"}
+            assert {kind for _, kind in listener._logged_kinds} == {"queued", "withdraw"}
             assert caller._outgoing[listener.me.address] is link
             # What was skipped is confirmed, or the link would count as silent.
             listener.keep_alive(0.01)
@@ -128,7 +128,7 @@
 
 def test_what_is_remembered_of_peers_is_bounded():
     kinds = PeerKinds(frozenset(), frozenset({"held"}))
-    for number in range(MOST_PEERS + 1):
+    for number in range(MAX_PEERS + 1):
         kinds.note_sent(f"p{number}", "held")
     assert not kinds.understands("p0", frozenset(), "held")
     assert kinds.understands("p1", frozenset(), "held")
--- a/packages/chalkyoke/src/chalkyoke/membership/inside.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/inside.py
@@ -14,9 +14,9 @@
 from chalkyoke.membership.rosters import OwnRoster, Rosters
 from chalkyoke.membership.spacing import (
     MAX_FULL_MESH_MEMBERS,
-    suspect_timeout_s,
     roster_timeout_s,
     spacing_s,
+    suspect_timeout_s,
 )
 from chalkyoke.membership.state import NEVER_HEARD_S, Candidate, Change, Joined, Left, Member
 
--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -14,7 +14,7 @@
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.gateway.statements import Statement
 from chalkyoke.limits.announcements import LimitAnnouncements
-from chalkyoke.links.broadcast import relay_on, tell_all
+from chalkyoke.links.broadcast import relay_to_domain, send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.messages import MemberRecord
 from chalkyoke.membership.view import MembershipView
@@ -70,7 +70,7 @@
             return
         self._first_here = {*self._still_leaving(), replica.id}
         self._changed()
-        told_to = tell_all(self._view, self._send, ReplicasLeave((replica.id,)))
+        told_to = send_to_all(self._view, self._send, ReplicasLeave((replica.id,)))
         log.info("replica_leaves", replica=replica.id, source="answer", told_to=told_to)
         self._metrics.count("replica_leaves", source="answer")
 
@@ -93,7 +93,7 @@
         for each in new:
             log.info("replica_leaves", replica=each, source=address)
             self._metrics.count("replica_leaves", source="peer")
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
     def joined(self, member: MemberRecord) -> None:
         """Tell a node that has started or was cut off who leaves, where the store may not do so.
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -41,7 +41,7 @@
 from chalkyoke.limits.keeper import KeptLimit, LimitKeeper
 from chalkyoke.limits.known import KnownLimits
 from chalkyoke.links.connection import Connection, Identity
-from chalkyoke.links.keepalive import KEEP_S, confirm_every_s
+from chalkyoke.links.keepalive import KEEPALIVE_INTERVAL_S, confirm_interval_s
 from chalkyoke.links.kinds import PeerKinds
 from chalkyoke.links.peers import Links
 from chalkyoke.logs import logger
@@ -485,7 +485,7 @@
         loops = self._supervisor
         loops.repeat(self.view.interval_s, self._beat)
         loops.repeat(self.view.interval_s, self._check_members)
-        loops.repeat(KEEP_S, self._keep_links)
+        loops.repeat(KEEPALIVE_INTERVAL_S, self._keep_links)
         loops.repeat(self.view.interval_s, self.catalog.settle)
         loops.repeat(HOUSEKEEPING_S, self._keep_house)
         loops.repeat(TELL_S, self.quotas.tell_successors)
@@ -512,7 +512,7 @@
             self.view.update_self(ready=True)
 
     def _keep_links(self) -> None:
-        self.links.keep_alive(confirm_every_s(self.view.spacing_s))
+        self.links.keep_alive(confirm_interval_s(self.view.spacing_s))
 
     def _check_members(self) -> None:
         self._apply(self.view.tick(self.now()))
--- a/packages/chalkyoke/src/chalkyoke/node/pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pools.py
@@ -11,7 +11,7 @@
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.gateway.reception import BLOCK_TOKENS
 from chalkyoke.gateway.settings import SchedulingSection
-from chalkyoke.rollouts.standing import Standing, trial_route
+from chalkyoke.rollouts.standing import Eligibility, trial_route
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
 # The part of an engine's memory that is thought to hold prompts; the rest is for what runs.
@@ -24,7 +24,7 @@
 class ReplicaStandings(Protocol):
     """Which replicas take which requests while versions change."""
 
-    def standing(self, replica: Replica) -> Standing:
+    def standing(self, replica: Replica) -> Eligibility:
         """Tell what a replica takes."""
 
     def tried(self, service: str, replicas: list[Replica]) -> list[Replica]:
@@ -34,9 +34,9 @@
 class NoRollouts:
     """All replicas take whatever there is."""
 
-    def standing(self, replica: Replica) -> Standing:  # noqa: ARG002
+    def standing(self, replica: Replica) -> Eligibility:  # noqa: ARG002
         """Tell that a replica takes whatever there is."""
-        return Standing.USUAL
+        return Eligibility.USUAL
 
     def tried(self, service: str, replicas: list[Replica]) -> list[Replica]:  # noqa: ARG002
         """Choose all."""
@@ -160,7 +160,7 @@
         if found is None:
             return next((each for each in self._last_resort() if each.id == replica), None)
         standing = self._standings.standing(found)
-        allowed = standing is Standing.USUAL or (for_trial and standing is Standing.TRIAL)
+        allowed = standing is Eligibility.USUAL or (for_trial and standing is Eligibility.TRIAL)
         return found if allowed and not found.draining else None
 
     def of(self, service: str, *, for_trial: bool = False) -> list[Replica]:
@@ -185,7 +185,7 @@
             for each in self._state.departed.values()
             if each.since >= since
             and not each.replica.draining
-            and self._standings.standing(each.replica) is Standing.USUAL
+            and self._standings.standing(each.replica) is Eligibility.USUAL
         ]
 
 
@@ -193,7 +193,7 @@
     replicas: Iterable[Replica], standings: ReplicaStandings
 ) -> tuple[list[Replica], list[Replica]]:
     """Split replicas into those that take whatever there is, and those under trial."""
-    found: dict[Standing, list[Replica]] = {each: [] for each in Standing}
+    found: dict[Eligibility, list[Replica]] = {each: [] for each in Eligibility}
     for replica in replicas:
         found[standings.standing(replica)].append(replica)
-    return found[Standing.USUAL], found[Standing.TRIAL]
+    return found[Eligibility.USUAL], found[Eligibility.TRIAL]
--- a/packages/chalkyoke/src/chalkyoke/node/process.py
+++ b/packages/chalkyoke/src/chalkyoke/node/process.py
@@ -34,7 +34,7 @@
 from chalkyoke.entry.service import EntryService
 from chalkyoke.exceptions import InvariantBroken
 from chalkyoke.links.connection import Connection, Identity
-from chalkyoke.links.keepalive import KEEP_S, confirm_every_s
+from chalkyoke.links.keepalive import KEEPALIVE_INTERVAL_S, confirm_interval_s
 from chalkyoke.links.peers import Links
 from chalkyoke.logs import logger
 from chalkyoke.membership.messages import MEMBERSHIP_MESSAGES, Heartbeat, MemberRecord
@@ -296,7 +296,7 @@
         loops = self._supervisor
         loops.repeat(self.view.interval_s, self._beat)
         loops.repeat(TICK_S, self._tick)
-        loops.repeat(KEEP_S, self._keep_links)
+        loops.repeat(KEEPALIVE_INTERVAL_S, self._keep_links)
         loops.repeat(HOUSEKEEPING_S, self._keep_house)
         loops.start(self._probe(timing.load_interval_s))
         loops.start(self.configuration.watch_root())
@@ -312,7 +312,7 @@
             self.links.send(send.address, send.message)
 
     def _keep_links(self) -> None:
-        self.links.keep_alive(confirm_every_s(self.view.spacing_s))
+        self.links.keep_alive(confirm_interval_s(self.view.spacing_s))
 
     def _tick(self) -> None:
         self._apply(self.view.tick(self.now()))
--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -13,25 +13,25 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import CatalogState
-from chalkyoke.links.broadcast import tell_all
+from chalkyoke.links.broadcast import send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.messages import MemberRecord
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.node.parts import WriteStatus
 from chalkyoke.node.peers import KNOWN_SHARE
 from chalkyoke.quotas.owner import Presence
-from chalkyoke.rollouts.lead import Decision, Phase, RolloutLead
-from chalkyoke.rollouts.messages import RolloutReport, RolloutTold
+from chalkyoke.rollouts.lead import Decision, Phase, RolloutLeader
+from chalkyoke.rollouts.messages import RolloutReport, RolloutUpdate
 from chalkyoke.rollouts.resources import (
-    Order,
     OrderName,
     RolloutOrder,
     RolloutState,
     RolloutStatus,
-    answer_to,
+    TrackedOrder,
+    matching_status,
 )
-from chalkyoke.rollouts.share import RolloutShare
-from chalkyoke.rollouts.standing import Standing
+from chalkyoke.rollouts.share import NodeRollout
+from chalkyoke.rollouts.standing import Eligibility
 from chalkyoke.storage.messages import Conflict, LeaseGone, Unavailable
 from chalkyoke.storage.port import Store
 
@@ -48,18 +48,18 @@
 
 def stored_end(state: CatalogState, order: RolloutOrder) -> RolloutStatus | None:
     """Give the end of an order as it stands in the store; nothing while it runs."""
-    stored = answer_to(order, state.statuses.get(order.service))
+    stored = matching_status(order, state.statuses.get(order.service))
     return None if stored is None or stored.state is RolloutState.RUNNING else stored
 
 
-def order_of(state: CatalogState, share: RolloutShare, now: float) -> Order:
+def order_of(state: CatalogState, share: NodeRollout, now: float) -> TrackedOrder:
     """Put an order and its answer together, as the store or the leader tells it."""
     order = share.order
     status = stored_end(state, order)
     if status is None and share.ended is not None:
         ended = STATE_OF_PHASE[share.ended]
         status = RolloutStatus(order.service, order.version, ended, order.revision)
-    return Order(order, now - share.passed(now).most_s, status)
+    return TrackedOrder(order, now - share.elapsed(now).max_s, status)
 
 
 class _Leading(msgspec.Struct):
@@ -69,7 +69,7 @@
     :ivar written: the answer that was written last.
     """
 
-    lead: RolloutLead
+    lead: RolloutLeader
     order: OrderName
     phase: Phase | None = None
     told_at: float = float("-inf")
@@ -95,9 +95,9 @@
         write_status: WriteStatus,
         metrics: Metrics,
         presence: Callable[[], Presence],
-        standing: Callable[[Replica], Standing],
-        send: Callable[[str, RolloutTold], None],
-        hear: Callable[[RolloutShare, RolloutTold], None],
+        standing: Callable[[Replica], Eligibility],
+        send: Callable[[str, RolloutUpdate], None],
+        hear: Callable[[NodeRollout, RolloutUpdate], None],
         now: Callable[[], float],
     ) -> None:
         self._view = view
@@ -117,18 +117,18 @@
         """Name the node that leads a service's order."""
         return next(iter(self._view.ranked(f"rollout/{service}")), self._view.record)
 
-    def take(self, process: str, share: RolloutShare, report: RolloutReport) -> None:
+    def take(self, process: str, share: NodeRollout, report: RolloutReport) -> None:
         """Take a node's report.
 
         :param process: id of the node's process.
         """
-        self._led(share).lead.take(process, report)
+        self._led(share).lead.apply_report(process, report)
 
     def forget(self, service: str) -> None:
         """Drop an order that was withdrawn."""
         self._leading.pop(service, None)
 
-    def lead(self, share: RolloutShare) -> None:
+    def lead(self, share: NodeRollout) -> None:
         """Decide how far an order has come, and tell it; only where this node leads it."""
         service = share.order.service
         if self.leader(service).host != self._view.record.host:
@@ -138,7 +138,7 @@
         decision = self._decide(share, order, leading)
         self._note(order, leading, decision)
         ended = stored_end(self._state, share.order)
-        stored = answer_to(share.order, self._state.statuses.get(service))
+        stored = matching_status(share.order, self._state.statuses.get(service))
         state = STATE_OF_PHASE.get(decision.phase, RolloutState.RUNNING)
         if ended is None and (stored is None or stored.state is not state):
             self._answer(order, leading, state)
@@ -148,14 +148,14 @@
             phase = Phase.CLOSING
         self._tell(share, leading, phase)
 
-    def _led(self, share: RolloutShare) -> _Leading:
+    def _led(self, share: NodeRollout) -> _Leading:
         service, name = share.order.service, share.order.name
         found = self._leading.get(service)
         if found is None or found.order != name:
-            found = self._leading[service] = _Leading(RolloutLead(), name)
+            found = self._leading[service] = _Leading(RolloutLeader(), name)
         return found
 
-    def _decide(self, share: RolloutShare, order: Order, leading: _Leading) -> Decision:
+    def _decide(self, share: NodeRollout, order: TrackedOrder, leading: _Leading) -> Decision:
         if share.ended is Phase.UNDONE and not order.ended:
             return Decision(Phase.UNDONE)
         wanted = order.order
@@ -168,14 +168,14 @@
         ]
         return leading.lead.decide(
             order,
-            share.passed(self._now()).most_s,
+            share.elapsed(self._now()).max_s,
             new_replicas=len(new),
-            tried=any(self._standing(each) is Standing.TRIAL for each in new),
+            tried=any(self._standing(each) is Eligibility.TRIAL for each in new),
             live=[each.process for each in self._view.live()],
             sees_fleet=self._presence().share >= KNOWN_SHARE,
         )
 
-    def _note(self, order: Order, leading: _Leading, decision: Decision) -> None:
+    def _note(self, order: TrackedOrder, leading: _Leading, decision: Decision) -> None:
         if leading.phase is decision.phase:
             return
         finding = decision.finding
@@ -197,7 +197,7 @@
         self._metrics.count("rollout_phases", service=order.order.service, phase=decision.phase)
         leading.phase = decision.phase
 
-    def _tell(self, share: RolloutShare, leading: _Leading, phase: Phase) -> None:
+    def _tell(self, share: NodeRollout, leading: _Leading, phase: Phase) -> None:
         now = self._now()
         changed = share.phase(now) is not phase
         if not changed and now - leading.told_at < TELL_AGAIN_S:
@@ -205,18 +205,18 @@
         leading.told_at = now
         order = share.order
         name = order.name
-        message = RolloutTold(
+        message = RolloutUpdate(
             order.service,
             name.revision,
             phase,
-            share.passed(now).least_s,
+            share.elapsed(now).min_s,
             epoch=name.epoch,
             digest=name.digest,
         )
-        tell_all(self._view, self._send, message)
+        send_to_all(self._view, self._send, message)
         self._hear(share, message)
 
-    def _answer(self, order: Order, leading: _Leading, state: RolloutState) -> None:
+    def _answer(self, order: TrackedOrder, leading: _Leading, state: RolloutState) -> None:
         """Write how an order stands, unless that is being done."""
         pause_s = DONE_WRITE_AGAIN_S if leading.written is state else WRITE_AGAIN_S
         if self._now() - leading.written_at < pause_s:
@@ -226,7 +226,7 @@
         self._writes.add(task)
         task.add_done_callback(self._writes.discard)
 
-    async def _write(self, order: Order, leading: _Leading, state: RolloutState) -> None:
+    async def _write(self, order: TrackedOrder, leading: _Leading, state: RolloutState) -> None:
         """Write under the condition that nobody has answered meanwhile: an end never changes."""
         key, document = self._write_status(order.order, state)
         held = self._state.statuses.get(order.order.service)
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -18,7 +18,7 @@
 from chalkyoke.catalog.state import UNKNOWN_AGE_S, CatalogState
 from chalkyoke.gateway.reception import DEFAULT_OUTPUT_TOKENS, Admission
 from chalkyoke.gateway.settings import SchedulingSection
-from chalkyoke.links.broadcast import relay_on
+from chalkyoke.links.broadcast import relay_to_domain
 from chalkyoke.logs import logger
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.node.parts import WriteStatus
@@ -26,12 +26,12 @@
 from chalkyoke.quotas.owner import Presence
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
 from chalkyoke.rollouts.lead import Phase
-from chalkyoke.rollouts.messages import RolloutMessage, RolloutReport, RolloutTold
+from chalkyoke.rollouts.messages import RolloutMessage, RolloutReport, RolloutUpdate
 from chalkyoke.rollouts.resources import (
     RolloutOrder,
 )
-from chalkyoke.rollouts.share import RolloutShare
-from chalkyoke.rollouts.standing import Standing, Versions
+from chalkyoke.rollouts.share import NodeRollout
+from chalkyoke.rollouts.standing import Eligibility, VersionEligibility
 from chalkyoke.storage.port import Store
 
 # How often orders are looked at, in seconds: a heartbeat. A bad version is left within one report,
@@ -96,8 +96,8 @@
         self._random = random
         self._changed = changed
         self._now = now
-        self._versions = Versions()
-        self._shares: dict[str, RolloutShare] = {}
+        self._versions = VersionEligibility()
+        self._shares: dict[str, NodeRollout] = {}
         self._reported: dict[str, _Reported] = {}
         self._running: Counter[tuple[str, str]] = Counter()
         self._leads = RolloutLeads(
@@ -142,15 +142,15 @@
         }
         self._versions.rebuild(orders, self._state.replicas.values())
 
-    def _make_share(self, ordered: Ordered) -> RolloutShare:
+    def _make_share(self, ordered: Ordered) -> NodeRollout:
         now = self._now()
         since = ordered.since if now - ordered.since < UNKNOWN_AGE_S else now
         exposure = Exposure(self._bounds, self._presence().known, self._random)
-        return RolloutShare(ordered.order, exposure, since, now)
+        return NodeRollout(ordered.order, exposure, since, now)
 
-    def standing(self, replica: Replica) -> Standing:
+    def standing(self, replica: Replica) -> Eligibility:
         """Tell what a replica takes."""
-        return self._versions.standing(replica.service, replica.version)
+        return self._versions.eligibility(replica.service, replica.version)
 
     def tried(self, service: str, replicas: list[Replica]) -> list[Replica]:
         """Choose, of the replicas of a version under trial, those that the trial uses."""
@@ -167,13 +167,13 @@
         share = self._shares.get(admission.service.name)
         if share is None or share.ended is not None:
             return False
-        return share.takes_new(self._lasts_s(admission), self._now(), again=again)
+        return share.admit_to_new_version(self._lasts_s(admission), self._now(), again=again)
 
     def give_back(self, admission: Admission) -> None:
         """Take back that a request goes to the version under trial."""
         share = self._shares.get(admission.service.name)
         if share is not None:
-            share.exposure.give_back()
+            share.exposure.cancel_reservation()
 
     def may_send(self, replica: Replica) -> bool:
         """Tell whether a replica that was granted may still be sent to.
@@ -191,7 +191,7 @@
         self._running[replica.service, replica.version] += 1
         share = self._shares.get(replica.service)
         if share is not None:
-            share.exposure.note_sent()
+            share.exposure.count_sent()
 
     def note_left(self, replica: Replica) -> None:
         """Count a request that the replica no longer works on."""
@@ -224,7 +224,7 @@
         work_s = 1.0
         if admission.route.streams:
             work_s = self._work_s(admission.fields.prompt_tokens, output_tokens)
-        share.note_end(
+        share.count_end(
             admission.route.name,
             replica.id if is_new else "",
             failed=failed,
@@ -233,7 +233,7 @@
         if failed and is_new:
             self._report(share)
 
-    def _is_new(self, share: RolloutShare, replica: Replica) -> bool:
+    def _is_new(self, share: NodeRollout, replica: Replica) -> bool:
         return replica.version == share.order.version
 
     def _work_s(self, prompt_tokens: float, output_tokens: float) -> float:
@@ -269,13 +269,13 @@
         if share is None or not share.order.name.matches(message.name):
             return
         if isinstance(message, RolloutReport):
-            share.learn_passed(message.least_s, self._now())
+            share.update_elapsed(message.min_elapsed_s, self._now())
             self._leads.take(process, share, message)
             return
         self._hear(share, message)
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
-    def _report(self, share: RolloutShare) -> None:
+    def _report(self, share: NodeRollout) -> None:
         if stored_end(self._state, share.order) is not None:
             return
         service, now = share.order.service, self._now()
@@ -291,14 +291,14 @@
         else:
             self._send(leader.address, report)
 
-    def _hear(self, share: RolloutShare, message: RolloutTold) -> None:
-        if not share.hear(message, self._now()):
+    def _hear(self, share: NodeRollout, message: RolloutUpdate) -> None:
+        if not share.apply_update(message, self._now()):
             return
         log.info(
             "phase",
             service=message.service,
             phase=message.phase,
-            least_s=round(message.least_s, 2),
+            least_s=round(message.min_elapsed_s, 2),
             sent=share.exposure.sent,
             exposed=share.exposure.exposed,
         )
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -13,7 +13,7 @@
 from chalkyoke.gateway.quarantine import Identity
 from chalkyoke.gateway.reception import Admission
 from chalkyoke.http1.pool import ConnectFailure, ConnectionPool
-from chalkyoke.links.broadcast import relay_on, tell_all
+from chalkyoke.links.broadcast import relay_to_domain, send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.quarantine.evidence import HOLD_S, EvidenceBook
@@ -212,7 +212,7 @@
             self._ended(message.start, "peer")
         else:
             self._take_served(message)
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
     def _take_served(self, message: RequestsServed) -> None:
         at = self._now() - message.age_s
@@ -232,7 +232,7 @@
 
     def _tell(self, message: ReplicaEnded | RequestsServed) -> None:
         """Tell all nodes; what is lost with a node or a link is told again by what is held back."""
-        tell_all(self._view, self._send, message)
+        send_to_all(self._view, self._send, message)
 
     # Time.
 
--- a/packages/chalkyoke/src/chalkyoke/rollouts/evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/evidence.py
@@ -18,36 +18,36 @@
 CLASSES_PER_DOUBLING = 4
 # A version is bad from this sum of log likelihood ratios on: of good versions one in 1,000 reaches
 # it for each route and measure.
-BAD_FROM = math.log(1000.0)
+BAD_THRESHOLD = math.log(1000.0)
 # The same for what came within the last seconds, which is looked at again and again.
-BAD_LATELY_FROM = math.log(100_000.0)
+RECENT_BAD_THRESHOLD = math.log(100_000.0)
 # It is as good on a route from this sum on: of bad versions one in ten gets there.
-GOOD_FROM = -math.log(10.0)
+GOOD_THRESHOLD = -math.log(10.0)
 # At the deadline a route with few requests only must not look bad by more than this, a third of
 # what makes a version bad, if all routes together reach twice :data:`GOOD_FROM`.
-FEW_GOOD_FROM = 2.3
-ALL_GOOD_FROM = 2 * GOOD_FROM
+LOW_TRAFFIC_THRESHOLD = 2.3
+COMBINED_GOOD_THRESHOLD = 2 * GOOD_THRESHOLD
 # How much larger the part of bad answers of a bad version is, at the least that has to be found.
-FAILING_RISE = 0.2
-SLOW_RISE = 0.3
+MIN_FAILURE_RISE = 0.2
+MIN_SLOW_RISE = 0.3
 # An answer is slow beyond so many times what half of the old version's take, or a twentieth.
-SLOW_OF_MEDIAN = 2.0
-SLOW_OF_TAIL = 1.5
-TAIL = 0.95
+SLOW_MEDIAN_FACTOR = 2.0
+SLOW_TAIL_FACTOR = 1.5
+TAIL_QUANTILE = 0.95
 # The least share of bad answers of the old version that is believed: no route is perfect.
-LEAST_SHARE = 0.01
-MOST_SHARE = 0.9
+MIN_EXPECTED_SHARE = 0.01
+MAX_EXPECTED_SHARE = 0.9
 # Answers of the old version on a route, until what it does there is known.
 MIN_OLD_ENDS = 50
 # What the old version does is taken so many standard errors worse than it was seen: 50 answers tell
 # a share within some hundredths only, and a good version must not be left for that.
-DOUBT = 1.5
+MARGIN_STANDARD_ERRORS = 1.5
 # A route with less of the service's requests decides nothing alone.
 MIN_ROUTE_SHARE = 0.05
 # The part of the new replicas that are left out, the worst ones, where there are enough: a single
 # replica that fails or is slow says nothing of its version.
-LEFT_OUT = 0.2
-MIN_REPLICAS_TO_LEAVE_OUT = 3
+TRIMMED_REPLICA_SHARE = 0.2
+MIN_REPLICAS_TO_TRIM = 3
 # What answers are judged by, as it stands in the log.
 FAILURES = "failures"
 SLOWER_THAN_HALF = "slower than half"
@@ -67,7 +67,7 @@
     failures: int = 0
     slowness: dict[int, int] = msgspec.field(default_factory=dict)
 
-    def note(self, *, failed: bool, ratio: float) -> None:
+    def count_request(self, *, failed: bool, ratio: float) -> None:
         """Count one request.
 
         :param ratio: how long it took; 0 where that tells nothing.
@@ -92,13 +92,13 @@
         """Copy it as it is now."""
         return msgspec.structs.replace(self, slowness=dict(self.slowness))
 
-    def word(self) -> EndCounts:
+    def to_counts(self) -> EndCounts:
         """Word it for another node."""
         slowness = tuple(SlownessCount(*each) for each in sorted(self.slowness.items()))
         return EndCounts(self.route, self.replica, self.ends, self.failures, slowness)
 
     @classmethod
-    def read(cls, told: EndCounts) -> "Tally":
+    def from_counts(cls, told: EndCounts) -> "Tally":
         """Read what a node tells."""
         return cls(told.route, told.replica, told.ends, told.failures, dict(told.slowness))
 
@@ -129,7 +129,7 @@
     expected: float = 0.0
 
 
-class _Test(msgspec.Struct, frozen=True):
+class _RouteTest(msgspec.Struct, frozen=True):
     """One route by one measure.
 
     :param weight: sum of log likelihood ratios; positive speaks against the new version.
@@ -140,7 +140,7 @@
     ends: int
     found: int
     expected: float
-    weight: float
+    log_ratio: float
 
     def finding(self, verdict: Verdict) -> Finding:
         return Finding(verdict, self.route, self.measure, self.ends, self.found, self.expected)
@@ -154,8 +154,8 @@
     return round(CLASSES_PER_DOUBLING * math.log2(max(ratio, 1e-6)))
 
 
-def judge(
-    tallies: Iterable[Tally], *, at_deadline: bool = False, bad_from: float = BAD_FROM
+def evaluate(
+    tallies: Iterable[Tally], *, at_deadline: bool = False, bad_from: float = BAD_THRESHOLD
 ) -> Finding:
     """Judge a version by all that is known.
 
@@ -163,19 +163,19 @@
     :param bad_from: how much has to speak against it, as a sum of log likelihood ratios.
     :param at_deadline: whether no more can be waited for.
     """
-    old, new = _gather(tallies)
-    tests = [test for route in new for test in _tests(old.get(route), new[route])]
-    worst = max(tests, key=lambda each: each.weight, default=None)
-    if worst is not None and worst.weight >= bad_from:
+    old, new = _sum_by_route(tallies)
+    tests = [test for route in new for test in _route_tests(old.get(route), new[route])]
+    worst = max(tests, key=lambda each: each.log_ratio, default=None)
+    if worst is not None and worst.log_ratio >= bad_from:
         return worst.finding(Verdict.BAD)
-    wanted = _routes_that_count(old)
-    if wanted and _all_good(wanted, tests, at_deadline=at_deadline):
+    wanted = _significant_routes(old)
+    if wanted and _all_routes_good(wanted, tests, at_deadline=at_deadline):
         ends = sum(each.ends for each in new.values())
         return Finding(Verdict.GOOD, ends=ends)
     return worst.finding(Verdict.OPEN) if worst else Finding(Verdict.OPEN)
 
 
-def _gather(tallies: Iterable[Tally]) -> tuple[dict[str, Tally], dict[str, Tally]]:
+def _sum_by_route(tallies: Iterable[Tally]) -> tuple[dict[str, Tally], dict[str, Tally]]:
     """Add up what nodes told, by route: of the old version, and of the new without its worst."""
     old: dict[str, Tally] = {}
     replicas: dict[str, dict[str, Tally]] = {}
@@ -190,74 +190,78 @@
 
 
 def _without_worst(replicas: dict[str, dict[str, Tally]], old: dict[str, Tally]) -> list[str]:
-    if len(replicas) < MIN_REPLICAS_TO_LEAVE_OUT:
+    if len(replicas) < MIN_REPLICAS_TO_TRIM:
         return list(replicas)
 
     def badness(replica: str) -> tuple[float, str]:
         weight = sum(
-            test.weight
+            test.log_ratio
             for route, each in replicas[replica].items()
-            for test in _tests(old.get(route), each)
+            for test in _route_tests(old.get(route), each)
         )
         return weight, replica
 
     ranked = sorted(replicas, key=badness)
-    return ranked[: len(ranked) - math.ceil(LEFT_OUT * len(ranked))]
+    return ranked[: len(ranked) - math.ceil(TRIMMED_REPLICA_SHARE * len(ranked))]
 
 
-def _routes_that_count(old: dict[str, Tally]) -> list[str]:
+def _significant_routes(old: dict[str, Tally]) -> list[str]:
     total = sum(each.ends for each in old.values())
     return [route for route, each in old.items() if each.ends >= MIN_ROUTE_SHARE * total > 0]
 
 
-def _all_good(wanted: list[str], tests: list[_Test], *, at_deadline: bool) -> bool:
+def _all_routes_good(wanted: list[str], tests: list[_RouteTest], *, at_deadline: bool) -> bool:
     """Tell whether each route that counts is good by each measure."""
-    enough = FEW_GOOD_FROM if at_deadline else GOOD_FROM
+    enough = LOW_TRAFFIC_THRESHOLD if at_deadline else GOOD_THRESHOLD
     for route in wanted:
-        mine = [each.weight for each in tests if each.route == route]
+        mine = [each.log_ratio for each in tests if each.route == route]
         if not mine or max(mine) > enough:
             return False
     if not at_deadline:
         return True
     measures = {each.measure for each in tests}
     return all(
-        sum(each.weight for each in tests if each.measure == measure) <= ALL_GOOD_FROM
+        sum(each.log_ratio for each in tests if each.measure == measure) <= COMBINED_GOOD_THRESHOLD
         for measure in measures
     )
 
 
-def _tests(old: Tally | None, new: Tally) -> list[_Test]:
+def _route_tests(old: Tally | None, new: Tally) -> list[_RouteTest]:
     """Compare one route by each measure; nothing where the old version is not known there."""
     if old is None or old.ends < MIN_OLD_ENDS:
         return []
-    expected = _share(old.failures, old.ends)
-    tests = [_test(new.route, FAILURES, new.ends, new.failures, expected, FAILING_RISE)]
+    expected = _expected_share(old.failures, old.ends)
+    tests = [_route_test(new.route, FAILURES, new.ends, new.failures, expected, MIN_FAILURE_RISE)]
     times, new_times = sum(old.slowness.values()), sum(new.slowness.values())
     if times < MIN_OLD_ENDS:
         return tests
     for measure, quantile, factor, rise in (
-        (SLOWER_THAN_HALF, 0.5, SLOW_OF_MEDIAN, SLOW_RISE),
-        (SLOWER_THAN_MOST, TAIL, SLOW_OF_TAIL, FAILING_RISE),
+        (SLOWER_THAN_HALF, 0.5, SLOW_MEDIAN_FACTOR, MIN_SLOW_RISE),
+        (SLOWER_THAN_MOST, TAIL_QUANTILE, SLOW_TAIL_FACTOR, MIN_FAILURE_RISE),
     ):
         bound = _quantile(old.slowness, quantile) + slowness_class(factor)
-        share = _share(_beyond(old.slowness, bound), times)
-        slow = _beyond(new.slowness, bound)
-        tests.append(_test(new.route, measure, new_times, slow, share, rise))
+        share = _expected_share(_count_above(old.slowness, bound), times)
+        slow = _count_above(new.slowness, bound)
+        tests.append(_route_test(new.route, measure, new_times, slow, share, rise))
     return tests
 
 
-def _test(route: str, measure: str, ends: int, found: int, expected: float, rise: float) -> _Test:
-    if expected >= MOST_SHARE:
-        return _Test(route, measure, ends, found, expected, 0.0)
+def _route_test(
+    route: str, measure: str, ends: int, found: int, expected: float, rise: float
+) -> _RouteTest:
+    if expected >= MAX_EXPECTED_SHARE:
+        return _RouteTest(route, measure, ends, found, expected, 0.0)
     bad = min(expected + rise, (1.0 + expected) / 2.0)
     weight = found * math.log(bad / expected)
     weight += (ends - found) * math.log((1.0 - bad) / (1.0 - expected))
-    return _Test(route, measure, ends, found, expected, weight)
+    return _RouteTest(route, measure, ends, found, expected, weight)
 
 
-def _share(found: int, ends: int) -> float:
+def _expected_share(found: int, ends: int) -> float:
     share = (found + 0.5) / (ends + 1.0)
-    return max(LEAST_SHARE, share + DOUBT * math.sqrt(share * (1.0 - share) / ends))
+    return max(
+        MIN_EXPECTED_SHARE, share + MARGIN_STANDARD_ERRORS * math.sqrt(share * (1.0 - share) / ends)
+    )
 
 
 def _quantile(slowness: dict[int, int], quantile: float) -> int:
@@ -269,5 +273,5 @@
     return max(slowness)
 
 
-def _beyond(slowness: dict[int, int], bound: int) -> int:
+def _count_above(slowness: dict[int, int], bound: int) -> int:
     return sum(number for each, number in slowness.items() if each > bound)
--- a/packages/chalkyoke/src/chalkyoke/rollouts/exposure.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/exposure.py
@@ -12,15 +12,15 @@
 
 # The part of the operators' share that is used to try the version. The rest is kept for the end,
 # when requests that would outlast the old replicas go to the new ones.
-TRIAL_PART = 0.5
+TRIAL_FRACTION = 0.5
 # The part that is used once the version has proved good: enough to see it turn bad within seconds.
-PROVEN_PART = 0.15
+PROVEN_FRACTION = 0.15
 # The part that is used until the deadline. What is left covers what nodes can't know of each
 # other: requests that were sent and did not arrive, and clocks that run apart.
-CLOSING_PART = 0.95
+CLOSING_FRACTION = 0.95
 # The part of the operators' slack that nodes share for their first requests, before a share of what
 # they sent comes to one. Twice of it still fits where all nodes start anew.
-SLACK_PART = 0.3
+START_SLACK_FRACTION = 0.3
 
 
 class ExposureBounds(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
 
     def __init__(self, bounds: ExposureBounds, nodes: int, random: Callable[[], float]) -> None:
         self._bounds = bounds
-        self._start = random() + SLACK_PART * bounds.slack / max(1, nodes)
+        self._start = random() + START_SLACK_FRACTION * bounds.slack / max(1, nodes)
         self.sent = 0
         self.exposed = 0
 
@@ -55,14 +55,14 @@
         """
         return self.exposed + 1 <= self._start + part * self._bounds.share * self.sent
 
-    def note_sent(self) -> None:
+    def count_sent(self) -> None:
         """Count a request that went to a replica of the service, whatever its version."""
         self.sent += 1
 
-    def take(self) -> None:
+    def reserve(self) -> None:
         """Count a request that is to go to the new version."""
         self.exposed += 1
 
-    def give_back(self) -> None:
+    def cancel_reservation(self) -> None:
         """Take a request back that went elsewhere, or nowhere."""
         self.exposed -= 1
--- a/packages/chalkyoke/src/chalkyoke/rollouts/lead.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/lead.py
@@ -12,38 +12,38 @@
 import msgspec
 
 from chalkyoke.rollouts.evidence import (
-    BAD_LATELY_FROM,
     FAILURES,
+    RECENT_BAD_THRESHOLD,
     SLOWNESS,
     Finding,
     Tally,
     Verdict,
-    judge,
+    evaluate,
 )
 from chalkyoke.rollouts.messages import RolloutReport
-from chalkyoke.rollouts.resources import Order, RolloutState
+from chalkyoke.rollouts.resources import RolloutState, TrackedOrder
 
 # How long before its deadline an order is answered, in seconds: a write to the store, its news to
 # all nodes, and a second try of a write whose answer was lost would still be in time.
-ANSWER_S = 0.3
+DECISION_MARGIN_S = 0.3
 # How long before that nodes leave the old replicas altogether, in seconds: what runs there then
 # ends, and is told, before the order is answered.
-LEAVE_S = 0.5
+OLD_REPLICA_MARGIN_S = 0.5
 # How long before the deadline requests that would outlast it go to the new version, in seconds:
 # the longest time that a stream's caller waits; at most half of the order's time.
-CLOSING_S = 15.0
-CLOSING_SHARE = 0.5
+MAX_CLOSING_S = 15.0
+MAX_CLOSING_SHARE = 0.5
 # How long a good version is waited for beyond the deadline while requests run at old replicas, in
 # seconds: as long as the longest of them lasts. A planned change must not cut them off.
-OVERTIME_S = 16.0
+MAX_OVERTIME_S = 16.0
 
 # What came within so many seconds is judged by itself too, and how often a mark for that is kept.
-LATELY_S = 5.0
-KEEP_EVERY_S = 1.0
+RECENT_WINDOW_S = 5.0
+SNAPSHOT_INTERVAL_S = 1.0
 # For how long a version has to be found slow, with more slow answers at the end than before, in
 # seconds: what holds up a host for a moment makes all slow that was on its way, and new versions
 # get many of their first requests at one moment. A fifth of the time that operators allow.
-SLOW_FOR_S = 1.0
+SLOW_CONFIRMATION_S = 1.0
 
 
 class Phase(StrEnum):
@@ -84,7 +84,7 @@
     finding: Finding
 
 
-class RolloutLead:
+class RolloutLeader:
     """Lead one order.
 
     What nodes told is kept by node and added up as it comes: in a large fleet it is too much to add
@@ -92,25 +92,25 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[tuple[str, str, str], Tally] = {}
+        self._tallies: dict[tuple[str, str, str], Tally] = {}
         self._totals: dict[tuple[str, str], Tally] = {}
         self._old_running: dict[str, int] = {}
         self._undone = False
-        self._before: deque[tuple[float, list[Tally]]] = deque()
-        self._slow: _FoundSlow | None = None
-        self._good_at = float("-inf")
+        self._snapshots: deque[tuple[float, list[Tally]]] = deque()
+        self._found_slow: _FoundSlow | None = None
+        self._last_good_s = float("-inf")
 
-    def take(self, process: str, report: RolloutReport) -> None:
+    def apply_report(self, process: str, report: RolloutReport) -> None:
         """Take a node's report; each of its counts takes the place of an earlier one."""
         for told in report.counts:
-            each = Tally.read(told)
+            each = Tally.from_counts(told)
             key = (each.route, each.replica)
             total = self._totals.setdefault(key, Tally(*key))
-            before = self._told.get((process, *key))
+            before = self._tallies.get((process, *key))
             if before is not None:
                 total.add(before, -1)
             total.add(each)
-            self._told[process, *key] = each
+            self._tallies[process, *key] = each
         self._old_running[process] = report.old_running
         self._undone = self._undone or report.undone
 
@@ -124,7 +124,7 @@
 
     def decide(
         self,
-        order: Order,
+        order: TrackedOrder,
         passed_s: float,
         *,
         new_replicas: int,
@@ -146,12 +146,12 @@
         if self._undone:
             return Decision(Phase.UNDONE, "another leader found it bad")
         left_s = order.order.over_s - passed_s
-        is_last_call = left_s <= ANSWER_S
+        is_last_call = left_s <= DECISION_MARGIN_S
         if not tried and new_replicas:
             # Nothing has to move. It is said at the end: a list that lapsed shows too little.
             phase = Phase.DONE if is_last_call else Phase.HELD
             return Decision(phase, "no other version runs")
-        finding = self._judge(passed_s, is_last_call=is_last_call)
+        finding = self._evaluate(passed_s, is_last_call=is_last_call)
         if finding.verdict is Verdict.BAD:
             return Decision(Phase.UNDONE, "bad version", finding)
         if is_last_call and not new_replicas:
@@ -161,50 +161,52 @@
         if not new_replicas:
             return Decision(Phase.HELD, finding=finding)
         has_left_old = sees_fleet and not self.old_running(live)
-        if is_last_call and (has_left_old or left_s <= -OVERTIME_S):
+        if is_last_call and (has_left_old or left_s <= -MAX_OVERTIME_S):
             return Decision(Phase.DONE, "good version", finding)
         if finding.verdict is not Verdict.GOOD:
             return Decision(Phase.TRIAL, finding=finding)
-        closing_s = min(CLOSING_S, CLOSING_SHARE * order.order.over_s)
+        closing_s = min(MAX_CLOSING_S, MAX_CLOSING_SHARE * order.order.over_s)
         phase = Phase.CLOSING if left_s <= closing_s else Phase.PROVEN
         return Decision(phase, finding=finding)
 
-    def _judge(self, passed_s: float, *, is_last_call: bool) -> Finding:
+    def _evaluate(self, passed_s: float, *, is_last_call: bool) -> Finding:
         """Judge the version by all that is known, and by what came lately."""
-        finding = judge(self.tallies(), at_deadline=is_last_call)
-        lately = judge(self._lately(passed_s), bad_from=BAD_LATELY_FROM)
+        finding = evaluate(self.tallies(), at_deadline=is_last_call)
+        lately = evaluate(self._recent_tallies(passed_s), bad_from=RECENT_BAD_THRESHOLD)
         if lately.verdict is Verdict.BAD:
             finding = lately
         if finding.verdict is Verdict.GOOD:
-            self._good_at = passed_s
+            self._last_good_s = passed_s
         if finding.verdict is not Verdict.BAD or finding.measure == FAILURES:
-            self._slow = None
-            return self._without_last_moment(finding, passed_s) if is_last_call else finding
-        first = self._slow = self._slow or _FoundSlow(passed_s, finding)
-        still = passed_s - first.since >= SLOW_FOR_S and finding.found > first.finding.found
+            self._found_slow = None
+            return self._ignore_late_slowness(finding, passed_s) if is_last_call else finding
+        first = self._found_slow = self._found_slow or _FoundSlow(passed_s, finding)
+        still = (
+            passed_s - first.since >= SLOW_CONFIRMATION_S and finding.found > first.finding.found
+        )
         if still or is_last_call:
             return finding
         return msgspec.structs.replace(finding, verdict=Verdict.OPEN)
 
-    def _without_last_moment(self, finding: Finding, passed_s: float) -> Finding:
+    def _ignore_late_slowness(self, finding: Finding, passed_s: float) -> Finding:
         """Give a good version its verdict back that slow answers of the last moment have taken.
 
         No time is left to see whether they are of a moment that held all up.
         """
         is_slow = finding.verdict is Verdict.OPEN and finding.measure in SLOWNESS
-        if is_slow and passed_s - self._good_at <= SLOW_FOR_S:
+        if is_slow and passed_s - self._last_good_s <= SLOW_CONFIRMATION_S:
             return msgspec.structs.replace(finding, verdict=Verdict.GOOD)
         return finding
 
-    def _lately(self, passed_s: float) -> list[Tally]:
+    def _recent_tallies(self, passed_s: float) -> list[Tally]:
         """Give what came within the last seconds: a good version may turn bad late.
 
         :param passed_s: a clock, in seconds.
         """
-        before = self._before
-        if not before or passed_s - before[-1][0] >= KEEP_EVERY_S:
+        before = self._snapshots
+        if not before or passed_s - before[-1][0] >= SNAPSHOT_INTERVAL_S:
             before.append((passed_s, [each.copy() for each in self._totals.values()]))
-        while len(before) > 1 and passed_s - before[1][0] >= LATELY_S:
+        while len(before) > 1 and passed_s - before[1][0] >= RECENT_WINDOW_S:
             before.popleft()
         lately = {key: each.copy() for key, each in self._totals.items()}
         for each in before[0][1]:
--- a/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
@@ -56,7 +56,7 @@
     order: int
     counts: tuple[EndCounts, ...]
     old_running: int
-    least_s: float
+    min_elapsed_s: float
     undone: bool = False
     epoch: int = 0
     digest: int = 0
@@ -67,7 +67,7 @@
         return OrderName(self.order, self.epoch, self.digest)
 
 
-class RolloutTold(msgspec.Struct, frozen=True, array_like=True, tag="rollout_told"):
+class RolloutUpdate(msgspec.Struct, frozen=True, array_like=True, tag="rollout_told"):
     """The leader of an order tells how far it has come.
 
     :param order: revision of the order, as its name has it.
@@ -81,7 +81,7 @@
     service: str
     order: int
     phase: str
-    least_s: float
+    min_elapsed_s: float
     relay: bool = False
     epoch: int = 0
     digest: int = 0
@@ -92,5 +92,5 @@
         return OrderName(self.order, self.epoch, self.digest)
 
 
-RolloutMessage = RolloutReport | RolloutTold
-ROLLOUT_MESSAGES = (RolloutReport, RolloutTold)
+RolloutMessage = RolloutReport | RolloutUpdate
+ROLLOUT_MESSAGES = (RolloutReport, RolloutUpdate)
--- a/packages/chalkyoke/src/chalkyoke/rollouts/resources.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/resources.py
@@ -65,7 +65,7 @@
         """Names the order, also where it was written again."""
         return self.named or OrderName(self.revision)
 
-    def named_in(self, epoch: int) -> "RolloutOrder":
+    def with_name(self, epoch: int) -> "RolloutOrder":
         """Give the order with a name of its own.
 
         :param epoch: the store's epoch of its revision.
@@ -87,7 +87,7 @@
     revision: int
 
 
-class Order(msgspec.Struct, frozen=True):
+class TrackedOrder(msgspec.Struct, frozen=True):
     """An order and the answer that belongs to it.
 
     :param since: when it may have been given at the earliest, on this node's clock, in seconds.
@@ -109,7 +109,7 @@
         return self.state is not RolloutState.RUNNING
 
 
-def answer_to(order: RolloutOrder, status: RolloutStatus | None) -> RolloutStatus | None:
+def matching_status(order: RolloutOrder, status: RolloutStatus | None) -> RolloutStatus | None:
     """Tell whether an answer belongs to an order: an older one is to an earlier order.
 
     :return: the answer, or nothing.
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
-from chalkyoke.rollouts.lead import Phase, RolloutLead
-from chalkyoke.rollouts.messages import RolloutTold
-from chalkyoke.rollouts.resources import Order, RolloutOrder, RolloutState, RolloutStatus
-from chalkyoke.rollouts.share import RolloutShare
+from chalkyoke.rollouts.lead import Phase, RolloutLeader
+from chalkyoke.rollouts.messages import RolloutUpdate
+from chalkyoke.rollouts.resources import RolloutOrder, RolloutState, RolloutStatus, TrackedOrder
+from chalkyoke.rollouts.share import NodeRollout
 
 BOUNDS = ExposureBounds(share=0.1, slack=50)
 ROLLBACK_S = 5.0
@@ -63,7 +63,7 @@
 @dataclass
 class Node:
     name: str
-    share: RolloutShare
+    share: NodeRollout
     side: int = 0
     alive: bool = True
     born: float = 0.0
@@ -72,7 +72,7 @@
     report_at: float = 0.0
     told_at: float = -9.0
     told: Phase = Phase.HELD
-    lead: RolloutLead = field(default_factory=RolloutLead)
+    lead: RolloutLeader = field(default_factory=RolloutLeader)
     status: RolloutStatus | None = None
 
 
@@ -106,7 +106,7 @@
         exposure = Exposure(BOUNDS, self.size, self.rng.random)
         # Who starts later finds the order in the store, which does not tell how old it is.
         age = self.rng.uniform(0.02, 0.4) if self.now == 0.0 else 0.0
-        share = RolloutShare(self.order, exposure, self.now - age, self.now)
+        share = NodeRollout(self.order, exposure, self.now - age, self.now)
         return Node(f"n{next(self.names):04}", share, born=self.now)
 
     # Time.
@@ -172,9 +172,11 @@
         thought = LASTS_FACTOR * usual * self.rng.lognormvariate(0.0, 0.5)
         if not again and self.now <= self.order.over_s:
             self.sent += 1
-        node.share.exposure.note_sent()
+        node.share.exposure.count_sent()
         is_done = node.status is not None and node.status.state is RolloutState.COMPLETED
-        is_new = is_done or node.share.takes_new(min(thought, LONGEST_S), self.now, again=again)
+        is_new = is_done or node.share.admit_to_new_version(
+            min(thought, LONGEST_S), self.now, again=again
+        )
         took = usual / self.rng.choice(SPEEDS)
         failed = self.rng.random() < self.routes[route][2]
         replica = ""
@@ -202,7 +204,7 @@
         else:
             node.old_running -= 1
         if node.alive:
-            node.share.note_end(
+            node.share.count_end(
                 route, replica, failed=failed, ratio=0.0 if failed else took / usual
             )
 
@@ -233,18 +235,18 @@
 
     def take(self, name, leader, report):
         if leader.alive:
-            leader.share.learn_passed(report.least_s, self.now)
-            leader.lead.take(name, report)
+            leader.share.update_elapsed(report.min_elapsed_s, self.now)
+            leader.lead.apply_report(name, report)
 
     def lead(self, node, reaches_store):
-        passed = node.share.passed(self.now)
-        order = Order(self.order, 0.0, node.status)
+        passed = node.share.elapsed(self.now)
+        order = TrackedOrder(self.order, 0.0, node.status)
         phase = Phase.UNDONE
         if node.share.ended is not Phase.UNDONE:
             live = [each.name for each in self.reached(node)]
             decided = node.lead.decide(
                 order,
-                passed.most_s,
+                passed.max_s,
                 new_replicas=NEW_REPLICAS,
                 tried=True,
                 live=live,
@@ -264,8 +266,8 @@
 
     def hear(self, node, phase, passed, side):
         if node.alive and node.side == side:
-            told = RolloutTold("model", self.order.revision, phase, passed.least_s)
-            node.share.hear(told, self.now)
+            told = RolloutUpdate("model", self.order.revision, phase, passed.min_s)
+            node.share.apply_update(told, self.now)
 
     def write(self, state, status):
         """Write an answer, if nobody else has; what runs at old replicas then is cut off."""
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_lead.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_lead.py
@@ -1,11 +1,11 @@
 """What an order's leader makes of slow answers: a moment that holds all up is no bad version."""
 
 from chalkyoke.rollouts.evidence import Tally
-from chalkyoke.rollouts.lead import Phase, RolloutLead
+from chalkyoke.rollouts.lead import Phase, RolloutLeader
 from chalkyoke.rollouts.messages import RolloutReport
-from chalkyoke.rollouts.resources import Order, RolloutOrder
+from chalkyoke.rollouts.resources import RolloutOrder, TrackedOrder
 
-ORDER = Order(RolloutOrder("s", "2", 2, 20.0, 5), 0.0)
+ORDER = TrackedOrder(RolloutOrder("s", "2", 2, 20.0, 5), 0.0)
 
 
 class Node:
@@ -13,17 +13,17 @@
 
     def __init__(self):
         self.old, self.new = Tally("r"), Tally("r", "new-1")
-        self.lead = RolloutLead()
+        self.lead = RolloutLeader()
         for _ in range(200):
-            self.old.note(failed=False, ratio=1.0)
+            self.old.count_request(failed=False, ratio=1.0)
 
     def answers(self, count, ratio):
         for _ in range(count):
-            self.new.note(failed=False, ratio=ratio)
+            self.new.count_request(failed=False, ratio=ratio)
 
     def decide(self, passed_s):
-        counts = (self.old.word(), self.new.word())
-        self.lead.take("n1", RolloutReport("s", 5, counts, 0, passed_s))
+        counts = (self.old.to_counts(), self.new.to_counts())
+        self.lead.apply_report("n1", RolloutReport("s", 5, counts, 0, passed_s))
         return self.lead.decide(
             ORDER, passed_s, new_replicas=2, tried=True, live=["n1"], sees_fleet=True
         ).phase
@@ -52,17 +52,17 @@
     """Reports what two routes met, of which one is asked for less."""
 
     def __init__(self):
-        self.lead = RolloutLead()
+        self.lead = RolloutLeader()
         self.counts = {}
 
     def answers(self, route, replica, count, ratio=1.0, *, failed=False):
         tally = self.counts.setdefault((route, replica), Tally(route, replica))
         for _ in range(count):
-            tally.note(failed=failed, ratio=ratio)
+            tally.count_request(failed=failed, ratio=ratio)
 
     def decide(self, passed_s):
-        counts = tuple(each.word() for each in self.counts.values())
-        self.lead.take("n1", RolloutReport("s", 5, counts, 0, passed_s))
+        counts = tuple(each.to_counts() for each in self.counts.values())
+        self.lead.apply_report("n1", RolloutReport("s", 5, counts, 0, passed_s))
         return self.lead.decide(
             ORDER, passed_s, new_replicas=2, tried=True, live=["n1"], sees_fleet=True
         )
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_share.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_share.py
@@ -1,28 +1,28 @@
 """One node's part in an order: what it sends to a version under trial, and what it tells."""
 
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
-from chalkyoke.rollouts.lead import Phase, RolloutLead
-from chalkyoke.rollouts.messages import RolloutTold
+from chalkyoke.rollouts.lead import Phase, RolloutLeader
+from chalkyoke.rollouts.messages import RolloutUpdate
 from chalkyoke.rollouts.resources import RolloutOrder
-from chalkyoke.rollouts.share import WORD_HOLDS_S, RolloutShare
+from chalkyoke.rollouts.share import UPDATE_TTL_S, NodeRollout
 
 BOUNDS = ExposureBounds(share=0.1, slack=0.0)
 
 
 def share(over_s=20.0):
     order = RolloutOrder("s", "2", 2, over_s, 5)
-    return RolloutShare(order, Exposure(BOUNDS, 3, lambda: 0.0), 0.0, 0.0)
+    return NodeRollout(order, Exposure(BOUNDS, 3, lambda: 0.0), 0.0, 0.0)
 
 
 def tell(node, phase, now, least_s=0.0):
-    node.hear(RolloutTold("s", 5, phase, least_s), now)
+    node.apply_update(RolloutUpdate("s", 5, phase, least_s), now)
 
 
 def send(node, count, now, lasts_s=0.1):
     taken = 0
     for _ in range(count):
-        taken += node.takes_new(lasts_s, now, again=False)
-        node.exposure.note_sent()
+        taken += node.admit_to_new_version(lasts_s, now, again=False)
+        node.exposure.count_sent()
     return taken
 
 
@@ -31,26 +31,26 @@
     assert send(node, 100, 1.0) == 0
     tell(node, Phase.TRIAL, 1.0)
     assert send(node, 100, 1.1) > 0
-    assert send(node, 100, 1.1 + WORD_HOLDS_S) == 0
+    assert send(node, 100, 1.1 + UPDATE_TTL_S) == 0
 
 
 def test_a_trial_takes_its_part_of_the_operators_share_and_no_second_sends():
     node = share()
     tell(node, Phase.TRIAL, 0.0)
     assert send(node, 1000, 0.1) == 49
-    node.exposure.note_sent()
-    assert not any(node.takes_new(0.1, 0.2, again=True) for _ in range(100))
+    node.exposure.count_sent()
+    assert not any(node.admit_to_new_version(0.1, 0.2, again=True) for _ in range(100))
 
 
 def test_near_the_deadline_what_would_outlast_it_goes_first_and_after_it_all():
     node = share()
     tell(node, Phase.CLOSING, 16.0)
     send(node, 400, 16.0)
-    while node.takes_new(0.1, 16.1, again=False):
+    while node.admit_to_new_version(0.1, 16.1, again=False):
         pass
-    assert node.takes_new(4.0, 16.1, again=True)
+    assert node.admit_to_new_version(4.0, 16.1, again=True)
     tell(node, Phase.CLOSING, 20.1)
-    assert all(node.takes_new(0.1, 20.1, again=True) for _ in range(100))
+    assert all(node.admit_to_new_version(0.1, 20.1, again=True) for _ in range(100))
 
 
 def test_a_version_that_was_left_stays_left_whatever_another_leader_says():
@@ -64,18 +64,18 @@
 
 def test_an_order_is_never_younger_than_another_node_knows():
     node = share()
-    node.learn_passed(7.0, 5.0)
-    assert (node.passed(5.0).least_s, node.passed(5.0).most_s) == (7.0, 7.0)
+    node.update_elapsed(7.0, 5.0)
+    assert (node.elapsed(5.0).min_s, node.elapsed(5.0).max_s) == (7.0, 7.0)
 
 
 def test_totals_may_be_told_twice_and_what_is_told_later_does_not_change_what_was_told():
-    node, lead = share(), RolloutLead()
-    node.note_end("r", "", failed=False, ratio=1.0)
+    node, lead = share(), RolloutLeader()
+    node.count_end("r", "", failed=False, ratio=1.0)
     first = node.report(1.0, 2, whole=False)
-    node.note_end("r", "", failed=True, ratio=0.0)
+    node.count_end("r", "", failed=True, ratio=0.0)
     second = node.report(1.2, 2, whole=False)
     for report in (first, first, second, second):
-        lead.take("n1", report)
+        lead.apply_report("n1", report)
     (total,) = lead.tallies()
     assert (total.ends, total.failures, total.slowness) == (2, 1, {0: 1})
     # One more than it has, as long as others may follow.
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_standing.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_standing.py
@@ -2,10 +2,16 @@
 
 from types import SimpleNamespace
 
-from chalkyoke.rollouts.resources import Order, RolloutOrder, RolloutState, RolloutStatus, answer_to
-from chalkyoke.rollouts.standing import Standing, Versions
+from chalkyoke.rollouts.resources import (
+    RolloutOrder,
+    RolloutState,
+    RolloutStatus,
+    TrackedOrder,
+    matching_status,
+)
+from chalkyoke.rollouts.standing import Eligibility, VersionEligibility
 
-USUAL, TRIAL, NOTHING = Standing.USUAL, Standing.TRIAL, Standing.NOTHING
+USUAL, TRIAL, NOTHING = Eligibility.USUAL, Eligibility.TRIAL, Eligibility.NOTHING
 
 
 def replicas(*versions):
@@ -15,21 +21,21 @@
 def order(version, revision, state=None):
     given = RolloutOrder("s", version, version, 20.0, revision)
     status = state and RolloutStatus("s", version, state, revision + 1)
-    return {"s": Order(given, 0.0, status)}
+    return {"s": TrackedOrder(given, 0.0, status)}
 
 
 def standings(versions, *names):
-    return [versions.standing("s", each) for each in names]
+    return [versions.eligibility("s", each) for each in names]
 
 
 def test_without_an_order_all_versions_run_as_usual():
-    versions = Versions()
+    versions = VersionEligibility()
     versions.rebuild({}, replicas("1", "2"))
     assert standings(versions, "1", "2") == [USUAL, USUAL]
 
 
 def test_an_ordered_version_is_tried_beside_another_and_then_takes_over_or_is_left():
-    versions = Versions()
+    versions = VersionEligibility()
     versions.rebuild(order("2", 5), replicas("1", "2"))
     assert standings(versions, "1", "2") == [USUAL, TRIAL]
     versions.rebuild(order("2", 5, RolloutState.COMPLETED), replicas("1", "2"))
@@ -39,13 +45,13 @@
 
 
 def test_an_order_for_the_only_version_that_runs_shuts_nothing_out():
-    versions = Versions()
+    versions = VersionEligibility()
     versions.rebuild(order("1", 5), replicas("1"))
     assert standings(versions, "1") == [USUAL]
 
 
 def test_a_list_that_has_lost_the_old_replicas_does_not_open_the_new_ones():
-    versions = Versions()
+    versions = VersionEligibility()
     versions.rebuild(order("2", 5), replicas("1", "2"))
     versions.rebuild(order("2", 5), replicas("2"))
     assert standings(versions, "2") == [TRIAL]
@@ -53,7 +59,7 @@
 
 def test_a_version_whose_order_was_withdrawn_or_replaced_is_left_until_it_is_ordered_again():
     for after in ({}, order("3", 8)):
-        versions = Versions()
+        versions = VersionEligibility()
         versions.rebuild(order("2", 5), replicas("1", "2"))
         versions.rebuild(after, replicas("1", "2"))
         assert standings(versions, "1", "2") == [USUAL, NOTHING]
@@ -63,6 +69,6 @@
 
 def test_an_answer_to_an_earlier_order_is_none_to_a_later_one():
     given = order("2", 9)["s"].order
-    assert answer_to(given, RolloutStatus("s", "2", RolloutState.ROLLED_BACK, 6)) is None
-    assert answer_to(given, RolloutStatus("s", "1", RolloutState.RUNNING, 10)) is None
-    assert answer_to(given, RolloutStatus("s", "2", RolloutState.RUNNING, 10)) is not None
+    assert matching_status(given, RolloutStatus("s", "2", RolloutState.ROLLED_BACK, 6)) is None
+    assert matching_status(given, RolloutStatus("s", "1", RolloutState.RUNNING, 10)) is None
+    assert matching_status(given, RolloutStatus("s", "2", RolloutState.RUNNING, 10)) is not None
