--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -41,7 +41,7 @@
 from chalkyoke.limits.keeper import AllocatedLimit, LimitKeeper
 from chalkyoke.limits.known import KnownLimits
 from chalkyoke.links.connection import Connection, Identity
-from chalkyoke.links.keepalive import KEEP_S, confirm_every_s
+from chalkyoke.links.keepalive import KEEPALIVE_INTERVAL_S, confirm_interval_s
 from chalkyoke.links.kinds import PeerKinds
 from chalkyoke.links.peers import Links
 from chalkyoke.logs import logger
@@ -378,7 +378,7 @@
 
         :rtype: Presence
         """
-        return Presence(len(self.view.live()), self.nodes(), self.view.foreign_patience_s)
+        return Presence(len(self.view.live()), self.nodes(), self.view.foreign_timeout_s)
 
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here.
@@ -485,7 +485,7 @@
         loops = self._supervisor
         loops.repeat(self.view.interval_s, self._beat)
         loops.repeat(self.view.interval_s, self._check_members)
-        loops.repeat(KEEP_S, self._keep_links)
+        loops.repeat(KEEPALIVE_INTERVAL_S, self._keep_links)
         loops.repeat(self.view.interval_s, self.catalog.settle)
         loops.repeat(HOUSEKEEPING_S, self._keep_house)
         loops.repeat(WINDOW_REPLICATION_INTERVAL_S, self.quotas.replicate_windows)
@@ -496,12 +496,12 @@
         loops.start(self.held_records.run())
 
     def _beat(self) -> None:
-        for send in self.view.beat(self.now()):
+        for send in self.view.due_messages(self.now()):
             self.links.send(send.address, send.message)
         known = {each.address for each in self.view.live()}
         for seed in self.settings.peers.seeds:
             if seed not in known:
-                self.links.send(seed, self.view.introduction())
+                self.links.send(seed, self.view.full_heartbeat())
 
     def _note_fitness(self) -> None:
         """Take duties for the fleet once this node knows the others, or finds none that does."""
@@ -512,7 +512,7 @@
             self.view.update_self(ready=True)
 
     def _keep_links(self) -> None:
-        self.links.keep_alive(confirm_every_s(self.view.spacing_s))
+        self.links.keep_alive(confirm_interval_s(self.view.spacing_s))
 
     def _check_members(self) -> None:
         self._apply(self.view.tick(self.now()))
