--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -12,10 +12,10 @@
 
 import msgpack
 from chalkyoke.clock import Stamp
-from chalkyoke.configuration.chunks import chunk_hash, cut
+from chalkyoke.configuration.chunks import chunk_hash, split_chunks
 from chalkyoke.configuration.messages import ListedHost, Revision, Root
 from chalkyoke.configuration.publisher import encode_root
-from chalkyoke.configuration.resources import Specs, build, read_document
+from chalkyoke.configuration.resources import Specs, build_resources, read_document
 from chalkyoke.configuration.state import ConfigurationState
 from chalkyoke.links.codec import FrameCodec
 from chalkyoke.membership.messages import Digest, Heartbeat, MemberRecord, ShortHeartbeat, Summary
@@ -260,13 +260,15 @@
 def adopted(specs: Specs, teams: int) -> tuple[ConfigurationState, Root, dict[str, bytes]]:
     """Adopt a configuration, and make the next revision: one team changed."""
     state = ConfigurationState()
-    chunks = cut(specs)
+    chunks = split_chunks(specs)
     hashes = {name: chunk_hash(content) for name, content in chunks.items()}
     history = tuple(Revision(i, f"change-{i}", "op", 0, ("team/x.weight",)) for i in range(256))
-    state.adopt(Root(1, hashes, history), {hashes[name]: chunks[name] for name in chunks}).unwrap()
+    state.apply_root(
+        Root(1, hashes, history), {hashes[name]: chunks[name] for name in chunks}
+    ).unwrap()
     changed = dict(specs)
     changed["team", "team-1"] = {**specs["team", "team-1"], "weight": 3 + teams % 900}
-    after = cut(changed)
+    after = split_chunks(changed)
     new = {name: chunk_hash(content) for name, content in after.items()}
     fresh = {new[name]: after[name] for name in after if new[name] != hashes[name]}
     return state, Root(2, new, history), fresh
@@ -286,11 +288,11 @@
             copy = ConfigurationState()
             copy.root, copy.chunks = state.root, state.chunks
             copy.specs, copy.resources = state.specs, state.resources
-            copy.adopt(root, fresh).unwrap()
+            copy.apply_root(root, fresh).unwrap()
 
         times.append((teams, best_of(take, 3)))
         memory.append((teams, memory_of(lambda s=specs, t=teams: adopted(s, t)[0])))  # type: ignore[misc]
-        resources = build(specs).unwrap()
+        resources = build_resources(specs).unwrap()
         listed = hosts(teams * REPLICAS // TEAMS)
         rebuilds.append((teams, best_of(lambda r=resources, h=listed: FleetView(r, h), 3)))  # type: ignore[misc]
         moved = float(sum(len(each) for each in fresh.values()) + size_of_root(root))
--- a/packages/chalkyoke-ctl/src/chalkyokectl/cli.py
+++ b/packages/chalkyoke-ctl/src/chalkyokectl/cli.py
@@ -13,7 +13,7 @@
 from typing import Annotated, Any, TypeVar
 
 import typer
-from chalkyoke.configuration.resources import build, read_document
+from chalkyoke.configuration.resources import build_resources, read_document
 from chalkyoke.tokens.codec import request_of
 from result import Err
 
@@ -89,7 +89,7 @@
     specs = read_document(_read(file))
     problems = specs.err_value if isinstance(specs, Err) else []
     if not isinstance(specs, Err):
-        built = build(specs.ok_value)
+        built = build_resources(specs.ok_value)
         problems = built.err_value if isinstance(built, Err) else []
     for problem in problems:
         typer.echo(f"{problem.path}: {problem.message}", err=True)
--- a/packages/chalkyoke/src/chalkyoke/catalog/difference.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/difference.py
@@ -34,7 +34,7 @@
     edits: tuple[_Edit, ...]
 
 
-def difference(base: bytes, target: bytes) -> bytes:
+def encode_difference(base: bytes, target: bytes) -> bytes:
     """Make the difference that turns one document into another.
 
     :return: compressed.
@@ -58,7 +58,7 @@
     return zlib.compress(msgspec.msgpack.encode(whole), 1)
 
 
-def restore(base: bytes, told: bytes, most_bytes: int) -> Result[bytes, str]:
+def apply_difference(base: bytes, told: bytes, most_bytes: int) -> Result[bytes, str]:
     """Make the new document of the old one and a difference.
 
     :param most_bytes: bound on the new document and on the unpacked difference.
--- a/packages/chalkyoke/src/chalkyoke/catalog/follower.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/follower.py
@@ -17,13 +17,13 @@
 from chalkyoke.storage.port import Store
 
 # How often a node looks whether its part in following the store has changed, in seconds: a beat.
-IDLE_S = 0.25
+ROLE_CHECK_INTERVAL_S = 0.25
 # A node does not follow the store in its first second: it knows nobody yet and would believe each
 # time that it has to. What changes meanwhile it hears from its peers, or from its first watch.
-NEW_NODE_S = 1.0
+STARTUP_DELAY_S = 1.0
 # How long changes gather before the next watch, in seconds: they come in crowds, and each call
 # is priced.
-GATHER_S = 0.05
+CHANGE_BATCH_S = 0.05
 # Pause after a failed call, in seconds: doubled with each, up to the longest.
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 1.0
@@ -31,8 +31,8 @@
 RELIEVED_PAUSE_S = 2.0
 # The store is lost for this node after so many failed calls in a row over so many seconds. One
 # silent connection is one failed call; the next one, on a new connection, is answered.
-LOST_FAILURES = 2
-LOST_S = 0.5
+STORE_LOST_FAILURES = 2
+STORE_LOST_AFTER_S = 0.5
 
 # How long a standby's watch waits, in seconds. It is there for the moment in which the first one
 # falls silent; that nothing comes for so long is noticed by the first one.
@@ -41,15 +41,15 @@
 log = logger("store")
 
 
-class Part(StrEnum):
+class WatchRole(StrEnum):
     """A node's part in following the store for its failure domain."""
 
-    FIRST = "first"
+    PRIMARY = "first"
     STANDBY = "standby"
     NONE = "none"
 
 
-class WatchBounds(msgspec.Struct, frozen=True):
+class WatchTimeouts(msgspec.Struct, frozen=True):
     """How long the watch of the first node of a failure domain may take.
 
     A change that came behind silent connections is known at most ``wait_s + answer_s`` after they
@@ -64,7 +64,7 @@
     answer_s: float
 
     @classmethod
-    def within(cls, silence_s: float) -> "WatchBounds":
+    def split(cls, silence_s: float) -> "WatchTimeouts":
         """Share the time for which a silent connection may go unnoticed.
 
         Half is waiting; a quarter is left for the store's answer, some times what a slow one
@@ -78,16 +78,16 @@
 class UpdateHandler(Protocol):
     """Takes what the store tells."""
 
-    def listed(self, listing: Listing) -> None:
+    def on_listing(self, listing: Listing) -> None:
         """Take all that there is."""
 
-    def changed(self, found: Changes, age_s: float) -> None:
+    def on_changes(self, found: Changes, age_s: float) -> None:
         """Take what has changed.
 
         :param age_s: how long ago it may have changed at most, in seconds.
         """
 
-    def lost(self, is_lost: bool) -> None:
+    def on_availability(self, is_lost: bool) -> None:
         """Learn whether the store answers this node."""
 
 
@@ -104,9 +104,9 @@
     def __init__(
         self,
         store: Store,
-        bounds: WatchBounds,
+        bounds: WatchTimeouts,
         taker: UpdateHandler,
-        part: Callable[[], Part],
+        part: Callable[[], WatchRole],
         now: Callable[[], float],
     ) -> None:
         self.since = 0
@@ -126,14 +126,14 @@
     async def run(self) -> None:
         """Follow the store for as long as the process lives."""
         while True:
-            if self.since and not self._is_lost and self._part_now() is Part.NONE:
-                await asyncio.sleep(IDLE_S)
+            if self.since and not self._is_lost and self._part_now() is WatchRole.NONE:
+                await asyncio.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
             answered = await (self._wait_for_changes() if self.since else self._read_all())
             if not answered:
                 await asyncio.sleep(self._pause_s())
 
-    def renew(self) -> None:
+    def restart_watch(self) -> None:
         """Make the watch again: peers know more, so it may have gone silent.
 
         A watch that could not have been answered yet is left alone; where the store is slow it
@@ -144,11 +144,11 @@
             log.notice("watch_renewed", since=self.since, waited_s=round(waited, 3))
             self._watch.cancel()
 
-    def _part_now(self) -> Part:
-        return Part.NONE if self._now() < NEW_NODE_S else self._part()
+    def _part_now(self) -> WatchRole:
+        return WatchRole.NONE if self._now() < STARTUP_DELAY_S else self._part()
 
     def _pause_s(self) -> float:
-        if self._is_lost and self._part_now() is Part.NONE:
+        if self._is_lost and self._part_now() is WatchRole.NONE:
             return RELIEVED_PAUSE_S
         doubled: float = FIRST_PAUSE_S * 2 ** min(self._failures - 1, 5)
         return min(MAX_PAUSE_S, doubled)
@@ -161,8 +161,8 @@
             return False
         self._note_answer()
         self._note_epoch(found.epoch)
-        self._taker.listed(found)
-        self.since = found.at
+        self._taker.on_listing(found)
+        self.since = found.revision
         return True
 
     async def _wait_for_changes(self) -> bool:
@@ -183,15 +183,15 @@
             log.notice("store_restored", before=self._epoch, epoch=found.epoch, since=self.since)
             self.since = 0
             return True
-        self._taker.changed(found, age_s)
-        self.since = max(self.since, found.at)
+        self._taker.on_changes(found, age_s)
+        self.since = max(self.since, found.revision)
         if found.changes:
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(CHANGE_BATCH_S)
         return True
 
     async def _ask(self) -> Changes | HistoryLost | Unavailable | None:
         """Wait for the answer of one watch; nothing where it is to be made anew."""
-        standby = self._part_now() is Part.STANDBY
+        standby = self._part_now() is WatchRole.STANDBY
         wait_s = STANDBY_WAIT_S if standby else self._bounds.wait_s
         if self._failures:
             # An answer at once tells whether a new connection works.
@@ -201,8 +201,8 @@
         self._watch = watch = asyncio.ensure_future(asked)
         try:
             while not watch.done():
-                await asyncio.wait([watch], timeout=IDLE_S if standby else None)
-                if standby and self._part_now() is Part.FIRST:
+                await asyncio.wait([watch], timeout=ROLE_CHECK_INTERVAL_S if standby else None)
+                if standby and self._part_now() is WatchRole.PRIMARY:
                     return None
         finally:
             self._watch = None
@@ -245,11 +245,15 @@
                 unanswered_s=round(now - self._answered_at, 3),
             )
         for_s = now - self._failing_since
-        if self._failures >= LOST_FAILURES and for_s >= LOST_S and not self._is_lost:
+        if (
+            self._failures >= STORE_LOST_FAILURES
+            and for_s >= STORE_LOST_AFTER_S
+            and not self._is_lost
+        ):
             log.notice("store_lost", since=self.since, why=failure.reason, failures=self._failures)
             self._set_lost(is_lost=True)
 
     def _set_lost(self, *, is_lost: bool) -> None:
         if is_lost != self._is_lost:
             self._is_lost = is_lost
-            self._taker.lost(is_lost)
+            self._taker.on_availability(is_lost)
--- a/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
@@ -12,7 +12,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from chalkyoke.catalog.follower import Part, StoreFollower, WatchBounds
+from chalkyoke.catalog.follower import StoreFollower, WatchRole, WatchTimeouts
 from chalkyoke.catalog.messages import (
     CatalogAnswer,
     CatalogDelta,
@@ -50,7 +50,7 @@
 log = logger("catalog")
 
 
-class Keys(msgspec.Struct, frozen=True):
+class StoreKeys(msgspec.Struct, frozen=True):
     """Where things lie in the store.
 
     :param document: the operators' document.
@@ -65,7 +65,7 @@
     held: str
 
 
-class CatalogKeeper:
+class CatalogSynchronizer:
     """Hold the catalog in force on this node.
 
     :param watchers: how many nodes of a failure domain follow the store.
@@ -80,11 +80,11 @@
         self,
         state: CatalogState,
         store: Store,
-        keys: Keys,
+        keys: StoreKeys,
         view: MembershipView,
         links: Links,
         watchers: int,
-        bounds: WatchBounds,
+        bounds: WatchTimeouts,
         changed: Callable[[], None],
         registered: Callable[[dict[str, bytes]], None],
         now: Callable[[], float],
@@ -97,7 +97,7 @@
         self._changed = changed
         self._registered = registered
         self._now = now
-        self.ignored: Counter[str] = Counter()
+        self.ignored_updates: Counter[str] = Counter()
         self._nodes: dict[str, bytes] = {}
         self._asked = 0.0
         self._behind_since = 0.0
@@ -107,18 +107,18 @@
         """Follow the store for as long as the process lives."""
         await self._follower.run()
 
-    def settle(self) -> None:
+    def resolve_conflicts(self) -> None:
         """Believe a restored store where nobody has corrected it; call some times a second."""
-        if self.state.settle(self._now()):
+        if self.state.resolve_conflicts(self._now()):
             self._replicas_changed("settled", 0.0)
 
     # The store.
 
-    def _part(self) -> Part:
+    def _part(self) -> WatchRole:
         watching = self._watching_hosts()
         if self._view.record.host not in watching:
-            return Part.NONE
-        return Part.FIRST if watching[0] == self._view.record.host else Part.STANDBY
+            return WatchRole.NONE
+        return WatchRole.PRIMARY if watching[0] == self._view.record.host else WatchRole.STANDBY
 
     def _watching_hosts(self) -> list[str]:
         """List the hosts of this failure domain that follow the store.
@@ -135,27 +135,27 @@
         """
         return not record.store_lost and (record.store_epoch > 0 or not self.state.epoch)
 
-    def lost(self, is_lost: bool) -> None:
+    def on_availability(self, is_lost: bool) -> None:
         """Tell the peers whether the store answers this node."""
         self._view.update_self(store_lost=is_lost)
 
-    def listed(self, listing: Listing) -> None:
+    def on_listing(self, listing: Listing) -> None:
         """Take all that the store holds."""
         epoch = listing.epoch or self.state.epoch
-        self._note_ignored("listing", Position(epoch, listing.at))
+        self._note_ignored("listing", Position(epoch, listing.revision))
         for item in listing.items:
             self._take_document(item, 0.0)
         records = _under(self._keys.records, listing)
-        self._take_replicas(Listing(records, listing.at, epoch))
+        self._take_replicas(Listing(records, listing.revision, epoch))
         self._nodes = {item.key: item.value for item in _under((self._keys.nodes,), listing)}
         self._registered(self._nodes)
 
-    def changed(self, found: Changes, age_s: float) -> None:
+    def on_changes(self, found: Changes, age_s: float) -> None:
         """Take what has changed in the store.
 
         :param age_s: how long ago it may have changed at most, in seconds.
         """
-        position = Position(found.epoch or self.state.epoch, found.at)
+        position = Position(found.epoch or self.state.epoch, found.revision)
         if found.changes:
             self._note_ignored("changes", position)
         replicas: list[Item | Removed] = []
@@ -171,12 +171,12 @@
                     self._nodes[change.key] = change.value
                 else:
                     self._nodes.pop(change.key, None)
-        known_at = self.state.changed_at
+        known_at = self.state.last_change_revision
         if position.epoch == self.state.epoch:
             now = self._now()
-            if self.state.change_replicas(replicas, found.at, now - age_s, now):
+            if self.state.apply_replica_changes(replicas, found.revision, now - age_s, now):
                 self._replicas_changed("store", age_s)
-                self._broadcast(self.state.replicas_update(known_at, age_s))
+                self._broadcast(self.state.build_replicas_update(known_at, age_s))
         if nodes_changed:
             self._registered(self._nodes)
 
@@ -185,7 +185,7 @@
         held = self.state.position
         if position >= held:
             return
-        self.ignored[what] += 1
+        self.ignored_updates[what] += 1
         log.notice(
             "update_ignored",
             what=what,
@@ -199,19 +199,19 @@
         if item.key != self._keys.document:
             return
         before = self.state.catalog
-        taken = self.state.adopt_document(item.value)
+        taken = self.state.apply_document(item.value)
         if isinstance(taken, Err):
             log.error("document_unreadable", revision=item.revision, why=taken.err_value)
         elif taken.ok_value:
             self._document_changed("store", before, age_s)
             if before.version:
-                self._broadcast(self.state.catalog_update(before.version))
+                self._broadcast(self.state.build_catalog_update(before.version))
 
     def _take_replicas(self, listing: Listing) -> None:
         before = self.state.position
         now = self._now()
-        if not self.state.adopt_replicas(
-            listing.items, listing.at, now - UNKNOWN_AGE_S, epoch=listing.epoch, now=now
+        if not self.state.apply_replicas_snapshot(
+            listing.items, listing.revision, now - UNKNOWN_AGE_S, epoch=listing.epoch, now=now
         ):
             return
         self._replicas_changed("store", UNKNOWN_AGE_S)
@@ -219,7 +219,7 @@
             return
         is_restored = 0 < before.epoch < listing.epoch
         self._broadcast(
-            self.state.restore_update() if is_restored else self.state.replicas_update()
+            self.state.build_restore_update() if is_restored else self.state.build_replicas_update()
         )
 
     # Peers.
@@ -242,7 +242,7 @@
             return
         self._ask(address)
         if waited > DOUBT_S:
-            self._follower.renew()
+            self._follower.restart_watch()
 
     def receive(self, address: str, message: CatalogMessage) -> None:
         """Take a peer's question or answer.
@@ -250,7 +250,7 @@
         :param address: link address of the peer.
         """
         if isinstance(message, CatalogRequest):
-            for answer in self.state.answers(message):
+            for answer in self.state.answer_request(message):
                 self._links.send(address, answer)
         elif isinstance(message, CatalogSnapshot | CatalogDelta):
             self._receive_document(address, message)
@@ -260,9 +260,9 @@
     def _receive_document(self, address: str, message: CatalogSnapshot | CatalogDelta) -> None:
         before = self.state.catalog
         if isinstance(message, CatalogSnapshot):
-            taken = self.state.adopt_snapshot(message)
+            taken = self.state.apply_document_snapshot(message)
         else:
-            taken = self.state.adopt_delta(message)
+            taken = self.state.apply_document_delta(message)
         if self._is_taken(address, "version", taken):
             self._document_changed("peer", before, UNKNOWN_AGE_S)
 
@@ -271,18 +271,18 @@
         taken: Result[bool, str]
         if isinstance(message, ReplicasSnapshot):
             age_s = UNKNOWN_AGE_S
-            changed = state.adopt_replicas(
+            changed = state.apply_replicas_snapshot(
                 message.items,
-                message.at,
+                message.revision,
                 now - age_s,
-                message.changed_at,
+                message.last_change_revision,
                 epoch=message.epoch,
                 now=now,
             )
             taken = Ok(changed)
         else:
             age_s = message.age_s
-            taken = state.adopt_changes(message, now - age_s, now)
+            taken = state.apply_replicas_delta(message, now - age_s, now)
         whole = isinstance(message, ReplicasDelta) and bool(message.base_epoch)
         if self._is_taken(address, "replicas", taken, whole=whole):
             self._replicas_changed("peer", age_s)
@@ -305,7 +305,7 @@
         if self._now() - self._asked < ASK_AGAIN_S:
             return
         self._asked = self._now()
-        held_at = 0 if whole else self.state.replicas_at
+        held_at = 0 if whole else self.state.replicas_revision
         request = CatalogRequest(self.state.catalog.version, held_at, self.state.epoch)
         self._links.send(address, request)
 
@@ -334,12 +334,12 @@
         self._changed()
 
     def _replicas_changed(self, source: str, age_s: float) -> None:
-        self.state.forget_removed(self._now(), DEPARTED_KEPT_S)
+        self.state.expire_removed(self._now(), DEPARTED_KEPT_S)
         log.info(
             "replicas",
-            revision=self.state.replicas_at,
+            revision=self.state.replicas_revision,
             epoch=self.state.epoch,
-            changed_at=self.state.changed_at,
+            changed_at=self.state.last_change_revision,
             source=source,
             news_age_s=round(age_s, 3),
             count=len(self.state.replicas),
@@ -347,7 +347,9 @@
             versions=_count_versions(self.state.replicas.values()),
             unreadable=dict(itertools.islice(self.state.unreadable.items(), MOST_NAMED)),
         )
-        self._view.update_self(hosts_version=self.state.changed_at, store_epoch=self.state.epoch)
+        self._view.update_self(
+            hosts_version=self.state.last_change_revision, store_epoch=self.state.epoch
+        )
         self._changed()
 
 
--- a/packages/chalkyoke/src/chalkyoke/catalog/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/messages.py
@@ -14,12 +14,12 @@
 class CatalogRequest(msgspec.Struct, frozen=True, array_like=True, tag="catalog_request"):
     """Ask for what is newer than this.
 
-    :param replicas_at: 0 asks for all.
+    :param replicas_revision: 0 asks for all.
     :param epoch: the store's epoch of that revision; 0 is not known.
     """
 
     version: int
-    replicas_at: int
+    replicas_revision: int
     epoch: int = 0
 
 
@@ -37,7 +37,7 @@
     """A version of the operators' document as the difference to an older one.
 
     :param base: the version that the receiver must hold.
-    :param difference: as :func:`chalkyoke.catalog.difference.difference` makes it.
+    :param difference: as :func:`chalkyoke.catalog.difference.encode_difference` makes it.
     """
 
     version: int
@@ -52,8 +52,8 @@
     :param epoch: the store's epoch of these revisions; 0 is not known.
     """
 
-    at: int
-    changed_at: int
+    revision: int
+    last_change_revision: int
     items: tuple[Item, ...]
     epoch: int = 0
 
@@ -70,17 +70,17 @@
     :param changed_at: revision of the newest change, where the store was restored.
     """
 
-    since: int
-    at: int
+    base_revision: int
+    revision: int
     written: tuple[Item, ...]
     removed: tuple[Removed, ...]
     age_s: float
     epoch: int = 0
     base_epoch: int = 0
-    changed_at: int = 0
+    last_change_revision: int = 0
 
 
-class ReplicasLeave(msgspec.Struct, frozen=True, array_like=True, tag="replicas_leave"):
+class ReplicasLeaving(msgspec.Struct, frozen=True, array_like=True, tag="replicas_leave"):
     """Replicas have said in their answers that they leave, whatever their records say.
 
     :param replicas: ids of their starts.
@@ -101,7 +101,7 @@
     """
 
     replica: str
-    word: str
+    name: str
     value: float | None
     age_s: float
 
--- a/packages/chalkyoke/src/chalkyoke/catalog/recent.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/recent.py
@@ -11,9 +11,9 @@
 
 # Changes of replicas that are kept, in number: a release of 1,300 replicas that all change within
 # the seconds for which a peer may be out of touch; about 0.3 MB of records.
-MOST_CHANGES = 1500
+MAX_RECENT_CHANGES = 1500
 # Older documents that are kept, in bytes: four of 1,400 routes. Peers lag by one or two.
-MOST_DOCUMENT_BYTES = 1_500_000
+MAX_RECENT_DOCUMENTS_BYTES = 1_500_000
 
 
 class RecentChanges:
@@ -26,18 +26,18 @@
         self.since = 0
         self._changes: deque[Item | Removed] = deque()
 
-    def restart(self, at: int) -> None:
+    def reset(self, at: int) -> None:
         """Forget all; what came before a revision is not known one by one."""
         self._changes.clear()
         self.since = at
 
-    def note(self, changes: Iterable[Item | Removed]) -> None:
+    def append(self, changes: Iterable[Item | Removed]) -> None:
         """Take changes that are newer than all that are held."""
         self._changes.extend(sorted(changes, key=lambda each: each.revision))
-        while len(self._changes) > MOST_CHANGES:
+        while len(self._changes) > MAX_RECENT_CHANGES:
             self.since = self._changes.popleft().revision
 
-    def after(self, revision: int) -> list[Item | Removed] | None:
+    def list_after(self, revision: int) -> list[Item | Removed] | None:
         """List the newest change of each key after a revision; nothing where some are forgotten.
 
         :rtype: list[Item or Removed] or None
@@ -54,10 +54,10 @@
     def __init__(self) -> None:
         self._documents: dict[int, bytes] = {}
 
-    def note(self, version: int, document: bytes) -> None:
+    def add(self, version: int, document: bytes) -> None:
         """Keep a version; the oldest go where all are too large together."""
         self._documents[version] = document
-        while sum(map(len, self._documents.values())) > MOST_DOCUMENT_BYTES:
+        while sum(map(len, self._documents.values())) > MAX_RECENT_DOCUMENTS_BYTES:
             del self._documents[min(self._documents)]
 
     def find(self, version: int) -> bytes | None:
--- a/packages/chalkyoke/src/chalkyoke/catalog/records.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/records.py
@@ -11,7 +11,7 @@
 from result import Err, Result
 
 from chalkyoke.catalog.resources import Replica
-from chalkyoke.catalog.starts import StartMemory
+from chalkyoke.catalog.starts import RetainedStarts
 from chalkyoke.quarantine.messages import HeldRecord
 from chalkyoke.rollouts.resources import RolloutOrder, RolloutStatus
 from chalkyoke.storage.messages import Item
@@ -20,7 +20,7 @@
 ReadRecord = Callable[[Item], Result[Record, str]]
 
 
-class Ordered(msgspec.Struct, frozen=True):
+class ReceivedOrder(msgspec.Struct, frozen=True):
     """An order of a roll-out, and when it may have been given at the earliest.
 
     :param since: on this node's clock, in seconds.
@@ -47,7 +47,7 @@
     :param read: reads a replica's record, an order of a roll-out, the answer to one or the record
         of a request that is held back.
     :ivar replicas: by id of the start.
-    :ivar departed: replicas whose record is gone, by id of the start.
+    :ivar removed_replicas: replicas whose record is gone, by id of the start.
     :ivar orders: orders of roll-outs, by service.
     :ivar statuses: the answers to them, by service.
     :ivar held: requests that are held back, as far as the store says so.
@@ -57,22 +57,22 @@
 
     def __init__(self, read: ReadRecord) -> None:
         self.replicas: dict[str, Replica] = {}
-        self.departed: dict[str, RemovedReplica] = {}
-        self.orders: dict[str, Ordered] = {}
+        self.removed_replicas: dict[str, RemovedReplica] = {}
+        self.orders: dict[str, ReceivedOrder] = {}
         self.statuses: dict[str, RolloutStatus] = {}
-        self.held: set[bytes] = set()
-        self.released: set[bytes] = set()
+        self.held_requests: set[bytes] = set()
+        self.released_requests: set[bytes] = set()
         self.unreadable: dict[str, str] = {}
         self._read = read
         self._items: dict[str, Item] = {}
-        self._leaving: StartMemory[None] = StartMemory()
+        self._leaving: RetainedStarts[None] = RetainedStarts()
         self._kept_leaving: set[str] = set()
         self._restarted: list[Replica] = []
 
     def __iter__(self) -> Iterator[str]:
         return iter(list(self._items))
 
-    def item(self, key: str) -> Item | None:
+    def get(self, key: str) -> Item | None:
         """Give a record in force as it was written."""
         return self._items.get(key)
 
@@ -112,10 +112,10 @@
         if item is None:
             return False
         if (gone := self._drop(item)) is not None:
-            self.departed[gone.id] = RemovedReplica(gone, since)
+            self.removed_replicas[gone.id] = RemovedReplica(gone, since)
         return True
 
-    def is_foreign(self, item: Item) -> bool:
+    def is_externally_written(self, item: Item) -> bool:
         """Tell whether a record is written by a replica or an operator.
 
         The others are this system's own: it is to see at once that a restored store has lost them,
@@ -126,26 +126,26 @@
 
     # Replicas.
 
-    def note_leaving(self, start: str, now: float) -> bool:
+    def mark_leaving(self, start: str, now: float) -> bool:
         """Note that a replica has said itself that it leaves; no record of that start undoes it.
 
         :param start: the replica's id.
         :return: whether it was taken to stay until now.
         """
         is_new = start not in self._leaving
-        self._leaving.keep(start, None, now)
+        self._leaving.put(start, None, now)
         replica = self.replicas.get(start)
         if replica is not None:
             self.replicas[start] = self._with_leaving(replica)
-        if (gone := self.departed.get(start)) is not None:
+        if (gone := self.removed_replicas.get(start)) is not None:
             gone.replica = self._with_leaving(gone.replica)
         return is_new and (replica is None or not replica.draining)
 
-    def keep_leaving(self, now: float) -> None:
+    def retain_leaving(self, now: float) -> None:
         """Let no older record undo that the replicas leave that say so now."""
         kept = {each.id for each in self.replicas.values() if each.draining}
         for start in kept:
-            self._leaving.keep(start, None, now)
+            self._leaving.put(start, None, now)
         self._kept_leaving = kept
 
     def leaving_despite_restore(self) -> set[str]:
@@ -155,14 +155,14 @@
         """
         return {each for each in self._kept_leaving if each in self._leaving}
 
-    def leaves(self, start: str) -> bool:
+    def is_leaving(self, start: str) -> bool:
         """Tell whether a replica has said itself that it leaves.
 
         :param start: the replica's id.
         """
         return start in self._leaving
 
-    def take_restarted(self) -> list[Replica]:
+    def pop_restarted(self) -> list[Replica]:
         """Take the starts of replicas that later ones have taken the place of since the last call.
 
         :rtype: list[Replica]
@@ -170,19 +170,19 @@
         restarted, self._restarted = self._restarted, []
         return restarted
 
-    def forget_removed(self, now: float, keep_s: float) -> None:
+    def expire_removed(self, now: float, keep_s: float) -> None:
         """Drop the memory of replicas that went long ago."""
-        self._leaving.forget(self.replicas.keys(), now)
-        for name, each in list(self.departed.items()):
+        self._leaving.expire(self.replicas.keys(), now)
+        for name, each in list(self.removed_replicas.items()):
             if now - each.since > keep_s:
-                del self.departed[name]
+                del self.removed_replicas[name]
 
     def _put_replica(self, before: Item | None, replica: Replica) -> bool:
         self._end_start_before(before, replica)
         replica = self._with_leaving(replica)
         changed = self.replicas.get(replica.id) != replica
         self.replicas[replica.id] = replica
-        self.departed.pop(replica.id, None)
+        self.removed_replicas.pop(replica.id, None)
         return changed
 
     def _with_leaving(self, replica: Replica) -> Replica:
@@ -218,7 +218,7 @@
         return is_new
 
     def _put_held(self, record: HeldRecord) -> bool:
-        mine, other = self.held, self.released
+        mine, other = self.held_requests, self.released_requests
         if record.is_released:
             mine, other = other, mine
         is_new = record.request not in mine
@@ -233,7 +233,7 @@
             since = held.since
         if held is not None and held.order == order:
             return False
-        self.orders[order.service] = Ordered(order, since)
+        self.orders[order.service] = ReceivedOrder(order, since)
         return True
 
     def _drop(self, item: Item) -> Replica | None:
@@ -247,8 +247,8 @@
         elif isinstance(record, RolloutStatus):
             self.statuses.pop(record.service, None)
         elif isinstance(record, HeldRecord):
-            self.held.discard(record.request)
-            self.released.discard(record.request)
+            self.held_requests.discard(record.request)
+            self.released_requests.discard(record.request)
         else:
             return self.replicas.pop(record.id, None)
         return None
--- a/packages/chalkyoke/src/chalkyoke/catalog/resources.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/resources.py
@@ -10,7 +10,7 @@
 import msgspec
 
 # Ranks of routes that fit below one rank of teams: a team's rank goes first.
-ROUTE_RANKS = 100
+ROUTE_RANKS_PER_TEAM_RANK = 100
 
 
 class RouteKind(StrEnum):
@@ -62,7 +62,7 @@
         return self.kind is RouteKind.IDEMPOTENT
 
     @property
-    def streams(self) -> bool:
+    def is_stream(self) -> bool:
         """Whether answers are series of events.
 
         :rtype: bool
@@ -100,7 +100,7 @@
     :param rank: goes before the route's, where given.
     :param rate_per_s: cost allowed each second, over all nodes; 0 is no limit.
     :param by_tokens: whether a request costs its tokens; else it costs 1.
-    :param plain_cost: cost of a request that names no tokens.
+    :param default_cost: cost of a request that names no tokens.
     """
 
     name: str
@@ -109,7 +109,7 @@
     rate_per_s: float = 0.0
     burst: float = 0.0
     by_tokens: bool = False
-    plain_cost: float = 1.0
+    default_cost: float = 1.0
 
 
 class RequestLimits(msgspec.Struct, frozen=True):
@@ -155,7 +155,7 @@
 class Catalog(msgspec.Struct, frozen=True):
     """One version of everything that operators declare.
 
-    :param keyed: whether requests on routes that are not public need a key.
+    :param requires_keys: whether requests on routes that are not public need a key.
     """
 
     version: int = 0
@@ -163,7 +163,7 @@
     services: Mapping[str, Service] = msgspec.field(default_factory=dict)
     teams: Mapping[str, Team] = msgspec.field(default_factory=dict)
     limits: RequestLimits = RequestLimits()
-    keyed: bool = False
+    requires_keys: bool = False
     _by_host: Mapping[str, tuple[Route, ...]] = msgspec.field(default_factory=dict)
     _by_key: Mapping[str, Team] = msgspec.field(default_factory=dict)
 
@@ -179,7 +179,7 @@
         msgspec.structs.force_setattr(self, "_by_host", longest_first)
         msgspec.structs.force_setattr(self, "_by_key", by_key)
 
-    def route(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Find the route with the longest prefix of a path.
 
         :param host: the ``Host`` header, with or without a port.
@@ -192,7 +192,7 @@
                 return route
         return None
 
-    def team(self, key: str) -> Team | None:
+    def find_team(self, key: str) -> Team | None:
         """Find the team that holds a key.
 
         :rtype: Team or None
@@ -206,7 +206,7 @@
     :return: 0 is the most urgent.
     """
     first = route.rank if team is None or team.rank is None else team.rank
-    return first * ROUTE_RANKS + route.rank
+    return first * ROUTE_RANKS_PER_TEAM_RANK + route.rank
 
 
 def pick_target(route: Route, point: float) -> str:
--- a/packages/chalkyoke/src/chalkyoke/catalog/starts.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/starts.py
@@ -10,14 +10,14 @@
 
 # How long it is remembered of a start that is not listed, in seconds: far beyond the time for which
 # a leaving replica serves on.
-KEPT_S = 600.0
+RETENTION_S = 600.0
 # Starts that are remembered at most, in number; 0.3 MB. The oldest go first.
-MOST_KEPT = 2_000
+MAX_RETAINED_STARTS = 2_000
 
 T = TypeVar("T")
 
 
-class StartMemory(Generic[T]):
+class RetainedStarts(Generic[T]):
     """Remember something of starts of replicas, by their ids."""
 
     def __init__(self) -> None:
@@ -34,22 +34,22 @@
         """Give what is remembered of a start."""
         return self._kept.get(start)
 
-    def keep(self, start: str, value: T, now: float) -> None:
+    def put(self, start: str, value: T, now: float) -> None:
         """Remember something of a start."""
         self._kept[start] = value
         self._listed[start] = now
-        if len(self._kept) > MOST_KEPT:
-            self.drop(next(iter(self._kept)))
+        if len(self._kept) > MAX_RETAINED_STARTS:
+            self.remove(next(iter(self._kept)))
 
-    def drop(self, start: str) -> None:
+    def remove(self, start: str) -> None:
         """Forget a start."""
         self._kept.pop(start, None)
         self._listed.pop(start, None)
 
-    def forget(self, listed: Container[str], now: float) -> None:
+    def expire(self, listed: Container[str], now: float) -> None:
         """Drop what is over: starts that have not been listed for long."""
         for start in self:
             if start in listed:
                 self._listed[start] = now
-            elif now - self._listed[start] > KEPT_S:
-                self.drop(start)
+            elif now - self._listed[start] > RETENTION_S:
+                self.remove(start)
--- a/packages/chalkyoke/src/chalkyoke/catalog/state.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/state.py
@@ -11,7 +11,7 @@
 
 from result import Err, Ok, Result
 
-from chalkyoke.catalog.difference import difference, restore
+from chalkyoke.catalog.difference import apply_difference, encode_difference
 from chalkyoke.catalog.messages import (
     CatalogAnswer,
     CatalogDelta,
@@ -21,11 +21,11 @@
     ReplicasSnapshot,
 )
 from chalkyoke.catalog.recent import RecentChanges, RecentDocuments
-from chalkyoke.catalog.records import Ordered, ReadRecord, Records, RemovedReplica
+from chalkyoke.catalog.records import ReadRecord, ReceivedOrder, Records, RemovedReplica
 from chalkyoke.catalog.resources import Catalog, Replica
 from chalkyoke.catalog.restores import (
-    MISSING_KEPT_S,
-    OUTDATED_IGNORED_S,
+    MISSING_RECORD_TTL_S,
+    OUTDATED_RECORD_TTL_S,
     Conflicts,
     Position,
     SupersededItems,
@@ -50,7 +50,7 @@
         record of a request that is held back. All of these spread alike, in the order of the
         store's revisions.
     :ivar epoch: the store's epoch that the replicas are of; 0 is not known.
-    :ivar replicas_at: the store's revision up to which the replicas are complete.
+    :ivar replicas_revision: the store's revision up to which the replicas are complete.
     :ivar changed_at: revision of the newest change of a replica. It is the same on all nodes that
         know the same, however they learnt it, so that none asks another for what it has.
     """
@@ -59,8 +59,8 @@
         self.read_catalog = read_catalog
         self.catalog = Catalog()
         self.epoch = 0
-        self.replicas_at = 0
-        self.changed_at = 0
+        self.replicas_revision = 0
+        self.last_change_revision = 0
         self._records = Records(read_record)
         self._document = b""
         self._items: dict[str, Item] = {}
@@ -76,7 +76,7 @@
 
         :rtype: bool
         """
-        return self.catalog.version > 0 and self.replicas_at > 0
+        return self.catalog.version > 0 and self.replicas_revision > 0
 
     @property
     def position(self) -> Position:
@@ -84,7 +84,7 @@
 
         :rtype: Position
         """
-        return Position(self.epoch, self.replicas_at)
+        return Position(self.epoch, self.replicas_revision)
 
     # The records in force.
 
@@ -94,12 +94,12 @@
         return self._records.replicas
 
     @property
-    def departed(self) -> dict[str, RemovedReplica]:
+    def removed_replicas(self) -> dict[str, RemovedReplica]:
         """Replicas whose record is gone, by id of their start."""
-        return self._records.departed
+        return self._records.removed_replicas
 
     @property
-    def orders(self) -> dict[str, Ordered]:
+    def orders(self) -> dict[str, ReceivedOrder]:
         """Orders of roll-outs, by service."""
         return self._records.orders
 
@@ -109,34 +109,34 @@
         return self._records.statuses
 
     @property
-    def held(self) -> set[bytes]:
+    def held_requests(self) -> set[bytes]:
         """Requests that are held back, as far as the store says so."""
-        return self._records.held
+        return self._records.held_requests
 
     @property
-    def released(self) -> set[bytes]:
+    def released_requests(self) -> set[bytes]:
         """Requests that operators have released."""
-        return self._records.released
+        return self._records.released_requests
 
     @property
     def unreadable(self) -> dict[str, str]:
         """Why a record can't be read, by key."""
         return self._records.unreadable
 
-    def note_leaving(self, start: str, now: float) -> bool:
+    def mark_leaving(self, start: str, now: float) -> bool:
         """Note that a replica has said itself that it leaves; no record of that start undoes it.
 
         :param start: the replica's id.
         :return: whether it was taken to stay until now.
         """
-        return self._records.note_leaving(start, now)
+        return self._records.mark_leaving(start, now)
 
-    def leaves(self, start: str) -> bool:
+    def is_leaving(self, start: str) -> bool:
         """Tell whether a replica has said itself that it leaves.
 
         :param start: the replica's id.
         """
-        return self._records.leaves(start)
+        return self._records.is_leaving(start)
 
     def leaving_despite_restore(self) -> set[str]:
         """List the replicas that leave though a restored store may say otherwise.
@@ -145,20 +145,20 @@
         """
         return self._records.leaving_despite_restore()
 
-    def take_restarted(self) -> list[Replica]:
+    def pop_restarted(self) -> list[Replica]:
         """Take the starts of replicas that later ones have taken the place of since the last call.
 
         :rtype: list[Replica]
         """
-        return self._records.take_restarted()
+        return self._records.pop_restarted()
 
-    def forget_removed(self, now: float, keep_s: float) -> None:
+    def expire_removed(self, now: float, keep_s: float) -> None:
         """Drop the memory of replicas that went long ago."""
-        self._records.forget_removed(now, keep_s)
+        self._records.expire_removed(now, keep_s)
 
     # The operators' document.
 
-    def adopt_document(self, document: bytes) -> Result[bool, str]:
+    def apply_document(self, document: bytes) -> Result[bool, str]:
         """Take the operators' document, if it is newer.
 
         :return: whether it was newer, or why it can't be read.
@@ -172,11 +172,11 @@
         before = self.catalog.version
         self.catalog = catalog
         self._document = document
-        self._documents.note(catalog.version, document)
+        self._documents.add(catalog.version, document)
         require(self.catalog.version > before, "a configuration never reverts", before=before)
         return Ok(True)
 
-    def adopt_snapshot(self, message: CatalogSnapshot) -> Result[bool, str]:
+    def apply_document_snapshot(self, message: CatalogSnapshot) -> Result[bool, str]:
         """Take the operators' document from a peer, if it is newer.
 
         :return: whether it was newer, or why it can't be read.
@@ -188,9 +188,9 @@
             document = inflater.decompress(message.document, MAX_DOCUMENT_BYTES)
         except zlib.error as error:
             return Err(f"not readable: {error}")
-        return self.adopt_document(document)
+        return self.apply_document(document)
 
-    def adopt_delta(self, message: CatalogDelta) -> Result[bool, str]:
+    def apply_document_delta(self, message: CatalogDelta) -> Result[bool, str]:
         """Take the operators' document from a peer as a difference, if it is newer.
 
         :return: whether it was newer, or why it can't be read: the peer is to be asked then.
@@ -200,10 +200,10 @@
         base = self._documents.find(message.base)
         if base is None:
             return Err(f"version {message.base} is not held")
-        restored = restore(base, message.difference, MAX_DOCUMENT_BYTES)
-        return restored if isinstance(restored, Err) else self.adopt_document(restored.ok_value)
+        restored = apply_difference(base, message.difference, MAX_DOCUMENT_BYTES)
+        return restored if isinstance(restored, Err) else self.apply_document(restored.ok_value)
 
-    def catalog_update(self, held: int = 0) -> CatalogSnapshot | CatalogDelta:
+    def build_catalog_update(self, held: int = 0) -> CatalogSnapshot | CatalogDelta:
         """Give a peer the document, or what has changed of it.
 
         :param held: the version that the peer holds.
@@ -211,11 +211,11 @@
         base = self._documents.find(held)
         if base is None:
             return CatalogSnapshot(self.catalog.version, zlib.compress(self._document, 1))
-        return CatalogDelta(self.catalog.version, held, difference(base, self._document))
+        return CatalogDelta(self.catalog.version, held, encode_difference(base, self._document))
 
     # Replicas.
 
-    def adopt_replicas(
+    def apply_replicas_snapshot(
         self,
         items: Iterable[Item],
         at: int,
@@ -243,18 +243,18 @@
         if 0 < self.epoch < epoch:
             self._enter_epoch(listed, Position(epoch, at), changed_at, since, now)
             return True
-        changed = self.replicas_at == 0 or epoch != self.epoch
+        changed = self.replicas_revision == 0 or epoch != self.epoch
         self.epoch = epoch
         for key in gone:
             changed |= self._take_removed(key, since, now)
         for item in listed.values():
             changed |= self._take_written(item, since, now)
-        self.replicas_at = at
-        self.changed_at = max(self.changed_at, changed_at)
-        self._recent.restart(at)
+        self.replicas_revision = at
+        self.last_change_revision = max(self.last_change_revision, changed_at)
+        self._recent.reset(at)
         return changed
 
-    def change_replicas(
+    def apply_replica_changes(
         self, changes: Iterable[Item | Removed], at: int, since: float, now: float = 0.0
     ) -> bool:
         """Take all that has changed since the revision that is held, in the epoch that is held.
@@ -263,19 +263,21 @@
         :param now: the node's clock, in seconds.
         :return: whether anything of a replica changed.
         """
-        newer = [each for each in changes if each.revision > self.replicas_at]
+        newer = [each for each in changes if each.revision > self.replicas_revision]
         changed = False
         for change in newer:
             if isinstance(change, Removed):
                 changed |= self._take_removed(change.key, since, now)
             else:
                 changed |= self._take_written(change, since, now)
-        self._recent.note(newer)
-        self.replicas_at = max(self.replicas_at, at)
-        self.changed_at = max([self.changed_at, *(each.revision for each in newer)])
+        self._recent.append(newer)
+        self.replicas_revision = max(self.replicas_revision, at)
+        self.last_change_revision = max(
+            [self.last_change_revision, *(each.revision for each in newer)]
+        )
         return changed
 
-    def adopt_changes(
+    def apply_replicas_delta(
         self, message: ReplicasDelta, since: float, now: float = 0.0
     ) -> Result[bool, str]:
         """Take the changes that a peer sends.
@@ -289,23 +291,27 @@
             if message.base_epoch:
                 # A second watcher reports the same restore.
                 return Ok(False)
-            if message.since > self.replicas_at:
-                return Err(f"complete up to {self.replicas_at}, not up to {message.since}")
+            if message.base_revision > self.replicas_revision:
+                return Err(
+                    f"complete up to {self.replicas_revision}, not up to {message.base_revision}"
+                )
             changes: tuple[Item | Removed, ...] = (*message.written, *message.removed)
-            return Ok(self.change_replicas(changes, message.at, since, now))
-        if not self.is_newer(Position(message.epoch, message.at)):
+            return Ok(self.apply_replica_changes(changes, message.revision, since, now))
+        if not self.is_newer(Position(message.epoch, message.revision)):
             return Ok(False)
-        if (message.base_epoch, message.since) != (self.epoch, self.changed_at):
-            base = f"{self.changed_at} of epoch {self.epoch}"
-            return Err(f"known up to {base}, not {message.since} of epoch {message.base_epoch}")
+        if (message.base_epoch, message.base_revision) != (self.epoch, self.last_change_revision):
+            base = f"{self.last_change_revision} of epoch {self.epoch}"
+            return Err(
+                f"known up to {base}, not {message.base_revision} of epoch {message.base_epoch}"
+            )
         listed = self._items | {item.key: item for item in message.written}
         for each in message.removed:
             listed.pop(each.key, None)
-        changed = self.adopt_replicas(
+        changed = self.apply_replicas_snapshot(
             listed.values(),
-            message.at,
+            message.revision,
             since,
-            message.changed_at,
+            message.last_change_revision,
             epoch=message.epoch,
             now=now,
         )
@@ -321,14 +327,14 @@
             return False
         return position > self.position
 
-    def settle(self, now: float) -> bool:
+    def resolve_conflicts(self, now: float) -> bool:
         """Believe the store where it goes on contradicting what this node has seen later.
 
         :return: whether anything changed.
         """
-        self._superseded.forget(now)
+        self._superseded.expire(now)
         changed = False
-        for key in self._conflicts.due(now):
+        for key in self._conflicts.pop_due(now):
             item = self._items.get(key)
             if item is None:
                 changed |= self._records.remove(key, now)
@@ -346,48 +352,48 @@
     ) -> None:
         """Take all that a restored store holds, but for what this node has seen later."""
         self._restored = self._restore_delta(listed, position, changed_at)
-        self._records.keep_leaving(now)
+        self._records.retain_leaving(now)
         for key in self._records:
             if key not in listed:
                 self._miss(key, since, now)
         for item in listed.values():
-            if item in self._superseded and self._records.is_foreign(item):
-                self._conflicts.note(item.key, now + OUTDATED_IGNORED_S)
+            if item in self._superseded and self._records.is_externally_written(item):
+                self._conflicts.add(item.key, now + OUTDATED_RECORD_TTL_S)
                 continue
-            self._conflicts.end(item.key)
+            self._conflicts.remove(item.key)
             self._records.put(item, since, position.epoch, again=True)
         self._items = dict(listed)
-        self.epoch, self.replicas_at = position.epoch, position.revision
-        self.changed_at = changed_at
-        self._recent.restart(position.revision)
+        self.epoch, self.replicas_revision = position.epoch, position.revision
+        self.last_change_revision = changed_at
+        self._recent.reset(position.revision)
 
     def _miss(self, key: str, since: float, now: float) -> None:
-        item = self._records.item(key)
-        if item is not None and self._records.is_foreign(item):
-            self._conflicts.note(key, now + MISSING_KEPT_S)
+        item = self._records.get(key)
+        if item is not None and self._records.is_externally_written(item):
+            self._conflicts.add(key, now + MISSING_RECORD_TTL_S)
         else:
             self._records.remove(key, since)
 
     def _take_written(self, item: Item, since: float, now: float) -> bool:
         self._items[item.key] = item
-        before = self._records.item(item.key)
+        before = self._records.get(item.key)
         if before is not None and before != item:
-            self._superseded.note(before, now)
-        ended = self._conflicts.end(item.key)
+            self._superseded.add(before, now)
+        ended = self._conflicts.remove(item.key)
         # Peers have the same conflict, and are to learn of its end.
         return self._records.put(item, since, self.epoch, again=ended) or ended
 
     def _take_removed(self, key: str, since: float, now: float) -> bool:
         self._items.pop(key, None)
-        before = self._records.item(key)
+        before = self._records.get(key)
         if before is not None:
-            self._superseded.note(before, now)
-        ended = self._conflicts.end(key)
+            self._superseded.add(before, now)
+        ended = self._conflicts.remove(key)
         return self._records.remove(key, since) or ended
 
     # Updates for peers.
 
-    def replicas_update(
+    def build_replicas_update(
         self, held_at: int = 0, age_s: float = UNKNOWN_AGE_S
     ) -> ReplicasSnapshot | ReplicasDelta:
         """Give a peer the replicas, or what has changed of them in the same epoch.
@@ -395,45 +401,51 @@
         :param held_at: the revision up to which the peer is complete.
         :param age_s: how long ago what has changed since may have changed, in seconds.
         """
-        changes = self._recent.after(held_at) if held_at else None
+        changes = self._recent.list_after(held_at) if held_at else None
         if changes is None:
             items = tuple(self._items.values())
-            return ReplicasSnapshot(self.replicas_at, self.changed_at, items, self.epoch)
+            return ReplicasSnapshot(
+                self.replicas_revision, self.last_change_revision, items, self.epoch
+            )
         return ReplicasDelta(
             held_at,
-            self.replicas_at,
+            self.replicas_revision,
             tuple(each for each in changes if isinstance(each, Item)),
             tuple(each for each in changes if isinstance(each, Removed)),
             age_s,
             self.epoch,
         )
 
-    def restore_update(self) -> ReplicasSnapshot | ReplicasDelta:
+    def build_restore_update(self) -> ReplicasSnapshot | ReplicasDelta:
         """Give a peer in the epoch before what the restored store has changed.
 
         :return: the difference while nothing else has changed since; else all.
         """
         restored = self._restored
-        if restored is None or restored.at != self.replicas_at or restored.epoch != self.epoch:
-            return self.replicas_update()
+        if (
+            restored is None
+            or restored.revision != self.replicas_revision
+            or restored.epoch != self.epoch
+        ):
+            return self.build_replicas_update()
         return restored
 
-    def answers(self, request: CatalogRequest) -> list[CatalogAnswer]:
+    def answer_request(self, request: CatalogRequest) -> list[CatalogAnswer]:
         """Give a peer what it lacks.
 
         :rtype: list[CatalogAnswer]
         """
         answers: list[CatalogAnswer] = []
         if self.catalog.version > request.version:
-            answers.append(self.catalog_update(request.version))
+            answers.append(self.build_catalog_update(request.version))
         if request.epoch == self.epoch:
-            if self.replicas_at > request.replicas_at:
-                answers.append(self.replicas_update(request.replicas_at))
+            if self.replicas_revision > request.replicas_revision:
+                answers.append(self.build_replicas_update(request.replicas_revision))
         elif request.epoch < self.epoch:
             # One that asks without an epoch may be of any.
             is_before = self._restored is not None and request.epoch == self._restored.base_epoch
-            whole = not is_before or not request.replicas_at
-            answers.append(self.replicas_update() if whole else self.restore_update())
+            whole = not is_before or not request.replicas_revision
+            answers.append(self.build_replicas_update() if whole else self.build_restore_update())
         return answers
 
     def _restore_delta(
@@ -445,7 +457,7 @@
         removed = [Removed(key, position.revision) for key in self._items if key not in listed]
         written = [item for item in listed.values() if self._items.get(item.key) != item]
         return ReplicasDelta(
-            self.changed_at,
+            self.last_change_revision,
             position.revision,
             tuple(written),
             tuple(removed),
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_difference.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_difference.py
@@ -1,6 +1,6 @@
 import zlib
 
-from chalkyoke.catalog.difference import difference, restore
+from chalkyoke.catalog.difference import apply_difference, encode_difference
 from hypothesis import given
 from hypothesis import strategies as st
 from result import Err, Ok
@@ -13,12 +13,12 @@
 
 @given(documents, documents)
 def test_a_difference_restores_the_new_document(base, target):
-    assert restore(base, difference(base, target), MOST) == Ok(target)
+    assert apply_difference(base, encode_difference(base, target), MOST) == Ok(target)
 
 
 @given(documents, documents, documents)
 def test_a_difference_to_another_document_is_never_taken_for_one(base, other, target):
-    restored = restore(other, difference(base, target), MOST)
+    restored = apply_difference(other, encode_difference(base, target), MOST)
     assert isinstance(restored, Err) or restored == Ok(target)
 
 
@@ -27,10 +27,10 @@
     base = b'{"version":1},' + b",".join(records)
     records[700] = b'{"route":"700","host":"moved"}'
     target = b'{"version":2},' + b",".join(records)
-    assert len(difference(base, target)) < 200 < len(zlib.compress(target, 1)) / 20
+    assert len(encode_difference(base, target)) < 200 < len(zlib.compress(target, 1)) / 20
 
 
 def test_what_is_no_difference_or_too_large_is_refused():
-    assert isinstance(restore(b"", b"no zlib", MOST), Err)
-    assert isinstance(restore(b"", zlib.compress(b"no edits"), MOST), Err)
-    assert isinstance(restore(b"", difference(b"", b"x" * 2000), 1000), Err)
+    assert isinstance(apply_difference(b"", b"no zlib", MOST), Err)
+    assert isinstance(apply_difference(b"", zlib.compress(b"no edits"), MOST), Err)
+    assert isinstance(apply_difference(b"", encode_difference(b"", b"x" * 2000), 1000), Err)
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_follower.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_follower.py
@@ -1,21 +1,21 @@
 import asyncio
 
 from chalkyoke.catalog.follower import (
-    IDLE_S,
-    LOST_S,
     RELIEVED_PAUSE_S,
+    ROLE_CHECK_INTERVAL_S,
     STANDBY_WAIT_S,
-    Part,
+    STORE_LOST_AFTER_S,
     StoreFollower,
-    WatchBounds,
+    WatchRole,
+    WatchTimeouts,
 )
 from chalkyoke.storage.messages import Changes, Listing, Removed, Unavailable
 
 from tests import virtual
 
-BOUNDS = WatchBounds(1.5, 0.75)
-TIMED_OUT = Unavailable("timed out", may_be_done=True)
-REFUSED = Unavailable("503", may_be_done=False)
+BOUNDS = WatchTimeouts(1.5, 0.75)
+TIMED_OUT = Unavailable("timed out", may_have_been_applied=True)
+REFUSED = Unavailable("503", may_have_been_applied=False)
 
 
 class ScriptedStore:
@@ -48,18 +48,18 @@
     def __init__(self):
         self.news, self.beliefs = [], []
 
-    def listed(self, listing):
+    def on_listing(self, listing):
         pass
 
-    def changed(self, found, age_s):
+    def on_changes(self, found, age_s):
         if found.changes:
             self.news.append((asyncio.get_running_loop().time(), age_s))
 
-    def lost(self, is_lost):
+    def on_availability(self, is_lost):
         self.beliefs.append(is_lost)
 
 
-def follow(store, for_s, part=lambda: Part.FIRST, at_last=lambda follower: None):
+def follow(store, for_s, part=lambda: WatchRole.PRIMARY, at_last=lambda follower: None):
     async def main():
         loop = asyncio.get_running_loop()
         taker = Taker()
@@ -99,12 +99,12 @@
     store = ScriptedStore(*["refused"] * 6, (0.0, 5))
     taker = follow(store, 8.0)
     assert taker.beliefs == [True, False]
-    assert store.asked[2][0] - store.asked[0][0] < LOST_S
+    assert store.asked[2][0] - store.asked[0][0] < STORE_LOST_AFTER_S
 
 
 def test_a_node_that_was_relieved_asks_rarely_until_it_is_answered():
     store = ScriptedStore(*["refused"] * 100)
-    parts = [Part.FIRST]
+    parts = [WatchRole.PRIMARY]
 
     async def main():
         loop = asyncio.get_running_loop()
@@ -113,7 +113,7 @@
             StoreFollower(store, BOUNDS, taker, lambda: parts[0], loop.time).run()
         )
         await asyncio.sleep(4.0)
-        parts[0] = Part.NONE
+        parts[0] = WatchRole.NONE
         before = len(store.asked)
         await asyncio.sleep(5 * RELIEVED_PAUSE_S)
         assert len(store.asked) - before <= 6
@@ -127,16 +127,16 @@
 
 def test_a_watch_that_could_not_have_been_answered_yet_is_left_alone():
     store = ScriptedStore()
-    follow(store, 1.25 + BOUNDS.answer_s / 2, at_last=lambda follower: follower.renew())
+    follow(store, 1.25 + BOUNDS.answer_s / 2, at_last=lambda follower: follower.restart_watch())
     assert len(store.asked) == 1
     store = ScriptedStore()
-    follow(store, 1.25 + BOUNDS.answer_s * 1.5, at_last=lambda follower: follower.renew())
+    follow(store, 1.25 + BOUNDS.answer_s * 1.5, at_last=lambda follower: follower.restart_watch())
     assert len(store.asked) == 2
 
 
 def test_a_standby_asks_rarely_and_at_once_when_it_becomes_the_first():
     store = ScriptedStore()
-    parts = [Part.STANDBY]
+    parts = [WatchRole.STANDBY]
 
     async def main():
         loop = asyncio.get_running_loop()
@@ -144,8 +144,8 @@
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(1.25 + STANDBY_WAIT_S + 1.0)
         assert [wait_s for _, wait_s in store.asked] == [STANDBY_WAIT_S] * 2
-        parts[0] = Part.FIRST
-        await asyncio.sleep(IDLE_S + 0.01)
+        parts[0] = WatchRole.PRIMARY
+        await asyncio.sleep(ROLE_CHECK_INTERVAL_S + 0.01)
         assert [wait_s for _, wait_s in store.asked[2:]] == [BOUNDS.wait_s]
         task.cancel()
 
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_keeper.py
@@ -1,8 +1,8 @@
 import asyncio
 import json
 
-from chalkyoke.catalog.follower import WatchBounds
-from chalkyoke.catalog.keeper import CatalogKeeper, Keys
+from chalkyoke.catalog.follower import WatchTimeouts
+from chalkyoke.catalog.keeper import CatalogSynchronizer, StoreKeys
 from chalkyoke.catalog.resources import Catalog, Replica
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.membership.messages import Heartbeat, MemberRecord
@@ -12,7 +12,7 @@
 
 from tests import virtual
 
-KEYS = Keys("op/config", ("servers/",), "nodes/", "held/")
+KEYS = StoreKeys("op/config", ("servers/",), "nodes/", "held/")
 
 
 def record(host, domain="a"):
@@ -72,14 +72,14 @@
         def send(self, address, message):
             pass
 
-    keeper = CatalogKeeper(
+    keeper = CatalogSynchronizer(
         state,
         store,
         KEYS,
         view,
         NoLinks(),
         1,
-        WatchBounds(5.0, 1.0),
+        WatchTimeouts(5.0, 1.0),
         lambda: None,
         listed.append,
         loop.time,
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_recent.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_recent.py
@@ -1,6 +1,6 @@
 from chalkyoke.catalog.recent import (
-    MOST_CHANGES,
-    MOST_DOCUMENT_BYTES,
+    MAX_RECENT_CHANGES,
+    MAX_RECENT_DOCUMENTS_BYTES,
     RecentChanges,
     RecentDocuments,
 )
@@ -9,26 +9,26 @@
 
 def test_only_the_newest_change_of_each_key_is_told():
     recent = RecentChanges()
-    recent.restart(10)
-    recent.note([Item("a", b"2", 13), Item("a", b"1", 12), Removed("b", 14)])
-    assert recent.after(10) == [Item("a", b"2", 13), Removed("b", 14)]
-    assert recent.after(13) == [Removed("b", 14)]
+    recent.reset(10)
+    recent.append([Item("a", b"2", 13), Item("a", b"1", 12), Removed("b", 14)])
+    assert recent.list_after(10) == [Item("a", b"2", 13), Removed("b", 14)]
+    assert recent.list_after(13) == [Removed("b", 14)]
 
 
 def test_what_is_forgotten_is_not_told_by_halves():
     recent = RecentChanges()
-    recent.restart(10)
-    assert recent.after(9) is None
-    recent.note(Item(f"k{number}", b"", 11 + number) for number in range(MOST_CHANGES + 1))
-    assert recent.after(10) is None
-    assert len(recent.after(11)) == MOST_CHANGES
+    recent.reset(10)
+    assert recent.list_after(9) is None
+    recent.append(Item(f"k{number}", b"", 11 + number) for number in range(MAX_RECENT_CHANGES + 1))
+    assert recent.list_after(10) is None
+    assert len(recent.list_after(11)) == MAX_RECENT_CHANGES
 
 
 def test_old_documents_go_when_all_are_too_large():
     recent = RecentDocuments()
-    half = b"x" * (MOST_DOCUMENT_BYTES // 2)
+    half = b"x" * (MAX_RECENT_DOCUMENTS_BYTES // 2)
     for version in (1, 2, 3):
-        recent.note(version, half)
+        recent.add(version, half)
     assert recent.find(1) is None and recent.find(2) == half and recent.find(3) == half
-    recent.note(4, b"x" * (MOST_DOCUMENT_BYTES + 1))
+    recent.add(4, b"x" * (MAX_RECENT_DOCUMENTS_BYTES + 1))
     assert recent.find(4) is None
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_restores.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_restores.py
@@ -1,6 +1,6 @@
 from chalkyoke.catalog.messages import CatalogRequest, ReplicasDelta
 from chalkyoke.catalog.resources import Catalog, Replica
-from chalkyoke.catalog.restores import MISSING_KEPT_S, OUTDATED_IGNORED_S
+from chalkyoke.catalog.restores import MISSING_RECORD_TTL_S, OUTDATED_RECORD_TTL_S
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.rollouts.resources import RolloutOrder, RolloutState, RolloutStatus
 from chalkyoke.storage.messages import Item, Removed
@@ -22,7 +22,7 @@
 
 def make_state(*items, at=10, epoch=1):
     state = CatalogState(lambda document: Ok(Catalog(version=1)), read_record)
-    state.adopt_replicas(items, at, 0.0, epoch=epoch, now=0.0)
+    state.apply_replicas_snapshot(items, at, 0.0, epoch=epoch, now=0.0)
     return state
 
 
@@ -36,22 +36,22 @@
 # Guards against updates that are ignored since the revisions of a restored store are lower.
 def test_a_later_epoch_is_newer_whatever_its_revisions_are():
     state = make_state(A, B, at=35)
-    assert state.adopt_replicas([A, B], 31, 0.0, epoch=2, now=1.0)
-    assert (state.epoch, state.replicas_at, state.changed_at) == (2, 31, 4)
-    assert state.change_replicas([Item("a", b"a1 draining", 32)], 32, 1.0, 1.0)
+    assert state.apply_replicas_snapshot([A, B], 31, 0.0, epoch=2, now=1.0)
+    assert (state.epoch, state.replicas_revision, state.last_change_revision) == (2, 31, 4)
+    assert state.apply_replica_changes([Item("a", b"a1 draining", 32)], 32, 1.0, 1.0)
     assert names(state, draining=True) == {"a1"}
-    assert not state.adopt_replicas([A, B], 36, 0.0, epoch=1, now=1.0)
+    assert not state.apply_replicas_snapshot([A, B], 36, 0.0, epoch=1, now=1.0)
 
 
 # Guards against work for a replica that the copy says is ready, after it said that it leaves.
 def test_a_start_that_leaves_is_not_ready_again_by_an_older_record():
     state = make_state(A, B)
-    state.change_replicas([Item("a", b"a1 draining", 12)], 12, 0.0, 0.0)
-    state.adopt_replicas([A, B], 10, 0.0, epoch=2, now=1.0)
+    state.apply_replica_changes([Item("a", b"a1 draining", 12)], 12, 0.0, 0.0)
+    state.apply_replicas_snapshot([A, B], 10, 0.0, epoch=2, now=1.0)
     assert names(state) == {"b1"}
-    state.settle(1.0 + OUTDATED_IGNORED_S)
+    state.resolve_conflicts(1.0 + OUTDATED_RECORD_TTL_S)
     assert names(state) == {"b1"}
-    state.change_replicas([Item("a", b"a2 ready", 11)], 11, 7.0, 7.0)
+    state.apply_replica_changes([Item("a", b"a2 ready", 11)], 11, 7.0, 7.0)
     assert names(state) == {"a2", "b1"}
 
 
@@ -59,12 +59,12 @@
 def test_a_start_that_is_gone_comes_back_only_if_the_store_keeps_it():
     for keeps in (False, True):
         state = make_state(A, B)
-        state.change_replicas([Removed("a", 12)], 12, 0.0, 0.0)
-        state.adopt_replicas([A, B], 10, 0.0, epoch=2, now=1.0)
+        state.apply_replica_changes([Removed("a", 12)], 12, 0.0, 0.0)
+        state.apply_replicas_snapshot([A, B], 10, 0.0, epoch=2, now=1.0)
         assert names(state) == {"b1"}
         if not keeps:
-            assert state.change_replicas([Removed("a", 11)], 11, 4.0, 4.0)
-        state.settle(1.0 + OUTDATED_IGNORED_S)
+            assert state.apply_replica_changes([Removed("a", 11)], 11, 4.0, 4.0)
+        state.resolve_conflicts(1.0 + OUTDATED_RECORD_TTL_S)
         assert names(state) == ({"a1", "b1"} if keeps else {"b1"})
 
 
@@ -72,13 +72,13 @@
 def test_a_record_that_the_copy_lacks_stays_in_force_until_it_is_written_again():
     for again in (False, True):
         state = make_state(B)
-        state.change_replicas([Item("a", b"a1 ready", 12)], 12, 0.0, 0.0)
-        state.adopt_replicas([B], 10, 0.0, epoch=2, now=1.0)
+        state.apply_replica_changes([Item("a", b"a1 ready", 12)], 12, 0.0, 0.0)
+        state.apply_replicas_snapshot([B], 10, 0.0, epoch=2, now=1.0)
         assert names(state) == {"a1", "b1"}
         if again:
             # Peers have the same conflict, and are to learn of its end.
-            assert state.change_replicas([Item("a", b"a1 ready", 11)], 11, 2.0, 2.0)
-        state.settle(1.0 + MISSING_KEPT_S)
+            assert state.apply_replica_changes([Item("a", b"a1 ready", 11)], 11, 2.0, 2.0)
+        state.resolve_conflicts(1.0 + MISSING_RECORD_TTL_S)
         assert names(state) == ({"a1", "b1"} if again else {"b1"})
 
 
@@ -86,8 +86,8 @@
 def test_an_answer_to_an_order_that_the_copy_lacks_is_gone_at_once():
     order = Item("order", b"2", 5)
     state = make_state(order)
-    state.change_replicas([Item("status", b"2", 12)], 12, 0.0, 0.0)
-    state.adopt_replicas([order], 10, 0.0, epoch=2, now=1.0)
+    state.apply_replica_changes([Item("status", b"2", 12)], 12, 0.0, 0.0)
+    state.apply_replicas_snapshot([order], 10, 0.0, epoch=2, now=1.0)
     assert set(state.orders) == {"pool"} and not state.statuses
 
 
@@ -95,21 +95,21 @@
 def test_an_order_that_took_the_place_of_another_stays_in_force():
     first = Item("order", b"2", 5)
     state = make_state(first)
-    state.change_replicas([Item("order", b"3", 12)], 12, 0.0, 0.0)
-    state.adopt_replicas([first], 10, 0.0, epoch=2, now=1.0)
+    state.apply_replica_changes([Item("order", b"3", 12)], 12, 0.0, 0.0)
+    state.apply_replicas_snapshot([first], 10, 0.0, epoch=2, now=1.0)
     assert state.orders["pool"].order.version == "3"
-    state.settle(1.0 + OUTDATED_IGNORED_S)
+    state.resolve_conflicts(1.0 + OUTDATED_RECORD_TTL_S)
     assert state.orders["pool"].order.version == "2"
 
 
 # Guards against a trial that begins anew, with another exposure, for an order written again.
 def test_an_order_that_was_lost_and_is_written_again_is_the_same_order():
     state = make_state(B, at=30)
-    state.change_replicas([Item("order", b"2", 35)], 35, 3.0, 3.0)
+    state.apply_replica_changes([Item("order", b"2", 35)], 35, 3.0, 3.0)
     given = state.orders["pool"]
-    state.adopt_replicas([B], 28, 0.0, epoch=2, now=5.0)
+    state.apply_replicas_snapshot([B], 28, 0.0, epoch=2, now=5.0)
     assert state.orders["pool"] == given
-    state.change_replicas([Item("order", b"2", 31)], 31, 6.0, 6.0)
+    state.apply_replica_changes([Item("order", b"2", 31)], 31, 6.0, 6.0)
     again = state.orders["pool"]
     assert (again.since, again.order.name) == (given.since, given.order.name)
     assert again.order.revision == 31
@@ -124,44 +124,49 @@
 def test_an_order_that_is_given_once_more_in_the_same_epoch_is_another():
     state = make_state(Item("order", b"2", 5))
     given = state.orders["pool"].order.name
-    state.change_replicas([Item("order", b"2", 12)], 12, 3.0, 3.0)
+    state.apply_replica_changes([Item("order", b"2", 12)], 12, 3.0, 3.0)
     assert not state.orders["pool"].order.name.matches(given)
 
 
 # Guards against whole listings to each host of a large domain when the store is restored.
 def test_peers_in_the_epoch_before_are_told_the_difference():
     state, peer, other = make_state(A, B), make_state(A, B), make_state(A)
-    state.adopt_replicas([B, Item("c", b"c1 ready", 9)], 9, 0.0, epoch=2, now=1.0)
-    delta = state.restore_update()
+    state.apply_replicas_snapshot([B, Item("c", b"c1 ready", 9)], 9, 0.0, epoch=2, now=1.0)
+    delta = state.build_restore_update()
     assert isinstance(delta, ReplicasDelta) and len(delta.written) == 1
-    assert peer.adopt_changes(delta, 0.0, 1.0) == Ok(True)
-    assert (peer.position, peer.changed_at) == (state.position, state.changed_at)
+    assert peer.apply_replicas_delta(delta, 0.0, 1.0) == Ok(True)
+    assert (peer.position, peer.last_change_revision) == (
+        state.position,
+        state.last_change_revision,
+    )
     assert names(peer) == names(state) == {"a1", "b1", "c1"}
     # A second delta of the same restore makes nobody ask for all.
-    assert peer.adopt_changes(delta, 0.0, 1.0) == Ok(False)
+    assert peer.apply_replicas_delta(delta, 0.0, 1.0) == Ok(False)
     # One that knew something else asks for all.
-    assert isinstance(other.adopt_changes(delta, 0.0, 1.0), Err)
-    (whole,) = state.answers(CatalogRequest(1, 0, other.epoch))
-    assert other.adopt_replicas(whole.items, whole.at, 0.0, whole.changed_at, epoch=2, now=1.0)
+    assert isinstance(other.apply_replicas_delta(delta, 0.0, 1.0), Err)
+    (whole,) = state.answer_request(CatalogRequest(1, 0, other.epoch))
+    assert other.apply_replicas_snapshot(
+        whole.items, whole.revision, 0.0, whole.last_change_revision, epoch=2, now=1.0
+    )
     assert other.position == state.position
 
 
 # Guards against updates of nodes that know no epoch, whose revisions can't be compared.
 def test_what_comes_without_an_epoch_is_not_taken_once_one_is_known():
     state = make_state(A, B, epoch=2)
-    assert not state.adopt_replicas([A], 40, 0.0, now=1.0)
-    assert state.adopt_changes(ReplicasDelta(10, 40, (), (Removed("a", 40),), 0.0), 0.0) == Ok(
-        False
-    )
+    assert not state.apply_replicas_snapshot([A], 40, 0.0, now=1.0)
+    assert state.apply_replicas_delta(
+        ReplicasDelta(10, 40, (), (Removed("a", 40),), 0.0), 0.0
+    ) == Ok(False)
     assert names(state) == {"a1", "b1"}
-    (answer,) = state.answers(CatalogRequest(1, 50))
+    (answer,) = state.answer_request(CatalogRequest(1, 50))
     assert len(answer.items) == 2
 
 
 # Guards against a node that knows no epoch yet and takes its first one for a restore.
 def test_the_first_epoch_is_no_restore():
     state = make_state(A, B, epoch=0)
-    assert state.adopt_replicas([B], 10, 0.0, epoch=3, now=1.0)
+    assert state.apply_replicas_snapshot([B], 10, 0.0, epoch=3, now=1.0)
     assert (state.epoch, names(state)) == (3, {"b1"})
 
 
@@ -186,8 +191,8 @@
 
     def tell(self, changes):
         for node in self.nodes[:2]:
-            if node.epoch == self.epoch and node.replicas_at == self.revision - 1:
-                node.change_replicas(changes, self.revision, self.now, self.now)
+            if node.epoch == self.epoch and node.replicas_revision == self.revision - 1:
+                node.apply_replica_changes(changes, self.revision, self.now, self.now)
         self.left |= names(self.nodes[0], draining=True)
 
     @rule(key=st.sampled_from(KEYS))
@@ -222,7 +227,7 @@
     @rule()
     def is_read(self):
         for node in self.nodes[:2]:
-            node.adopt_replicas(
+            node.apply_replicas_snapshot(
                 self.items.values(), self.revision, self.now, epoch=self.epoch, now=self.now
             )
 
@@ -230,19 +235,19 @@
     def passes(self, seconds):
         self.now += seconds
         for node in self.nodes:
-            node.settle(self.now)
+            node.resolve_conflicts(self.now)
 
     @rule()
     def peer_asks(self):
         watcher, peer = self.nodes[0], self.nodes[2]
-        for answer in watcher.answers(CatalogRequest(1, peer.replicas_at, peer.epoch)):
+        for answer in watcher.answer_request(CatalogRequest(1, peer.replicas_revision, peer.epoch)):
             if not isinstance(answer, ReplicasDelta):
-                at = (answer.at, self.now, answer.changed_at)
-                peer.adopt_replicas(answer.items, *at, epoch=answer.epoch, now=self.now)
-            elif isinstance(peer.adopt_changes(answer, self.now, self.now), Err):
-                (whole,) = watcher.answers(CatalogRequest(1, 0, peer.epoch))
-                at = (whole.at, self.now, whole.changed_at)
-                peer.adopt_replicas(whole.items, *at, epoch=whole.epoch, now=self.now)
+                at = (answer.revision, self.now, answer.last_change_revision)
+                peer.apply_replicas_snapshot(answer.items, *at, epoch=answer.epoch, now=self.now)
+            elif isinstance(peer.apply_replicas_delta(answer, self.now, self.now), Err):
+                (whole,) = watcher.answer_request(CatalogRequest(1, 0, peer.epoch))
+                at = (whole.revision, self.now, whole.last_change_revision)
+                peer.apply_replicas_snapshot(whole.items, *at, epoch=whole.epoch, now=self.now)
 
     @rule()
     def all_is_calm(self):
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_state.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_state.py
@@ -41,60 +41,64 @@
     state, peer, highest = make(), make(), 0
     for version, by_peer in steps:
         if by_peer:
-            peer.adopt_document(document(version))
-            state.adopt_snapshot(peer.catalog_update())
+            peer.apply_document(document(version))
+            state.apply_document_snapshot(peer.build_catalog_update())
             highest = max(highest, peer.catalog.version)
         else:
-            state.adopt_document(document(version))
+            state.apply_document(document(version))
             highest = max(highest, version)
         assert state.catalog.version == highest
 
 
 def test_what_can_t_be_read_changes_nothing():
     state = make()
-    state.adopt_document(document(3))
-    assert isinstance(state.adopt_document(b"{"), Err)
-    assert isinstance(state.adopt_snapshot(CatalogSnapshot(9, b"no zlib")), Err)
+    state.apply_document(document(3))
+    assert isinstance(state.apply_document(b"{"), Err)
+    assert isinstance(state.apply_document_snapshot(CatalogSnapshot(9, b"no zlib")), Err)
     assert state.catalog.version == 3
 
 
 def test_changes_apply_once_and_in_order():
     state = make()
-    state.adopt_replicas([Item("a", b"ready", 5)], at=10, since=0.0)
-    assert state.change_replicas([Item("a", b"draining", 12)], 12, 1.0)
-    assert not state.change_replicas([Item("a", b"ready", 5)], 12, 1.0)
+    state.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
+    assert state.apply_replica_changes([Item("a", b"draining", 12)], 12, 1.0)
+    assert not state.apply_replica_changes([Item("a", b"ready", 5)], 12, 1.0)
     assert state.replicas["a"].draining
-    assert state.change_replicas([Removed("a", 13)], 13, 2.0)
-    assert state.replicas == {} and state.departed["a"].since == 2.0
+    assert state.apply_replica_changes([Removed("a", 13)], 13, 2.0)
+    assert state.replicas == {} and state.removed_replicas["a"].since == 2.0
 
 
 def test_a_full_reading_replaces_and_an_older_one_does_not():
     state = make()
-    state.adopt_replicas([Item("a", b"ready", 5), Item("b", b"ready", 6)], at=10, since=0.0)
-    assert not state.adopt_replicas([Item("a", b"ready", 5)], at=9, since=0.0)
-    assert state.adopt_replicas([Item("b", b"ready", 6), Item("c", b"ready", 11)], at=12, since=3.0)
-    assert set(state.replicas) == {"b", "c"} and set(state.departed) == {"a"}
+    state.apply_replicas_snapshot(
+        [Item("a", b"ready", 5), Item("b", b"ready", 6)], at=10, since=0.0
+    )
+    assert not state.apply_replicas_snapshot([Item("a", b"ready", 5)], at=9, since=0.0)
+    assert state.apply_replicas_snapshot(
+        [Item("b", b"ready", 6), Item("c", b"ready", 11)], at=12, since=3.0
+    )
+    assert set(state.replicas) == {"b", "c"} and set(state.removed_replicas) == {"a"}
 
 
 def test_a_record_that_can_t_be_read_hides_no_other():
     state = make()
-    state.adopt_replicas([Item("a", b"", 5), Item("b", b"ready", 6)], at=10, since=0.0)
+    state.apply_replicas_snapshot([Item("a", b"", 5), Item("b", b"ready", 6)], at=10, since=0.0)
     assert set(state.replicas) == {"b"}
 
 
 def test_a_peer_is_told_what_it_lacks_and_nothing_else():
     state = make()
-    state.adopt_document(document(3))
-    state.adopt_replicas([Item("a", b"ready", 5)], at=10, since=0.0)
-    told = state.answers(CatalogRequest(version=3, replicas_at=4))
+    state.apply_document(document(3))
+    state.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
+    told = state.answer_request(CatalogRequest(version=3, replicas_revision=4))
     assert [type(each) for each in told] == [ReplicasSnapshot]
-    assert state.answers(CatalogRequest(3, 10)) == []
+    assert state.answer_request(CatalogRequest(3, 10)) == []
     newcomer = make()
-    for each in state.answers(CatalogRequest(0, 0)):
+    for each in state.answer_request(CatalogRequest(0, 0)):
         if isinstance(each, CatalogSnapshot):
-            newcomer.adopt_snapshot(each)
+            newcomer.apply_document_snapshot(each)
         else:
-            newcomer.adopt_replicas(each.items, each.at, 0.0)
+            newcomer.apply_replicas_snapshot(each.items, each.revision, 0.0)
     assert newcomer.complete and newcomer.replicas == state.replicas
 
 
@@ -102,80 +106,88 @@
     state, peer = make(), make()
     listing = [Item(name, b"ready", number) for number, name in enumerate("abcd", 1)]
     for each in (state, peer):
-        each.adopt_replicas(listing, at=10, since=0.0)
-        each.adopt_document(document(1))
-    state.change_replicas([Item("b", b"draining", 12), Removed("c", 13)], 20, 1.0)
-    state.adopt_document(document(2))
-    catalog, replicas = state.answers(CatalogRequest(peer.catalog.version, peer.replicas_at))
+        each.apply_replicas_snapshot(listing, at=10, since=0.0)
+        each.apply_document(document(1))
+    state.apply_replica_changes([Item("b", b"draining", 12), Removed("c", 13)], 20, 1.0)
+    state.apply_document(document(2))
+    catalog, replicas = state.answer_request(
+        CatalogRequest(peer.catalog.version, peer.replicas_revision)
+    )
     assert isinstance(catalog, CatalogDelta) and isinstance(replicas, ReplicasDelta)
     assert len(replicas.written) == len(replicas.removed) == 1
-    assert peer.adopt_delta(catalog) == Ok(True)
-    assert peer.adopt_changes(replicas, 1.0) == Ok(True)
+    assert peer.apply_document_delta(catalog) == Ok(True)
+    assert peer.apply_replicas_delta(replicas, 1.0) == Ok(True)
     assert peer.replicas == state.replicas and peer.catalog == state.catalog
-    assert (peer.replicas_at, peer.changed_at) == (state.replicas_at, state.changed_at) == (20, 13)
+    assert (
+        (peer.replicas_revision, peer.last_change_revision)
+        == (state.replicas_revision, state.last_change_revision)
+        == (20, 13)
+    )
 
 
 def test_a_change_to_what_a_node_lacks_is_not_taken():
     state, peer = make(), make()
-    peer.adopt_replicas([Item("a", b"ready", 5)], at=10, since=0.0)
-    assert isinstance(peer.adopt_changes(ReplicasDelta(11, 20, (), (), 0.0), 0.0), Err)
-    state.adopt_document(document(4))
-    state.adopt_document(document(5))
-    peer.adopt_document(document(3))
-    assert isinstance(peer.adopt_delta(state.catalog_update(4)), Err)
-    assert (peer.replicas_at, peer.catalog.version) == (10, 3)
+    peer.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
+    assert isinstance(peer.apply_replicas_delta(ReplicasDelta(11, 20, (), (), 0.0), 0.0), Err)
+    state.apply_document(document(4))
+    state.apply_document(document(5))
+    peer.apply_document(document(3))
+    assert isinstance(peer.apply_document_delta(state.build_catalog_update(4)), Err)
+    assert (peer.replicas_revision, peer.catalog.version) == (10, 3)
 
 
 def test_a_list_without_a_difference_is_no_change_and_raises_no_version():
     state, peer = make(), make()
     items = [Item("a", b"ready", 5), Item("b", b"ready", 7)]
-    state.adopt_replicas(items, at=10, since=0.0)
-    peer.adopt_replicas(items, at=12, since=0.0)
-    assert state.changed_at == peer.changed_at == 7
-    told = peer.replicas_update()
-    assert not state.adopt_replicas(told.items, told.at, 1.0, told.changed_at)
-    assert (state.replicas_at, state.changed_at) == (12, 7)
+    state.apply_replicas_snapshot(items, at=10, since=0.0)
+    peer.apply_replicas_snapshot(items, at=12, since=0.0)
+    assert state.last_change_revision == peer.last_change_revision == 7
+    told = peer.build_replicas_update()
+    assert not state.apply_replicas_snapshot(
+        told.items, told.revision, 1.0, told.last_change_revision
+    )
+    assert (state.replicas_revision, state.last_change_revision) == (12, 7)
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()), max_size=30))
 def test_nodes_told_by_differences_agree_with_the_one_that_follows_the_store(steps):
     state, peers = make(), [make(), make()]
     for each in (state, *peers):
-        each.adopt_replicas([Item("a", b"ready", 1)], at=1, since=0.0)
+        each.apply_replicas_snapshot([Item("a", b"ready", 1)], at=1, since=0.0)
     revision = 1
     for lost, key, gone in steps:
         revision += 2
-        known_at = state.changed_at
+        known_at = state.last_change_revision
         change = Removed(key, revision) if gone else Item(key, b"%d" % revision, revision)
-        state.change_replicas([change], revision + 1, 0.0)
+        state.apply_replica_changes([change], revision + 1, 0.0)
         for number, peer in enumerate(peers):
             if number != lost:
-                told = state.replicas_update(known_at)
-                if isinstance(peer.adopt_changes(told, 0.0), Err):
-                    for answer in state.answers(CatalogRequest(0, peer.replicas_at)):
-                        peer.adopt_changes(answer, 0.0)
+                told = state.build_replicas_update(known_at)
+                if isinstance(peer.apply_replicas_delta(told, 0.0), Err):
+                    for answer in state.answer_request(CatalogRequest(0, peer.replicas_revision)):
+                        peer.apply_replicas_delta(answer, 0.0)
                 assert peer.replicas == state.replicas
-                assert peer.changed_at == state.changed_at
+                assert peer.last_change_revision == state.last_change_revision
 
 
 def test_a_record_that_turns_bad_names_no_replica_and_one_that_turns_good_again_does():
     state = make()
-    state.adopt_replicas([Item("a", b"x", 1), Item("b", b"x", 2)], at=2, since=0.0)
-    assert state.change_replicas([Item("a", b"", 3)], 3, 0.0)
-    assert set(state.replicas) == {"b"} and not state.departed
+    state.apply_replicas_snapshot([Item("a", b"x", 1), Item("b", b"x", 2)], at=2, since=0.0)
+    assert state.apply_replica_changes([Item("a", b"", 3)], 3, 0.0)
+    assert set(state.replicas) == {"b"} and not state.removed_replicas
     # Written again and as bad as before: no news.
-    assert not state.change_replicas([Item("a", b"", 4)], 4, 0.0)
+    assert not state.apply_replica_changes([Item("a", b"", 4)], 4, 0.0)
     assert set(state.unreadable) == {"a"}
-    assert state.change_replicas([Item("a", b"x", 5)], 5, 0.0)
+    assert state.apply_replica_changes([Item("a", b"x", 5)], 5, 0.0)
     assert set(state.replicas) == {"a", "b"} and not state.unreadable
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), min_size=1))
 def test_bad_records_never_change_what_is_known_of_other_replicas(writes):
     state = make()
-    state.adopt_replicas([Item("good", b"x", 1)], at=1, since=0.0)
+    state.apply_replicas_snapshot([Item("good", b"x", 1)], at=1, since=0.0)
     for revision, (key, is_bad) in enumerate(writes, start=2):
-        state.change_replicas([Item(key, b"" if is_bad else b"x", revision)], revision, 0.0)
+        state.apply_replica_changes([Item(key, b"" if is_bad else b"x", revision)], revision, 0.0)
         assert state.replicas["good"].id == "good"
     last = dict(writes)
     assert set(state.replicas) - {"good"} == {key for key, is_bad in last.items() if not is_bad}
@@ -188,22 +200,22 @@
 def started(*starts):
     state = CatalogState(read_catalog, read_start)
     for revision, start in enumerate(starts, start=1):
-        state.change_replicas([Item("m", start, revision)], revision, 0.0)
+        state.apply_replica_changes([Item("m", start, revision)], revision, 0.0)
     return state
 
 
 def test_a_later_start_takes_the_place_of_the_one_before():
     state = started(b"1", b"2")
-    assert set(state.replicas) == {"m/2"} and not state.departed
-    assert [each.id for each in state.take_restarted()] == ["m/1"]
-    assert state.take_restarted() == []
+    assert set(state.replicas) == {"m/2"} and not state.removed_replicas
+    assert [each.id for each in state.pop_restarted()] == ["m/1"]
+    assert state.pop_restarted() == []
 
 
 def test_late_news_of_the_old_start_never_undo_the_new_one_on_whichever_way_they_come():
     state, behind = started(b"1", b"2"), started(b"1")
-    state.adopt_changes(ReplicasDelta(0, 1, (Item("m", b"1", 1),), (), 0.1), 0.0)
-    state.adopt_replicas([Item("m", b"1", 1)], at=1, since=0.0)
+    state.apply_replicas_delta(ReplicasDelta(0, 1, (Item("m", b"1", 1),), (), 0.1), 0.0)
+    state.apply_replicas_snapshot([Item("m", b"1", 1)], at=1, since=0.0)
     assert set(state.replicas) == {"m/2"}
     # Two nodes that hold different starts for a while agree again.
-    behind.adopt_changes(state.replicas_update(1, 0.1), 0.0)
+    behind.apply_replicas_delta(state.build_replicas_update(1, 0.1), 0.0)
     assert set(behind.replicas) == {"m/2"}
--- a/packages/chalkyoke/src/chalkyoke/configuration/chunks.py
+++ b/packages/chalkyoke/src/chalkyoke/configuration/chunks.py
@@ -25,7 +25,7 @@
     return hashlib.blake2b(content, digest_size=16, person=b"chunk").hexdigest()
 
 
-def cut(specs: Specs) -> dict[str, bytes]:
+def split_chunks(specs: Specs) -> dict[str, bytes]:
     """Cut specs into chunks: one for each kind, and several for the many teams.
 
     :return: content by chunk name; equal specs give equal bytes.
@@ -36,7 +36,7 @@
     return {name: msgpack.packb(entries) for name, entries in groups.items()}
 
 
-def join(chunks: dict[str, bytes]) -> Specs:
+def merge_chunks(chunks: dict[str, bytes]) -> Specs:
     """Put chunks together.
 
     :raises ValueError: when a chunk is not readable.
--- a/packages/chalkyoke/src/chalkyoke/configuration/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/configuration/messages.py
@@ -41,8 +41,8 @@
     :param held: hashes of the chunks that need not be sent.
     """
 
-    above: int
-    held: tuple[str, ...]
+    above_revision: int
+    held_chunks: tuple[str, ...]
 
 
 class RevisionAnswer(msgspec.Struct, frozen=True, array_like=True, tag="revision_answer"):
@@ -55,7 +55,7 @@
 class HostsRequest(msgspec.Struct, frozen=True, array_like=True, tag="hosts_request"):
     """Ask a peer for its host list."""
 
-    above: int
+    above_version: int
 
 
 class ListedHost(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/chalkyoke/src/chalkyoke/configuration/publisher.py
+++ b/packages/chalkyoke/src/chalkyoke/configuration/publisher.py
@@ -12,9 +12,9 @@
 import msgpack
 import msgspec
 
-from chalkyoke.configuration.chunks import MAX_CHUNK_BYTES, chunk_hash, cut, join
+from chalkyoke.configuration.chunks import MAX_CHUNK_BYTES, chunk_hash, merge_chunks, split_chunks
 from chalkyoke.configuration.messages import Revision, Root
-from chalkyoke.configuration.resources import Problem, Specs, build, check_spec
+from chalkyoke.configuration.resources import Problem, Specs, build_resources, check_spec
 from chalkyoke.configuration.state import EMPTY_ROOT
 
 ROOT_KEY = "chalkyoke/root"
@@ -131,7 +131,7 @@
 
 
 ApplyOutcome = Accepted | Conflict | Invalid | NotReached | Unsettled
-Machine = Generator[StoreCall, StoreAnswer, ApplyOutcome]
+StoreProgram = Generator[StoreCall, StoreAnswer, ApplyOutcome]
 
 
 def encode_root(root: Root) -> bytes:
@@ -170,7 +170,7 @@
     return tuple(paths)
 
 
-def publish(change: Change, now_ms: int) -> Machine:
+def publish_change(change: Change, now_ms: int) -> StoreProgram:
     """Publish one change.
 
     Drive it with ``send``: it yields a :class:`Get` or :class:`Put` and wants the store's answer.
@@ -191,7 +191,7 @@
         before = yield from _load(root)
         if before is None:
             return Unsettled(change.change_id) if swapped else NotReached()
-        planned = plan(root, before, change, now_ms)
+        planned = plan_change(root, before, change, now_ms)
         if not isinstance(planned, Planned):
             return planned
         if not planned.paths and not swapped:
@@ -220,7 +220,9 @@
     paths: tuple[str, ...]
 
 
-def plan(root: Root, before: Specs, change: Change, now_ms: int) -> Planned | Conflict | Invalid:
+def plan_change(
+    root: Root, before: Specs, change: Change, now_ms: int
+) -> Planned | Conflict | Invalid:
     """Work out what a change would do; nothing is written.
 
     :param before: the specs of ``root``.
@@ -243,10 +245,10 @@
     if conflict is not None:
         return conflict
 
-    built = build(after)
+    built = build_resources(after)
     if built.is_err():
         problems += built.unwrap_err()
-    chunks = cut(after)
+    chunks = split_chunks(after)
     for name, content in chunks.items():
         if len(content) > MAX_CHUNK_BYTES:
             problems.append(Problem(path=name, message=f"is larger than {MAX_CHUNK_BYTES} bytes"))
@@ -296,7 +298,7 @@
         if found is None or found.value is None:
             return None
         chunks[digest] = found.value
-    return join(chunks)
+    return merge_chunks(chunks)
 
 
 def _store_chunks(chunks: dict[str, bytes], held: Root) -> Generator[StoreCall, StoreAnswer, bool]:
--- a/packages/chalkyoke/src/chalkyoke/configuration/resources.py
+++ b/packages/chalkyoke/src/chalkyoke/configuration/resources.py
@@ -199,7 +199,7 @@
     return Ok(resource.model_dump(exclude_defaults=True, by_alias=True))
 
 
-def build(specs: Specs, earlier: Built | None = None) -> Result[Resources, list[Problem]]:
+def build_resources(specs: Specs, earlier: Built | None = None) -> Result[Resources, list[Problem]]:
     """Build a fleet's resources and check that they fit each other.
 
     :param specs: specs by (kind, name), as in :func:`read_document`.
--- a/packages/chalkyoke/src/chalkyoke/configuration/selectors.py
+++ b/packages/chalkyoke/src/chalkyoke/configuration/selectors.py
@@ -59,12 +59,12 @@
             raise ValueError(f"label {name!r} names a single machine; select by labels of classes")
         if not LABEL_NAME.match(name):
             raise ValueError(f"label name {name!r} is not usable")
-        for value in values_of(condition):
+        for value in condition_values(condition):
             if _looks_like_machine(value):
                 raise ValueError(f"value {value!r} of {name!r} is the address of a single machine")
 
 
-def values_of(condition: Condition) -> list[str]:
+def condition_values(condition: Condition) -> list[str]:
     """List the values that a condition names.
 
     :rtype: list[str]
@@ -74,7 +74,7 @@
     return condition.excluding if isinstance(condition, NotIn) else condition
 
 
-def matches(conditions: Mapping[str, Condition], labels: Mapping[str, str]) -> bool:
+def labels_match(conditions: Mapping[str, Condition], labels: Mapping[str, str]) -> bool:
     """Tell whether labels satisfy every condition of a selector.
 
     :rtype: bool
@@ -89,7 +89,7 @@
         if isinstance(condition, NotIn):
             if value in condition.excluding:
                 return False
-        elif value is None or value not in values_of(condition):
+        elif value is None or value not in condition_values(condition):
             return False
     return True
 
--- a/packages/chalkyoke/src/chalkyoke/configuration/state.py
+++ b/packages/chalkyoke/src/chalkyoke/configuration/state.py
@@ -7,9 +7,9 @@
 import msgspec
 from result import Err, Ok, Result
 
-from chalkyoke.configuration.chunks import chunk_hash, join
+from chalkyoke.configuration.chunks import chunk_hash, merge_chunks
 from chalkyoke.configuration.messages import Root
-from chalkyoke.configuration.resources import Resources, Specs, build
+from chalkyoke.configuration.resources import Resources, Specs, build_resources
 from chalkyoke.invariants import require
 
 EMPTY_ROOT = Root(0, {}, ())
@@ -29,14 +29,14 @@
         """The revision in force; 0 before the first one."""
         return self.root.revision
 
-    def missing(self, root: Root) -> list[str]:
+    def missing_chunks(self, root: Root) -> list[str]:
         """List the hashes of a root's chunks that are not held here.
 
         :rtype: list[str]
         """
         return [each for each in root.chunks.values() if each not in self.chunks]
 
-    def adopt(self, root: Root, fetched: dict[str, bytes]) -> Result[bool, str]:
+    def apply_root(self, root: Root, fetched: dict[str, bytes]) -> Result[bool, str]:
         """Move to a configuration, if its revision is higher.
 
         :param root: what the store or a peer gave.
@@ -60,10 +60,10 @@
 
     def _take(self, root: Root, chunks: dict[str, bytes]) -> Result[bool, str]:
         try:
-            specs = join(chunks)
+            specs = merge_chunks(chunks)
         except (ValueError, msgspec.MsgspecError) as error:
             return Err(f"revision {root.revision} is not readable: {error}")
-        built = build(specs, (self.specs, self.resources))
+        built = build_resources(specs, (self.specs, self.resources))
         if isinstance(built, Err):
             first = built.err_value[0]
             return Err(f"revision {root.revision}: {first.path}: {first.message}")
--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -269,7 +269,7 @@
         now = parts.now()
         begun = self._delivery.head_sent
         time_left = progress.attempt < MAX_GRANTS and admission.ends - now > MIN_SEND_S
-        if not begun and admission.route.streams:
+        if not begun and admission.route.is_stream:
             time_left = time_left and now < admission.patience
         if end is SendEnd.DECLINED:
             time_left = time_left and not self._has_tried_all(admission)
@@ -421,7 +421,7 @@
             parts.headers,
             self._fields.request_id,
             parts.now,
-            streams=admission.route.streams,
+            streams=admission.route.is_stream,
             first=lambda first_s: parts.grants.first_output(admission, granted, first_s),
             told=lambda status, fields: self._note_told(granted, status, fields),
         )
@@ -505,7 +505,7 @@
             self._connection.cancel()
         if self._granted is not None and self._granted.started:
             # A stream that was cut was slow or long; of any other answer nothing has come.
-            failed = not admission.route.streams
+            failed = not admission.route.is_stream
             self._feedback.note_version(admission, self._granted, failed=failed)
         self._release_cancelled(admission)
         self._parts.record("expired", admission, sends=self._progress.sends.arrivals)
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -240,7 +240,7 @@
         admission = wanted.admission
         now = self._now()
         fields = admission.fields
-        streams = admission.route.streams
+        streams = admission.route.is_stream
         last = admission.patience if streams else admission.ends
         return Acquire(
             request=admission.request_id,
--- a/packages/chalkyoke/src/chalkyoke/gateway/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/reception.py
@@ -85,11 +85,11 @@
         return Rejection(400, "no request id")
     host = (find(request.headers, b"host") or b"").decode("latin-1")
     path = request.target.partition(b"?")[0].decode("latin-1")
-    route = catalog.route(host, path)
+    route = catalog.find_route(host, path)
     if route is None:
         return Rejection(404, "no route")
-    team = catalog.team(fields.key) if fields.key else None
-    if team is None and catalog.keyed and not route.public:
+    team = catalog.find_team(fields.key) if fields.key else None
+    if team is None and catalog.requires_keys and not route.public:
         return Rejection(401, "unknown key")
     service = catalog.services.get(pick_target(route, _point(fields.request_id)))
     if service is None:
@@ -106,11 +106,11 @@
         return True
     key = admission.fields.key
     if admission.team is not None:
-        team = catalog.team(key) if key else None
+        team = catalog.find_team(key) if key else None
         if team is None or team.name != admission.team.name:
             return False
     route = admission.route
-    found = catalog.route(route.host, route.prefix)
+    found = catalog.find_route(route.host, route.prefix)
     if found is None or found.prefix != route.prefix:
         return False
     return any(target.service == admission.service.name for target in found.targets)
@@ -155,7 +155,7 @@
     deadline = route.timeout_s if fields.deadline_s is None else fields.deadline_s
     ends = now + min(deadline, route.timeout_s)
     patience = ends
-    if route.streams:
+    if route.is_stream:
         gaps = max(MIN_PATIENCE_S, PATIENCE_GOALS * route.goal_s, PATIENCE_GAPS * route.gap_goal_s)
         patience = min(ends, now + gaps)
     return Admission(
@@ -178,7 +178,7 @@
     if team is None or not team.by_tokens:
         return 1.0
     tokens = fields.prompt_tokens + fields.most_output_tokens
-    return float(tokens) if tokens else team.plain_cost
+    return float(tokens) if tokens else team.default_cost
 
 
 def _point(request_id: str) -> float:
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
@@ -16,7 +16,7 @@
 
 from tests import virtual
 
-TEAM = Team("t", ("k",), rate_per_s=1000.0, by_tokens=True, plain_cost=200.0)
+TEAM = Team("t", ("k",), rate_per_s=1000.0, by_tokens=True, default_cost=200.0)
 ROUTE = Route("chat", "h", "/", (Target("model", 1.0),), RouteKind.STREAM, 8.0, 0.5, 0.3)
 CATALOG = Catalog(
     version=1,
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_reception.py
@@ -19,7 +19,7 @@
 )
 from chalkyoke.http1.messages import Request
 
-CLERKS = Team("clerks", ("k1", "k2"), rank=1, rate_per_s=10, by_tokens=True, plain_cost=200)
+CLERKS = Team("clerks", ("k1", "k2"), rank=1, rate_per_s=10, by_tokens=True, default_cost=200)
 
 
 def routes():
@@ -35,7 +35,11 @@
 def catalog(version=1, teams=(CLERKS,), declared=None):
     services = {"plain": Service("plain"), "model": Service("model", engine_slots=4)}
     return Catalog(
-        version, declared or routes(), services, {each.name: each for each in teams}, keyed=True
+        version,
+        declared or routes(),
+        services,
+        {each.name: each for each in teams},
+        requires_keys=True,
     )
 
 
--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -85,7 +85,7 @@
         :param address: link address of the node.
         """
         now = self._now()
-        limits = [each for each in message.items if each.word == LIMIT]
+        limits = [each for each in message.items if each.name == LIMIT]
         new = [self._take(each.replica, each.value, now - each.age_s, address) for each in limits]
         if any(new):
             self._changed()
--- a/packages/chalkyoke/src/chalkyoke/limits/known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/known.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from chalkyoke.catalog.starts import StartMemory
+from chalkyoke.catalog.starts import RetainedStarts
 
 # A limit from which on it is none, in requests a second: hundreds of times what a replica of the
 # largest fleets gets, and each request to one that is kept to a limit costs a question.
@@ -33,7 +33,7 @@
     """Remember what replicas say, by the id of a start. Of two reports the later one holds."""
 
     def __init__(self) -> None:
-        self._reports: StartMemory[_Report] = StartMemory()
+        self._reports: RetainedStarts[_Report] = RetainedStarts()
 
     def update(self, start: str, limit_per_s: float | None, at: float) -> bool:
         """Take a report.
@@ -48,7 +48,7 @@
         if report is None:
             if limit_per_s is None:
                 return False
-            self._reports.keep(start, _Report(limit_per_s, at), at)
+            self._reports.put(start, _Report(limit_per_s, at), at)
             return True
         if at < report.at:
             return False
@@ -77,7 +77,7 @@
 
     def forget(self, listed: Container[str], now: float) -> None:
         """Drop what is over."""
-        self._reports.forget(listed, now)
+        self._reports.expire(listed, now)
         for start in self._reports:
             if self.of(start) is None and now - self.said_at(start) > ENDED_KEPT_S:
-                self._reports.drop(start)
+                self._reports.remove(start)
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
@@ -1,4 +1,4 @@
-from chalkyoke.catalog.starts import KEPT_S, MOST_KEPT
+from chalkyoke.catalog.starts import MAX_RETAINED_STARTS, RETENTION_S
 from chalkyoke.limits.known import ENDED_KEPT_S, MOST_PER_S, KnownLimits
 
 
@@ -45,13 +45,13 @@
     known.forget({"listed"}, ENDED_KEPT_S + 2.0)
     assert not known.remembers("ended")
     assert known.of("gone") == 2.0
-    known.forget({"listed"}, KEPT_S + 1.0)
+    known.forget({"listed"}, RETENTION_S + 1.0)
     assert (known.of("listed"), known.of("gone")) == (2.0, None)
 
 
 def test_no_more_starts_are_remembered_than_bounded():
     known = KnownLimits()
-    for number in range(MOST_KEPT + 5):
+    for number in range(MAX_RETAINED_STARTS + 5):
         known.update(f"r{number}", 1.0, float(number))
-    assert len(known.limits()) == MOST_KEPT
+    assert len(known.limits()) == MAX_RETAINED_STARTS
     assert known.of("r0") is None
--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -9,7 +9,7 @@
 
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.balancing.local import LocalBalancer
-from chalkyoke.catalog.messages import ReplicasLeave
+from chalkyoke.catalog.messages import ReplicasLeaving
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.gateway.statements import Statement
@@ -37,7 +37,7 @@
         balancer: LocalBalancer,
         limits: LimitAnnouncements,
         metrics: Metrics,
-        send: Callable[[str, ReplicasLeave], None],
+        send: Callable[[str, ReplicasLeaving], None],
         changed: Callable[[], None],
         now: Callable[[], float],
     ) -> None:
@@ -66,11 +66,11 @@
         Its answers tell it some milliseconds before its record does, and alone while the store is
         silent: a scheduler that knew the record only would go on sending it work.
         """
-        if not self._state.note_leaving(replica.id, self._now()):
+        if not self._state.mark_leaving(replica.id, self._now()):
             return
         self._first_here = {*self._still_leaving(), replica.id}
         self._changed()
-        told_to = tell_all(self._view, self._send, ReplicasLeave((replica.id,)))
+        told_to = tell_all(self._view, self._send, ReplicasLeaving((replica.id,)))
         log.info("replica_leaves", replica=replica.id, source="answer", told_to=told_to)
         self._metrics.count("replica_leaves", source="answer")
 
@@ -81,13 +81,13 @@
             log.info("replica_rests", replica=replica.id, asked_s=seconds, for_s=for_s)
             self._metrics.count("replica_rests")
 
-    def receive(self, address: str, message: ReplicasLeave) -> None:
+    def receive(self, address: str, message: ReplicasLeaving) -> None:
         """Take what another node was told.
 
         :param address: link address of the node.
         """
         now = self._now()
-        new = [each for each in message.replicas if self._state.note_leaving(each, now)]
+        new = [each for each in message.replicas if self._state.mark_leaving(each, now)]
         if new:
             self._changed()
         for each in new:
@@ -103,8 +103,8 @@
         """
         leaving = self._still_leaving() | self._state.leaving_despite_restore()
         if leaving:
-            self._send(member.address, ReplicasLeave(tuple(sorted(leaving))))
+            self._send(member.address, ReplicasLeaving(tuple(sorted(leaving))))
 
     def _still_leaving(self) -> set[str]:
         """Give what was first heard here and is still remembered, which bounds it."""
-        return {each for each in self._first_here if self._state.leaves(each)}
+        return {each for each in self._first_here if self._state.is_leaving(each)}
--- a/packages/chalkyoke/src/chalkyoke/node/api.py
+++ b/packages/chalkyoke/src/chalkyoke/node/api.py
@@ -23,10 +23,10 @@
     Invalid,
     NotReached,
     Planned,
-    plan,
-    publish,
+    plan_change,
+    publish_change,
 )
-from chalkyoke.configuration.resources import KINDS, Problem, Specs, build, read_document
+from chalkyoke.configuration.resources import KINDS, Problem, Specs, build_resources, read_document
 from chalkyoke.logs import logger
 from chalkyoke.node.fleet import FleetView
 
@@ -179,7 +179,7 @@
 
 def _shown(before: FleetView, specs: Specs) -> dict[str, Any]:
     """Work out what a configuration would leave without an upstream or unused."""
-    built = build(specs)
+    built = build_resources(specs)
     if isinstance(built, Err):
         return {}
     after = FleetView(built.ok_value, before.hosts)
@@ -198,7 +198,7 @@
             _invalid(resp, tuple(change.err_value))
             return
         keeper = self._node.configuration
-        planned = plan(keeper.state.root, keeper.state.specs, change.ok_value, 0)
+        planned = plan_change(keeper.state.root, keeper.state.specs, change.ok_value, 0)
         if isinstance(planned, Planned):
             shown = _shown(keeper.fleet, planned.specs)
             resp.media = {"revision": keeper.state.revision, "paths": planned.paths, **shown}
@@ -221,7 +221,7 @@
             return
         node = self._node
         wall_ms = node.events.stamp().wall_ms
-        outcome = await node.store.drive(publish(change.ok_value, wall_ms))
+        outcome = await node.store.run_program(publish_change(change.ok_value, wall_ms))
         node.events.add(EventKind.CHANGE, outcome=type(outcome).__name__, author=author)
         log.notice(
             "change {} by {}: {}", change.ok_value.change_id, author, outcome.__class__.__name__
--- a/packages/chalkyoke/src/chalkyoke/node/configuration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/configuration.py
@@ -119,14 +119,16 @@
     ) -> None:
         """Take a peer's question or answer."""
         if isinstance(message, RevisionRequest):
-            if self.state.revision > message.above:
-                chunks = {h: c for h, c in self.state.chunks.items() if h not in message.held}
+            if self.state.revision > message.above_revision:
+                chunks = {
+                    h: c for h, c in self.state.chunks.items() if h not in message.held_chunks
+                }
                 answer = RevisionAnswer(self.state.root, chunks)
                 self._links.send(connection.peer_address, answer)
         elif isinstance(message, RevisionAnswer):
             self.adopt(message.root, message.chunks, "a peer")
         elif isinstance(message, HostsRequest):
-            if self.hosts_version > message.above:
+            if self.hosts_version > message.above_version:
                 answer_hosts = HostsAnswer(self.hosts_version, self.hosts)
                 self._links.send(connection.peer_address, answer_hosts)
         else:
@@ -139,7 +141,7 @@
 
         :param source: where it came from, for the log.
         """
-        taken = self.state.adopt(root, chunks)
+        taken = self.state.apply_root(root, chunks)
         if isinstance(taken, Err):
             self._metrics.count("revision_unreadable")
             log.warning("a revision from {} was not taken: {}", source, taken.err_value)
@@ -170,7 +172,7 @@
 
     async def _fetch_chunks(self, root: Root) -> dict[str, bytes] | None:
         chunks: dict[str, bytes] = {}
-        for digest in self.state.missing(root):
+        for digest in self.state.missing_chunks(root):
             found = await self._store.get(CHUNK_PREFIX + digest)
             if not isinstance(found, Found) or found.value is None:
                 return None
--- a/packages/chalkyoke/src/chalkyoke/node/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleet.py
@@ -11,7 +11,7 @@
 
 from chalkyoke.configuration.messages import ListedHost
 from chalkyoke.configuration.resources import Resources, Route, Service, Team, UpstreamClass
-from chalkyoke.configuration.selectors import matches
+from chalkyoke.configuration.selectors import labels_match
 from chalkyoke.entry.reception import Directory
 from chalkyoke.membership.state import Candidate
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
@@ -35,7 +35,7 @@
 
 def _class_of(host: ListedHost, classes: Iterable[UpstreamClass]) -> UpstreamClass | None:
     """Find the class of an upstream: the matching one with the most conditions."""
-    found = [each for each in classes if matches(each.selector, host.labels)]
+    found = [each for each in classes if labels_match(each.selector, host.labels)]
     return max(found, key=lambda each: (len(each.selector), each.name), default=None)
 
 
@@ -78,7 +78,7 @@
     def route(self, service: str, labels: Mapping[str, str]) -> Route | None:
         """Find the route of a request: the matching one with the most conditions."""
         for route in self._routes.get(service, ()):
-            if matches(route.match, labels):
+            if labels_match(route.match, labels):
                 return route
         return None
 
@@ -171,13 +171,13 @@
 
     def _add_pools(self, service: Service) -> None:
         """Cut a service's upstreams into shards; requests go to those that have upstreams."""
-        served = [uid for uid, held in self._labels.items() if matches(service.selector, held)]
+        served = [uid for uid, held in self._labels.items() if labels_match(service.selector, held)]
         for shard in range(service.shards):
             mine = [uid for uid in served if _hash(uid) % service.shards == shard]
             routes = tuple(
                 RouteSpec(
                     route.name,
-                    frozenset(u for u in mine if matches(route.upstreams, self._labels[u])),
+                    frozenset(u for u in mine if labels_match(route.upstreams, self._labels[u])),
                 )
                 for route in self._routes.get(service.name, ())
             )
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -23,8 +23,8 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.balancing.local import LocalBalancer
 from chalkyoke.balancing.suspicions import Suspicions
-from chalkyoke.catalog.follower import WatchBounds
-from chalkyoke.catalog.keeper import CatalogKeeper
+from chalkyoke.catalog.follower import WatchTimeouts
+from chalkyoke.catalog.keeper import CatalogSynchronizer
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.clock import HybridClock
 from chalkyoke.exceptions import InvariantBroken, SettingsError
@@ -189,14 +189,14 @@
         state = CatalogState(
             platform.read_catalog, read_also_held(platform.read_record, platform.keys.held)
         )
-        self.catalog = CatalogKeeper(
+        self.catalog = CatalogSynchronizer(
             state,
             self.store,
             platform.keys,
             self.view,
             self.links,
             settings.store.watchers,
-            WatchBounds.within(settings.store.silence_ms / 1000),
+            WatchTimeouts.split(settings.store.silence_ms / 1000),
             self._catalog_changed,
             self._nodes_registered,
             self.now,
@@ -217,7 +217,7 @@
         )
         self.metrics.gauge("records_unreadable", lambda: len(state.unreadable))
         self.metrics.gauge("store_epoch", lambda: state.epoch)
-        self.metrics.gauge("store_updates_ignored", lambda: self.catalog.ignored.total())
+        self.metrics.gauge("store_updates_ignored", lambda: self.catalog.ignored_updates.total())
         self.replicas = DeclaredReplicas(state, self.now, self.rollouts)
         self.pools = DeclaredPools(settings.scheduling, self.rollouts)
         node = settings.node
@@ -486,7 +486,7 @@
         loops.repeat(self.view.interval_s, self._beat)
         loops.repeat(self.view.interval_s, self._check_members)
         loops.repeat(KEEP_S, self._keep_links)
-        loops.repeat(self.view.interval_s, self.catalog.settle)
+        loops.repeat(self.view.interval_s, self.catalog.resolve_conflicts)
         loops.repeat(HOUSEKEEPING_S, self._keep_house)
         loops.repeat(TELL_S, self.quotas.tell_successors)
         loops.repeat(ROLLOUTS_TICK_S, self.rollouts.tick)
@@ -574,7 +574,7 @@
         state = self.catalog.state
         if state.epoch != self._store_epoch:
             self._epoch_changed(state.epoch)
-        for ended in state.take_restarted():
+        for ended in state.pop_restarted():
             self.connections.drop_kept(ended.ip, ended.port)
             self.gateway.replica_ended(ended.id)
             log.info("replica_restarted", ended=ended.id)
@@ -584,7 +584,7 @@
         self.hosted.reconfigure()
         self.grants.check_owners(self.pools.pools)
         self.quarantine.replicas_changed(state.replicas)
-        self.quarantine.stored(state.held, state.released)
+        self.quarantine.stored(state.held_requests, state.released_requests)
 
     def _epoch_changed(self, epoch: int) -> None:
         """Check what this node has in the store, where it was restored from a copy."""
--- a/packages/chalkyoke/src/chalkyoke/node/parts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/parts.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from chalkyoke.catalog.keeper import Keys
+from chalkyoke.catalog.keeper import StoreKeys
 from chalkyoke.catalog.records import ReadRecord
 from chalkyoke.catalog.state import ReadCatalog
 from chalkyoke.gateway.ports import HeaderFormat
@@ -32,7 +32,7 @@
         read_catalog: ReadCatalog,
         read_record: ReadRecord,
         write_status: WriteStatus,
-        keys: Keys,
+        keys: StoreKeys,
     ) -> None:
         self.make_store = make_store
         self.headers = headers
--- a/packages/chalkyoke/src/chalkyoke/node/pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pools.py
@@ -182,7 +182,7 @@
         since = self._now() - LAST_RESORT_S
         return [
             each.replica
-            for each in self._state.departed.values()
+            for each in self._state.removed_replicas.values()
             if each.since >= since
             and not each.replica.draining
             and self._standings.standing(each.replica) is Standing.USUAL
--- a/packages/chalkyoke/src/chalkyoke/node/registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/registration.py
@@ -13,7 +13,7 @@
 from chalkyoke.logs import logger
 from chalkyoke.membership.state import Candidate
 from chalkyoke.storage.messages import LeaseGone, LeaseGranted, Unavailable, Written
-from chalkyoke.storage.port import MOST_COPY_AGE_S, Store
+from chalkyoke.storage.port import MAX_BACKUP_AGE_S, Store
 
 # Pause after a failed call, in seconds: doubled with each, up to the longest. A store that comes
 # back must not meet all nodes at once, and each call is priced.
@@ -107,7 +107,7 @@
     async def end(self) -> None:
         """Take this node off the list."""
         if self._lease is not None and not self._may_be_lost(self._lease, self._epoch):
-            await self._store.end_lease(self._lease.lease)
+            await self._store.revoke_lease(self._lease.lease)
 
     async def _was_restored(self) -> bool:
         """Wait until the lease is due, or until the store was restored."""
@@ -137,7 +137,7 @@
 
     def _may_be_lost(self, lease: LeaseGranted, epoch: int) -> bool:
         """Tell whether a restored store may have lost a lease, or given it to another writer."""
-        return epoch > lease.epoch and self._now() - self._listed_at < MOST_COPY_AGE_S
+        return epoch > lease.epoch and self._now() - self._listed_at < MAX_BACKUP_AGE_S
 
     async def _register(self) -> None:
         for failures in itertools.count():
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from chalkyoke.administration.metrics import Metrics
-from chalkyoke.catalog.records import Ordered
+from chalkyoke.catalog.records import ReceivedOrder
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import UNKNOWN_AGE_S, CatalogState
 from chalkyoke.gateway.reception import DEFAULT_OUTPUT_TOKENS, Admission
@@ -142,7 +142,7 @@
         }
         self._versions.rebuild(orders, self._state.replicas.values())
 
-    def _make_share(self, ordered: Ordered) -> RolloutShare:
+    def _make_share(self, ordered: ReceivedOrder) -> RolloutShare:
         now = self._now()
         since = ordered.since if now - ordered.since < UNKNOWN_AGE_S else now
         exposure = Exposure(self._bounds, self._presence().known, self._random)
@@ -222,7 +222,7 @@
             return
         is_new = self._is_new(share, replica)
         work_s = 1.0
-        if admission.route.streams:
+        if admission.route.is_stream:
             work_s = self._work_s(admission.fields.prompt_tokens, output_tokens)
         share.note_end(
             admission.route.name,
@@ -244,7 +244,7 @@
     def _lasts_s(self, admission: Admission) -> float:
         """Tell how long a request may last, in seconds."""
         left = admission.ends - self._now()
-        if not admission.route.streams:
+        if not admission.route.is_stream:
             return min(left, admission.route.goal_s)
         fields = admission.fields
         likely = fields.likely_output_tokens
--- a/packages/chalkyoke/src/chalkyoke/node/routing.py
+++ b/packages/chalkyoke/src/chalkyoke/node/routing.py
@@ -10,14 +10,14 @@
 
 from chalkyoke.balancing.messages import SUSPICION_MESSAGES
 from chalkyoke.balancing.suspicions import Suspicions
-from chalkyoke.catalog.keeper import CatalogKeeper
+from chalkyoke.catalog.keeper import CatalogSynchronizer
 from chalkyoke.catalog.messages import (
     CatalogDelta,
     CatalogRequest,
     CatalogSnapshot,
     ReplicaAttributes,
     ReplicasDelta,
-    ReplicasLeave,
+    ReplicasLeaving,
     ReplicasSnapshot,
 )
 from chalkyoke.gateway.grants import Grants
@@ -89,7 +89,7 @@
     *ROLLOUT_MESSAGES,
     *QUARANTINE_MESSAGES,
     *PERMIT_MESSAGES,
-    ReplicasLeave,
+    ReplicasLeaving,
     ReplicaAttributes,
     AdoptRequest,
 )
@@ -142,7 +142,7 @@
 
     view: MembershipView
     links: Links
-    catalog: CatalogKeeper
+    catalog: CatalogSynchronizer
     grants: Grants
     hosted: SchedulerHost
     quotas: QuotaClient
@@ -195,7 +195,7 @@
             parts.rollouts.receive(connection.peer, message)
         elif isinstance(message, QUARANTINE_MESSAGES):
             parts.quarantine.receive(address, message)
-        elif isinstance(message, ReplicasLeave):
+        elif isinstance(message, ReplicasLeaving):
             parts.announcements.receive(address, message)
         elif isinstance(message, ReplicaAttributes):
             parts.limits.receive(address, message)
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_fleet.py
@@ -4,7 +4,7 @@
 import falcon.testing
 from chalkyoke import problems
 from chalkyoke.configuration.messages import ListedHost
-from chalkyoke.configuration.resources import build, read_document
+from chalkyoke.configuration.resources import build_resources, read_document
 from chalkyoke.invariants import require
 from chalkyoke.node.fleet import FleetView
 
@@ -14,7 +14,7 @@
 
 
 def view(document, *hosts):
-    return FleetView(build(read_document(document).unwrap()).unwrap(), hosts)
+    return FleetView(build_resources(read_document(document).unwrap()).unwrap(), hosts)
 
 
 MODEL = {
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
@@ -23,14 +23,14 @@
     clock = Clock()
     state = CatalogState(lambda document: Ok(None), read_replica)
     items = [Item(value.split()[0], value.encode(), 1) for value in values]
-    state.adopt_replicas(items, 1, clock.now)
+    state.apply_replicas_snapshot(items, 1, clock.now)
     replicas = DeclaredReplicas(state, clock)
     replicas.rebuild()
     return state, replicas, clock
 
 
 def change(state, replicas, clock, revision, *changes):
-    state.change_replicas(changes, revision, clock.now)
+    state.apply_replica_changes(changes, revision, clock.now)
     replicas.rebuild()
 
 
@@ -74,6 +74,6 @@
     for heard_after_s, found in ((0.0, ["m1"]), (LAST_RESORT_S + 0.1, [])):
         state, replicas, clock = declared("m1 ready")
         clock.now = 10.0
-        state.change_replicas([Removed("m1", 2)], 2, clock.now - heard_after_s)
+        state.apply_replica_changes([Removed("m1", 2)], 2, clock.now - heard_after_s)
         replicas.rebuild()
         assert [each.id for each in replicas.of("model")] == found
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
@@ -12,7 +12,7 @@
     read_candidates,
 )
 from chalkyoke.storage.messages import LeaseGone, LeaseGranted, Unavailable, Written
-from chalkyoke.storage.port import MOST_COPY_AGE_S
+from chalkyoke.storage.port import MAX_BACKUP_AGE_S
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -52,7 +52,7 @@
 
     async def grant_lease(self, ttl_s):
         if self.away:
-            return Unavailable("reset", may_be_done=True)
+            return Unavailable("reset", may_have_been_applied=True)
         number = max(self.leases, default=0) + 1
         self.leases[number] = "node"
         return LeaseGranted(number, ttl_s, self.epoch)
@@ -66,7 +66,7 @@
         self.keys[key] = lease
         return Written(1, self.epoch)
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         self.ended.append(lease)
 
 
@@ -113,7 +113,7 @@
 # Guards against writes of all nodes at once for entries that are in the copy for certain.
 def test_an_entry_that_is_older_than_a_copy_may_be_is_kept():
     async def check(store, registration, copy):
-        await asyncio.sleep(MOST_COPY_AGE_S)
+        await asyncio.sleep(MAX_BACKUP_AGE_S)
         store.restore(store.copy())
         registration.store_restored(store.epoch)
         await asyncio.sleep(RESTORED_SPREAD_S)
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
@@ -30,7 +30,7 @@
 def starts(*born):
     state = CatalogState(read_catalog, read_record)
     for revision, each in enumerate(born, start=1):
-        state.change_replicas([written(each, revision)], revision, 0.0)
+        state.apply_replica_changes([written(each, revision)], revision, 0.0)
     return state
 
 
--- a/packages/chalkyoke/src/chalkyoke/platform/documents.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/documents.py
@@ -146,7 +146,7 @@
                 found.limits.header_timeout_ms / 1000,
                 found.limits.idle_timeout_ms / 1000,
             ),
-            keyed=found.tenants is not None,
+            requires_keys=found.tenants is not None,
         )
     )
 
@@ -258,5 +258,5 @@
         rate_per_s=each.rate_per_s,
         burst=each.burst,
         by_tokens=each.unit == TOKENS,
-        plain_cost=each.plain_tokens if each.unit == TOKENS else 1.0,
+        default_cost=each.plain_tokens if each.unit == TOKENS else 1.0,
     )
--- a/packages/chalkyoke/src/chalkyoke/platform/start.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/start.py
@@ -4,7 +4,7 @@
 The platform's parts, for the start-up code.
 """
 
-from chalkyoke.catalog.keeper import Keys
+from chalkyoke.catalog.keeper import StoreKeys
 from chalkyoke.node.parts import PlatformParts
 from chalkyoke.platform.documents import (
     CONFIGURATION_KEY,
@@ -30,7 +30,7 @@
         read_catalog=read_catalog,
         read_record=read_record,
         write_status=write_status,
-        keys=Keys(
+        keys=StoreKeys(
             CONFIGURATION_KEY,
             (REPLICAS_PREFIX, ROLLOUT_ORDERS_PREFIX, ROLLOUT_STATUSES_PREFIX, HELD_PREFIX),
             NODES_PREFIX,
--- a/packages/chalkyoke/src/chalkyoke/platform/store.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/store.py
@@ -81,7 +81,7 @@
             if isinstance(page, Unavailable):
                 return page
             if after and _epoch(answer) != epoch:
-                return Unavailable("restored between two pages", may_be_done=False)
+                return Unavailable("restored between two pages", may_have_been_applied=False)
             at, epoch = at or page.at, _epoch(answer)
             items += [_item(each) for each in page.items]
             if not page.more or not page.items:
@@ -137,7 +137,7 @@
             return LeaseGone()
         return _lease(answer, lease)
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease."""
         await self._call(b"DELETE", f"/kv-lease-end/{lease}", None, CALL_S)
 
@@ -149,7 +149,7 @@
         if isinstance(answer, CallFailed):
             return Unavailable(answer.reason, answer.sent)
         if answer.status in NOTHING_DONE:
-            return Unavailable(str(answer.status), may_be_done=False)
+            return Unavailable(str(answer.status), may_have_been_applied=False)
         return answer
 
 
@@ -172,8 +172,8 @@
     if isinstance(answer, Unavailable):
         return answer
     if answer.status != OK:
-        return Unavailable(str(answer.status), may_be_done=True)
+        return Unavailable(str(answer.status), may_have_been_applied=True)
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
-        return Unavailable(f"unreadable answer: {error}", may_be_done=True)
+        return Unavailable(f"unreadable answer: {error}", may_have_been_applied=True)
--- a/packages/chalkyoke/src/chalkyoke/platform/tests/test_formats.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/tests/test_formats.py
@@ -58,24 +58,24 @@
 
 def test_a_configuration_is_read_into_the_products_own_terms():
     catalog = read_catalog(json.dumps(CONFIGURATION).encode()).ok_value
-    route = catalog.route("a.example", "/x/1")
+    route = catalog.find_route("a.example", "/x/1")
     assert (route.kind, route.timeout_s, route.goal_s) == (RouteKind.STREAM, 4.0, 0.8)
     assert (route.gap_goal_s, route.rank, route.attempts, route.resumable) == (0.4, 1, 2, True)
-    assert [each.service for each in catalog.route("a.example", "/y/").targets] == [
+    assert [each.service for each in catalog.find_route("a.example", "/y/").targets] == [
         "model",
         "plain",
     ]
     model, plain = catalog.services["model"], catalog.services["plain"]
     assert (model.engine_slots, model.cache_tokens, model.tokens_per_event) == (7, 185, 3)
     assert (plain.is_engine, plain.max_connections) == (False, 110)
-    team = catalog.team("k")
-    assert (team.rank, team.by_tokens, team.plain_cost) == (1, True, 200)
-    assert catalog.keyed and catalog.limits.header_bytes == 100
+    team = catalog.find_team("k")
+    assert (team.rank, team.by_tokens, team.default_cost) == (1, True, 200)
+    assert catalog.requires_keys and catalog.limits.header_bytes == 100
 
 
 def test_a_configuration_without_tenants_asks_for_no_keys():
     catalog = read_catalog(b'{"version": 1}').ok_value
-    assert not catalog.keyed
+    assert not catalog.requires_keys
 
 
 def test_documents_that_can_t_be_read_are_errors_and_not_exceptions():
--- a/packages/chalkyoke/src/chalkyoke/platform/tests/test_store.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/tests/test_store.py
@@ -64,5 +64,5 @@
         return store.read("")
 
     whole = asked(read, answer(PAGE, b"1"), answer(LAST_PAGE, b"1"))
-    assert (whole.at, whole.epoch, len(whole.items)) == (4, 1, 2)
+    assert (whole.revision, whole.epoch, len(whole.items)) == (4, 1, 2)
     assert isinstance(asked(read, answer(PAGE, b"1"), answer(LAST_PAGE, b"2")), Unavailable)
--- a/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
@@ -11,7 +11,7 @@
 
 from chalkyoke.logs import logger
 from chalkyoke.storage.messages import LeaseGranted, Written
-from chalkyoke.storage.port import MOST_COPY_AGE_S, Store
+from chalkyoke.storage.port import MAX_BACKUP_AGE_S, Store
 
 # How long the store keeps such a record, in seconds: the first hold, which is the longest that the
 # platform's leases last too.
@@ -52,7 +52,7 @@
     def store_restored(self) -> None:
         """Write again what a store that was restored from a copy may have lost."""
         self._lease_until = 0.0
-        since = self._now() - MOST_COPY_AGE_S
+        since = self._now() - MAX_BACKUP_AGE_S
         lost = [request for request, at in self._written if at >= since]
         self._written.clear()
         if lost:
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
@@ -4,7 +4,7 @@
 
 from chalkyoke.quarantine.heldrecords import MOST_WAITING, SHARED_S, HeldRecords
 from chalkyoke.storage.messages import LeaseGone, LeaseGranted, Unavailable, Written
-from chalkyoke.storage.port import MOST_COPY_AGE_S
+from chalkyoke.storage.port import MAX_BACKUP_AGE_S
 
 from tests import virtual
 
@@ -19,14 +19,14 @@
     async def grant_lease(self, ttl_s):
         self.calls += 1
         if self.away:
-            return Unavailable("503", may_be_done=False)
+            return Unavailable("503", may_have_been_applied=False)
         self.leases.append(len(self.leases) + 1)
         return LeaseGranted(self.leases[-1], ttl_s)
 
     async def write(self, key, value, *, lease=0, expected=None):
         self.calls += 1
         if self.away:
-            return Unavailable("503", may_be_done=False)
+            return Unavailable("503", may_have_been_applied=False)
         if lease not in self.leases:
             return LeaseGone()
         self.written[key] = lease
@@ -89,7 +89,7 @@
 def test_records_that_a_restored_store_may_have_lost_are_written_again():
     async def check(store, records):
         records.remember(b"old")
-        await asyncio.sleep(MOST_COPY_AGE_S)
+        await asyncio.sleep(MAX_BACKUP_AGE_S)
         records.remember(b"new")
         await asyncio.sleep(1.0)
         # Its lease numbers are given out again, to others as well.
--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -225,7 +225,7 @@
 
     def _is_cheap(self, team: Team, message: QuotaRequest) -> bool:
         """Tell whether a request costs so little that refusing it makes no room for others."""
-        return message.need <= CHEAP_COSTS * team.plain_cost
+        return message.need <= CHEAP_COSTS * team.default_cost
 
     def take_spent(self, team: Team, message: QuotaSpent, presence: Presence, now: float) -> None:
         """Take what a node has spent before; once all have told, it replaces what was assumed.
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
@@ -12,7 +12,7 @@
 from chalkyoke.quotas.window import QuotaLimits
 
 LIMITS = QuotaLimits(window_s=8.0, over=0.1, slack=72_000)
-TEAM = Team("t", ("k",), rate_per_s=30_000, burst=30_000, by_tokens=True, plain_cost=200)
+TEAM = Team("t", ("k",), rate_per_s=30_000, burst=30_000, by_tokens=True, default_cost=200)
 
 
 IDENTITIES = itertools.count(1)
--- a/packages/chalkyoke/src/chalkyoke/storage/keyvalue.py
+++ b/packages/chalkyoke/src/chalkyoke/storage/keyvalue.py
@@ -33,7 +33,7 @@
 )
 
 # How long a call may take, in seconds; a watch has its own wait beside it.
-CALL_S = 2.0
+CALL_TIMEOUT_S = 2.0
 INDEX_HEADER = "X-Consul-Index"
 # Pause after a failed call, in seconds: the shortest, doubled with each failure, and the longest.
 MIN_RETRY_S = 0.05
@@ -57,7 +57,7 @@
         self._url = url.rstrip("/")
         self._metrics = metrics
 
-    async def call(self, call: StoreCall) -> StoreAnswer:
+    async def execute(self, call: StoreCall) -> StoreAnswer:
         """Make one call, without a retry.
 
         :rtype: StoreAnswer
@@ -87,9 +87,9 @@
         :rtype: Found or Unavailable
         """
         params = {"raw": "", "index": str(version), "wait": f"{wait_s:.1f}s"}
-        return await self._get(key, params, "watch", CALL_S + wait_s)
+        return await self._get(key, params, "watch", CALL_TIMEOUT_S + wait_s)
 
-    async def drive(self, machine: Generator[StoreCall, StoreAnswer, T]) -> T:
+    async def run_program(self, machine: Generator[StoreCall, StoreAnswer, T]) -> T:
         """Run a machine that asks for store calls, with a pause after each bad answer.
 
         :return: what the machine returns.
@@ -98,7 +98,7 @@
         try:
             call = next(machine)
             while True:
-                answer = await self.call(call)
+                answer = await self.execute(call)
                 bad = isinstance(answer, Unavailable | AnswerLost)
                 failures = failures + 1 if bad else 0
                 if bad:
@@ -113,7 +113,7 @@
         key: str,
         params: dict[str, str] | None = None,
         kind: str = "get",
-        timeout_s: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> Found | Unavailable:
         self._metrics.count("store_calls", kind=kind)
         try:
@@ -137,7 +137,7 @@
                 f"{self._url}/v1/kv/{call.key}",
                 params={"cas": str(call.expected)},
                 data=call.value,
-                timeout=aiohttp.ClientTimeout(total=CALL_S),
+                timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S),
             ) as response:
                 if response.status in (429, 503):
                     return self._bad("put", Unavailable())
--- a/packages/chalkyoke/src/chalkyoke/storage/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/storage/messages.py
@@ -38,7 +38,7 @@
     """
 
     items: tuple[Item, ...]
-    at: int
+    revision: int
     epoch: int = 0
 
 
@@ -50,7 +50,7 @@
     """
 
     changes: tuple[Item | Removed, ...]
-    at: int
+    revision: int
     epoch: int = 0
 
 
@@ -91,8 +91,8 @@
 class Unavailable(msgspec.Struct, frozen=True):
     """No answer that can be used.
 
-    :param may_be_done: whether a write may have been carried out, or may be yet.
+    :param may_have_been_applied: whether a write may have been carried out, or may be yet.
     """
 
     reason: str
-    may_be_done: bool
+    may_have_been_applied: bool
--- a/packages/chalkyoke/src/chalkyoke/storage/port.py
+++ b/packages/chalkyoke/src/chalkyoke/storage/port.py
@@ -19,7 +19,7 @@
 
 # How old the copy may be at most that a store is restored from, in seconds: what was written before
 # is in it.
-MOST_COPY_AGE_S = 60.0
+MAX_BACKUP_AGE_S = 60.0
 
 
 class Store(Protocol):
@@ -52,5 +52,5 @@
     async def renew_lease(self, lease: int) -> LeaseGranted | LeaseGone | Unavailable:
         """Renew a lease."""
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease; one that can't be ended runs out."""
--- a/tests/catalogfleet.py
+++ b/tests/catalogfleet.py
@@ -11,8 +11,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from chalkyoke.catalog.follower import WatchBounds
-from chalkyoke.catalog.keeper import WATCH_DUTY, CatalogKeeper, Keys
+from chalkyoke.catalog.follower import WatchTimeouts
+from chalkyoke.catalog.keeper import WATCH_DUTY, CatalogSynchronizer, StoreKeys
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.clock import Stamp
 from chalkyoke.links.codec import FrameCodec
@@ -33,7 +33,7 @@
 
 from tests import virtual
 
-KEYS = Keys(documents.CONFIGURATION_KEY, (documents.REPLICAS_PREFIX,), "nodes/", "held/")
+KEYS = StoreKeys(documents.CONFIGURATION_KEY, (documents.REPLICAS_PREFIX,), "nodes/", "held/")
 # The smallest link of a host that the users run, and the delay between two failure domains.
 LINK_BYTES_PER_S = 5e6 / 8
 LINK_DELAY_S = 0.0005
@@ -150,10 +150,10 @@
         self.calls += 1
         if self.away:
             await asyncio.sleep(self.answer_s)
-            return Unavailable("reset", may_be_done=False)
+            return Unavailable("reset", may_have_been_applied=False)
         if host in self.refused:
             await asyncio.sleep(self.answer_s)
-            return Unavailable("503", may_be_done=False)
+            return Unavailable("503", may_have_been_applied=False)
         if host in self.silent:
             await asyncio.Event().wait()
         silenced = asyncio.ensure_future(self._silenced.wait())
@@ -166,7 +166,7 @@
                 return answering.result()
             if not went_away.done():
                 await asyncio.Event().wait()
-            return Unavailable("reset", may_be_done=True)
+            return Unavailable("reset", may_have_been_applied=True)
         finally:
             for each in tasks:
                 each.cancel()
@@ -211,7 +211,7 @@
         try:
             return await asyncio.wait_for(self._store.call(self._host, work), limit_s)
         except TimeoutError:
-            return Unavailable("timed out", may_be_done=True)
+            return Unavailable("timed out", may_have_been_applied=True)
 
 
 class Network:
@@ -271,14 +271,14 @@
         record = MemberRecord(host, 1, self.address, "", domain, False, True, 0, 0)
         self.view = MembershipView(record, DEFAULT_INTERVAL_S)
         self.state = CatalogState(documents.read_catalog, documents.read_record)
-        self.keeper = CatalogKeeper(
+        self.keeper = CatalogSynchronizer(
             self.state,
             StoreClient(fleet.store, host),
             KEYS,
             self.view,
             self.links,
             2,
-            WatchBounds.within(fleet.silence_s),
+            WatchTimeouts.split(fleet.silence_s),
             lambda: None,
             lambda registered: None,
             loop.time,
@@ -309,7 +309,7 @@
         """Tell whether this node goes by a change or by a newer one."""
         if change.key == KEYS.document:
             return self.state.catalog.version >= version_of(change)
-        return self.state.replicas_at >= change.revision
+        return self.state.replicas_revision >= change.revision
 
 
 def version_of(change):
--- a/tests/gatewayfleet.py
+++ b/tests/gatewayfleet.py
@@ -38,16 +38,16 @@
 
     async def write(self, key, value, *, lease=0, expected=None):
         if self._store.away:
-            return Unavailable("reset", may_be_done=False)
+            return Unavailable("reset", may_have_been_applied=False)
         self._store.put(key, value)
         return Written(self._store.revision, self._store.epoch)
 
     async def grant_lease(self, ttl_s):
         if self._store.away:
-            return Unavailable("reset", may_be_done=False)
+            return Unavailable("reset", may_have_been_applied=False)
         return LeaseGranted(1, ttl_s, self._store.epoch)
 
-    renew_lease = end_lease = grant_lease
+    renew_lease = revoke_lease = grant_lease
 
 
 class _ReplicaStore:
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -122,8 +122,8 @@
 def lower_revision_is_taken(monkeypatch):
     """A node takes whatever configuration it is told."""
 
-    def adopt(state, root, fetched):
+    def apply_root(state, root, fetched):
         chunks = {**state.chunks, **fetched}
         return state._take(root, {h: chunks[h] for h in root.chunks.values()})
 
-    monkeypatch.setattr(ConfigurationState, "adopt", adopt)
+    monkeypatch.setattr(ConfigurationState, "apply_root", apply_root)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -23,7 +23,7 @@
     Unsettled,
     Written,
     decode_root,
-    publish,
+    publish_change,
 )
 from chalkyoke.configuration.resources import read_document
 from chalkyoke.configuration.state import ConfigurationState
@@ -97,7 +97,7 @@
 def seeded():
     store = FakeStore()
     specs = read_document({"tier": TIERS, "team": [{"name": "a", "tiers": ["t0"]}]}).unwrap()
-    assert isinstance(drive(publish(Change("seed", "op", None, specs), 0), store), Accepted)
+    assert isinstance(drive(publish_change(Change("seed", "op", None, specs), 0), store), Accepted)
     return store
 
 
@@ -105,9 +105,9 @@
     store = seeded()
     change = Change("c1", "op", 1, team("b"))
     # root, four reads of chunks and writes come first; then the swap's answer is lost
-    outcome = drive(publish(change, 0), store, ["none"] * 4 + ["lost"])
+    outcome = drive(publish_change(change, 0), store, ["none"] * 4 + ["lost"])
     assert isinstance(outcome, Accepted)
-    again = drive(publish(change, 0), store)
+    again = drive(publish_change(change, 0), store)
     assert isinstance(again, Accepted)
     assert again.revision == outcome.revision
     assert [each.change_id for each in store.roots[-1].history].count("c1") == 1
@@ -115,8 +115,10 @@
 
 def test_the_loser_of_a_race_is_told_the_fields_that_clash():
     store = seeded()
-    assert isinstance(drive(publish(Change("c1", "one", 1, team("a", 5)), 0), store), Accepted)
-    outcome = drive(publish(Change("c2", "two", 1, team("a", 7)), 0), store)
+    assert isinstance(
+        drive(publish_change(Change("c1", "one", 1, team("a", 5)), 0), store), Accepted
+    )
+    outcome = drive(publish_change(Change("c2", "two", 1, team("a", 7)), 0), store)
     assert isinstance(outcome, Conflict)
     assert outcome.paths == ("team/a.weight",)
     assert outcome.other.change_id == "c1"
@@ -125,15 +127,17 @@
 
 def test_changes_of_other_fields_do_not_clash():
     store = seeded()
-    assert isinstance(drive(publish(Change("c1", "one", 1, team("b", 5)), 0), store), Accepted)
-    outcome = drive(publish(Change("c2", "two", 1, team("c", 7)), 0), store)
+    assert isinstance(
+        drive(publish_change(Change("c1", "one", 1, team("b", 5)), 0), store), Accepted
+    )
+    outcome = drive(publish_change(Change("c2", "two", 1, team("c", 7)), 0), store)
     assert isinstance(outcome, Accepted)
     assert outcome.revision == 3
 
 
 def test_a_store_that_is_away_changes_nothing_and_says_so():
     store = seeded()
-    outcome = drive(publish(Change("c1", "op", 1, team("b")), 0), store, ["away"] * 500)
+    outcome = drive(publish_change(Change("c1", "op", 1, team("b")), 0), store, ["away"] * 500)
     assert isinstance(outcome, NotReached)
     assert len(store.roots) == 1
 
@@ -141,7 +145,7 @@
 def test_a_change_that_does_not_fit_names_its_field():
     store = seeded()
     specs = read_document({"team": [{"name": "b", "tiers": ["nowhere"]}]}).unwrap()
-    outcome = drive(publish(Change("c1", "op", 1, specs), 0), store)
+    outcome = drive(publish_change(Change("c1", "op", 1, specs), 0), store)
     assert isinstance(outcome, Invalid)
     assert outcome.problems[0].path == "team.b.tiers"
 
@@ -185,7 +189,7 @@
         self.number += 1
         base = max(1, len(self.store.roots) - base_back)
         change = Change(f"c{self.number}", "op", base, team(name, weight))
-        machine = publish(change, 0)
+        machine = publish_change(change, 0)
         self.open[change.change_id] = (machine, next(machine))
 
     @rule(
@@ -251,7 +255,7 @@
     def hear(self, node, back):
         """A node hears of a root: the newest, or an old one that was under way for long."""
         root = self.store.roots[max(0, len(self.store.roots) - 1 - back)]
-        self.nodes[node].adopt(root, self.store.chunks(root))
+        self.nodes[node].apply_root(root, self.store.chunks(root))
         assert self.nodes[node].revision >= self.highest[node], "a configuration reverted"
         self.highest[node] = self.nodes[node].revision
 
@@ -290,7 +294,7 @@
     """A swap whose answer is lost is reported as not done, without reading back."""
 
     def hasty(change, now_ms):
-        machine = publisher.publish(change, now_ms)
+        machine = publisher.publish_change(change, now_ms)
         call = next(machine)
         while True:
             answer = yield call
@@ -301,7 +305,7 @@
             except StopIteration as stop:
                 return stop.value
 
-    monkeypatch.setitem(globals(), "publish", hasty)
+    monkeypatch.setitem(globals(), "publish_change", hasty)
 
 
 def _swap_without_compare(monkeypatch):
--- a/tests/test_restored_spread.py
+++ b/tests/test_restored_spread.py
@@ -33,7 +33,7 @@
     """Tell whether all nodes know the same state of the store, and believe the same."""
     store = fleet.store
     states = [node.state for node in fleet.nodes]
-    positions = {(each.epoch, each.changed_at) for each in states}
+    positions = {(each.epoch, each.last_change_revision) for each in states}
     leaving = {
         frozenset(key for key, it in each.replicas.items() if it.draining) for each in states
     }
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -243,7 +243,9 @@
         since = now()
         await asyncio.sleep(PLAYED_S)
         states = [node.catalog.state for node in fleet.nodes]
-        return later_sends(replicas[0], since), {(each.epoch, each.replicas_at) for each in states}
+        return later_sends(replicas[0], since), {
+            (each.epoch, each.replicas_revision) for each in states
+        }
 
     (late, positions), _ = play_path("/find/1", story)
     assert late == 0, late
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,7 +16,7 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.clock import HybridClock
 from chalkyoke.configuration.messages import ListedHost
-from chalkyoke.configuration.resources import build, read_document
+from chalkyoke.configuration.resources import build_resources, read_document
 from chalkyoke.entry.acquirer import Acquirer
 from chalkyoke.entry.answers import LocalAnswer, issuer_gone
 from chalkyoke.entry.dispatcher import Dispatcher
@@ -220,7 +220,7 @@
         self.random = random.Random(seed)
         self.chaos = chaos
         self.loop = asyncio.get_running_loop()
-        self.resources = build(read_document(DOCUMENT).unwrap()).unwrap()
+        self.resources = build_resources(read_document(DOCUMENT).unwrap()).unwrap()
         self.upstreams = {
             f"e{i}": FakeUpstream(f"e{i}", DOMAINS[i % 3], False, 0.01 * (1 + i % 3))
             for i in range(5)
