--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -229,7 +229,7 @@
 
     def _is_cheap(self, team: Team, message: QuotaRequest) -> bool:
         """Tell whether a request costs so little that refusing it makes no room for others."""
-        return message.need <= CHEAP_COSTS * team.plain_cost
+        return message.need <= CHEAP_COSTS * team.default_cost
 
     def apply_spending_report(
         self, team: Team, message: QuotaSpent, presence: Presence, now: float
