--- a/benches/policy/policies.py
+++ b/benches/policy/policies.py
@@ -25,7 +25,7 @@
     Withdraw,
 )
 from chalkyoke.scheduling.placement import Features
-from chalkyoke.scheduling.refusals import Out
+from chalkyoke.scheduling.refusals import AddressedAction
 from chalkyoke.scheduling.scheduler import PoolScheduler
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
@@ -246,7 +246,7 @@
             now - item.arrived,
         )
 
-    def _take(self, outs: list[Out]) -> None:
+    def _take(self, outs: list[AddressedAction]) -> None:
         for out in outs:
             action = out.action
             self.simulation.at(
@@ -355,7 +355,7 @@
             first = sequence.first_at - sequence.submitted if sequence.first_at >= 0 else -1.0
             tokens = item.engine.tokens_of(sequence)
             items.append(ProgressItem(item.id, tokens, first, now - sequence.submitted))
-        self._take(self.scheduler.progress("entry", Progress("pool", tuple(items)), now))
+        self._take(self.scheduler.apply_progress("entry", Progress("pool", tuple(items)), now))
 
     def _report(self) -> None:
         now, lag = self.simulation.now, self.simulation.scenario.report_lag_s
@@ -373,8 +373,8 @@
 
     def _hear(self, report: LoadReport, dropped: tuple[int, ...]) -> None:
         if self.scheduler is not None:
-            self.scheduler.cache_event(CacheEvent(report.upstream, dropped))
-            self._take(self.scheduler.load_report(report, self.simulation.now))
+            self.scheduler.apply_cache_event(CacheEvent(report.upstream, dropped))
+            self._take(self.scheduler.apply_load_report(report, self.simulation.now))
 
     def backlogged(self) -> dict[str, dict[str, int]]:
         """Count what waits, by tier and team."""
--- a/packages/chalkyoke-ctl/src/chalkyokectl/cli.py
+++ b/packages/chalkyoke-ctl/src/chalkyokectl/cli.py
@@ -14,7 +14,7 @@
 
 import typer
 from chalkyoke.configuration.resources import build, read_document
-from chalkyoke.tokens.codec import request_of
+from chalkyoke.tokens.codec import request_id_of
 from result import Err
 
 from chalkyokectl import heldstory, limitstory, rolloutstory, story, versionstory
@@ -287,7 +287,9 @@
 ) -> None:
     """Show the time line over all nodes, causes before effects."""
     client = AdministrationClient(server, token)
-    answers = _run(client.everywhere("/v1/events", request=request_of(request), limit=str(limit)))
+    answers = _run(
+        client.everywhere("/v1/events", request=request_id_of(request), limit=str(limit))
+    )
     if not answers:
         raise _fail(_run(client.get("/v1/status")))
     found = [event for each in answers.values() for event in each.body.get("events", [])]
--- a/packages/chalkyoke/src/chalkyoke/balancing/reports.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/reports.py
@@ -8,7 +8,7 @@
 
 # How long good answers are gathered, in seconds. Failures are told at once: a replica that fails
 # half of its requests does so for some seconds only.
-GATHER_S = 1.0
+GATHER_INTERVAL_S = 1.0
 
 
 class ReportBook:
@@ -18,7 +18,9 @@
         self._counts: dict[str, dict[tuple[str, str], tuple[int, int]]] = {}
         self._since: dict[str, float] = {}
 
-    def note(self, service: str, replica: str, route: str, *, failed: bool, now: float) -> bool:
+    def add_outcome(
+        self, service: str, replica: str, route: str, *, failed: bool, now: float
+    ) -> bool:
         """Count the end of a request.
 
         :return: whether a report is due now.
@@ -27,15 +29,15 @@
         answers, failures = counts.get((replica, route), (0, 0))
         counts[replica, route] = (answers + (not failed), failures + failed)
         since = self._since.setdefault(service, now)
-        return failed or now - since >= GATHER_S
+        return failed or now - since >= GATHER_INTERVAL_S
 
-    def take(self, service: str) -> ReplicaReport:
+    def take_report(self, service: str) -> ReplicaReport:
         """Word a report of all that was counted since the last one."""
         counts = self._counts.pop(service, {})
         self._since.pop(service, None)
         told = (RouteCount(*where, *ends) for where, ends in counts.items())
         return ReplicaReport(service, tuple(told))
 
-    def due(self, now: float) -> list[str]:
+    def due_services(self, now: float) -> list[str]:
         """List the services whose answers were gathered for long enough."""
-        return [name for name, since in self._since.items() if now - since >= GATHER_S]
+        return [name for name, since in self._since.items() if now - since >= GATHER_INTERVAL_S]
--- a/packages/chalkyoke/src/chalkyoke/balancing/state.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/state.py
@@ -18,11 +18,11 @@
 # The weight of one answer in the smoothed latency: five answers.
 LATENCY_GAIN = 0.2
 # How long a replica that could not be connected to is put last, in seconds: at first, and at most.
-UNREACHABLE_S = 0.5
+MIN_UNREACHABLE_S = 0.5
 MAX_UNREACHABLE_S = 4.0
 
 
-class Seen(msgspec.Struct):
+class ReplicaStats(msgspec.Struct):
     """One replica, as seen from here.
 
     :ivar outstanding: requests that this node has at it now.
@@ -34,27 +34,29 @@
     """
 
     outstanding: int = 0
-    others: float = 0.0
-    others_at: float = 0.0
+    other_load: float = 0.0
+    other_load_at: float = 0.0
     failures: float = 0.0
     failures_at: float = 0.0
     latency_s: float = 0.0
-    unreachable: int = 0
+    connect_failures: int = 0
     unreachable_until: float = 0.0
     resting_until: float = 0.0
     limited_until: float = 0.0
 
-    def note_load(self, running: int, waiting: int, now: float) -> None:
+    def record_load(self, running: int, waiting: int, now: float) -> None:
         """Take what the replica told of its load."""
-        self.others = max(0.0, running + waiting - self.outstanding)
-        self.others_at = now
+        self.other_load = max(0.0, running + waiting - self.outstanding)
+        self.other_load_at = now
 
     def load(self, now: float) -> float:
         """Estimate the requests at the replica.
 
         :rtype: float
         """
-        return self.outstanding + self.others * math.exp((self.others_at - now) / LOAD_MEMORY_S)
+        return self.outstanding + self.other_load * math.exp(
+            (self.other_load_at - now) / LOAD_MEMORY_S
+        )
 
     def recent_failures(self, now: float) -> float:
         """Count recent failures, faded by their age.
@@ -63,25 +65,25 @@
         """
         return self.failures * math.exp((self.failures_at - now) / FAILURE_MEMORY_S)
 
-    def note_failure(self, weight: float, now: float) -> None:
+    def record_failure(self, weight: float, now: float) -> None:
         """Count a failure."""
         self.failures = self.recent_failures(now) + weight
         self.failures_at = now
 
-    def note_answer(self, seconds: float) -> None:
+    def record_answer(self, seconds: float) -> None:
         """Learn from an answer."""
-        self.unreachable = 0
+        self.connect_failures = 0
         self.unreachable_until = 0.0
         gain = LATENCY_GAIN if self.latency_s else 1.0
         self.latency_s += gain * (seconds - self.latency_s)
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Learn that no connection could be opened."""
-        pause = min(MAX_UNREACHABLE_S, UNREACHABLE_S * 2**self.unreachable)
-        self.unreachable += 1
+        pause = min(MAX_UNREACHABLE_S, MIN_UNREACHABLE_S * 2**self.connect_failures)
+        self.connect_failures += 1
         self.unreachable_until = now + pause
 
-    def note_rest(self, seconds: float, now: float) -> float:
+    def record_rest(self, seconds: float, now: float) -> float:
         """Learn that the replica wants nothing of this node for some time.
 
         :return: for how long it gets nothing, in seconds.
--- a/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
@@ -18,12 +18,12 @@
 
 # How often suspects are named again while there are some, in seconds: twice within the time for
 # which nodes go by them, in case a message was lost.
-TELL_AGAIN_S = 2.0
+REBROADCAST_INTERVAL_S = 2.0
 
 log = logger("suspicions")
 
 
-class _Told(msgspec.Struct):
+class _BroadcastState(msgspec.Struct):
     """What the nodes were told of a service's replicas, and when."""
 
     suspects: tuple[str, ...] = ()
@@ -53,16 +53,16 @@
         self._now = now
         self._book = ReportBook()
         self._observers: dict[str, Observer] = {}
-        self._told: dict[str, _Told] = {}
+        self._told: dict[str, _BroadcastState] = {}
 
-    def note_end(self, service: str, replica: str, route: str, *, failed: bool) -> None:
+    def record_outcome(self, service: str, replica: str, route: str, *, failed: bool) -> None:
         """Note how a request to a replica of a plain service has ended."""
-        if self._book.note(service, replica, route, failed=failed, now=self._now()):
+        if self._book.add_outcome(service, replica, route, failed=failed, now=self._now()):
             self._report(service)
 
     def tick(self) -> None:
         """Report what was gathered, and name suspects again; call about once a second."""
-        for service in self._book.due(self._now()):
+        for service in self._book.due_services(self._now()):
             self._report(service)
         for service, observer in list(self._observers.items()):
             self._judge(service, observer)
@@ -79,7 +79,7 @@
         relay_on(self._view, self._send, message)
 
     def _report(self, service: str) -> None:
-        report = self._book.take(service)
+        report = self._book.take_report(service)
         observer = next(iter(self._view.ranked(f"observer/{service}")), self._view.record)
         if observer.host == self._view.record.host:
             self._take_report(report)
@@ -88,7 +88,7 @@
 
     def _take_report(self, report: ReplicaReport) -> None:
         observer = self._observers.setdefault(report.service, Observer())
-        observer.take(report.counts, self._now())
+        observer.add_counts(report.counts, self._now())
         if any(each.failures for each in report.counts):
             self._judge(report.service, observer)
 
@@ -96,11 +96,11 @@
         """Name the suspects to all nodes, where they have changed or were named some time ago."""
         now = self._now()
         suspects = observer.suspects(self._replicas(service), now)
-        told = self._told.setdefault(service, _Told())
+        told = self._told.setdefault(service, _BroadcastState())
         same = set(suspects) == set(told.suspects)
-        if same and (not suspects or now - told.at < TELL_AGAIN_S):
+        if same and (not suspects or now - told.at < REBROADCAST_INTERVAL_S):
             return
-        self._told[service] = _Told(suspects, now)
+        self._told[service] = _BroadcastState(suspects, now)
         message = SuspectReplicas(service, suspects)
         self._take_suspects(message)
         told_to = tell_all(self._view, self._send, message)
@@ -108,5 +108,5 @@
             log.notice("suspects_named", service=service, replicas=suspects, told_to=told_to)
 
     def _take_suspects(self, message: SuspectReplicas) -> None:
-        if self._balancer.suspect(message.service, message.suspects, self._now()):
+        if self._balancer.set_suspects(message.service, message.suspects, self._now()):
             log.info("suspects", service=message.service, replicas=message.suspects)
--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_local.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_local.py
@@ -12,31 +12,31 @@
 
 def test_the_least_loaded_replica_is_chosen():
     balancer = make()
-    balancer.seen("r0").outstanding = 4
-    balancer.seen("r1").note_load(5, 0, now=0.0)
+    balancer.stats("r0").outstanding = 4
+    balancer.stats("r1").record_load(5, 0, now=0.0)
     assert balancer.choose(replicas(), 0.0).id == "r2"
 
 
 def test_what_was_told_of_load_fades():
     balancer = make()
-    balancer.seen("r0").note_load(6, 6, now=0.0)
+    balancer.stats("r0").record_load(6, 6, now=0.0)
     assert balancer.choose(replicas(), 0.0).id != "r0"
     assert balancer.choose(replicas(), 10.0).id == "r0"
 
 
 def test_a_replica_that_fails_or_is_not_reached_comes_last_and_is_never_shut_out():
     balancer = make()
-    balancer.seen("r0").note_failure(1.0, 0.0)
-    balancer.seen("r1").note_unreachable(0.0)
+    balancer.stats("r0").record_failure(1.0, 0.0)
+    balancer.stats("r1").record_unreachable(0.0)
     assert balancer.choose(replicas(), 0.1).id == "r2"
     for each in replicas():
-        balancer.seen(each.id).note_unreachable(0.1)
+        balancer.stats(each.id).record_unreachable(0.1)
     assert balancer.choose(replicas(), 0.2) is not None
 
 
 def test_failures_are_forgotten_after_a_while():
     balancer = make()
-    balancer.seen("r0").note_failure(1.0, 0.0)
+    balancer.stats("r0").record_failure(1.0, 0.0)
     assert balancer.choose(replicas(), 0.1).id != "r0"
     assert balancer.choose(replicas(), 60.0).id == "r0"
 
@@ -48,31 +48,31 @@
 
 def test_a_slow_replica_gets_less():
     balancer = make()
-    balancer.seen("r0").note_answer(0.5)
-    balancer.seen("r1").note_answer(0.05)
-    balancer.seen("r2").note_answer(0.5)
+    balancer.stats("r0").record_answer(0.5)
+    balancer.stats("r1").record_answer(0.05)
+    balancer.stats("r2").record_answer(0.5)
     assert balancer.choose(replicas(), 0.0).id == "r1"
 
 
 def test_a_bound_on_what_this_node_has_out_is_kept():
     balancer = make()
     for each in replicas():
-        balancer.seen(each.id).outstanding = 1
-    assert balancer.choose(replicas(), 0.0, most_outstanding=lambda _: 1) is None
+        balancer.stats(each.id).outstanding = 1
+    assert balancer.choose(replicas(), 0.0, max_outstanding=lambda _: 1) is None
 
 
 def test_a_full_replica_is_waited_for_rather_than_one_that_is_not_reached():
     balancer = make()
-    balancer.seen("r0").outstanding = 1
-    balancer.seen("r1").note_unreachable(0.0)
-    assert balancer.choose(replicas(2), 0.1, most_outstanding=lambda _: 1) is None
-    balancer.seen("r0").outstanding = 0
-    assert balancer.choose(replicas(2), 0.1, most_outstanding=lambda _: 1).id == "r0"
+    balancer.stats("r0").outstanding = 1
+    balancer.stats("r1").record_unreachable(0.0)
+    assert balancer.choose(replicas(2), 0.1, max_outstanding=lambda _: 1) is None
+    balancer.stats("r0").outstanding = 0
+    assert balancer.choose(replicas(2), 0.1, max_outstanding=lambda _: 1).id == "r0"
 
 
 def test_where_none_is_reached_one_is_tried_all_the_same():
     balancer = make()
     for name in ("r0", "r1"):
-        balancer.seen(name).note_unreachable(0.0)
-    balancer.seen("r0").outstanding = 1
-    assert balancer.choose(replicas(2), 0.1, most_outstanding=lambda _: 1).id == "r1"
+        balancer.stats(name).record_unreachable(0.0)
+    balancer.stats("r0").outstanding = 1
+    assert balancer.choose(replicas(2), 0.1, max_outstanding=lambda _: 1).id == "r1"
--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_observer.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_observer.py
@@ -5,8 +5,8 @@
 import random
 
 from chalkyoke.balancing.messages import RouteCount
-from chalkyoke.balancing.observer import HALVED_S, KEPT_S, Observer
-from chalkyoke.balancing.reports import GATHER_S, ReportBook
+from chalkyoke.balancing.observer import ROUTE_HALF_LIFE_S, SUSPECT_KEPT_S, Observer
+from chalkyoke.balancing.reports import GATHER_INTERVAL_S, ReportBook
 
 
 def report(observer, now, route="book", **failed_of):
@@ -16,7 +16,7 @@
         for name, (failed, requests) in failed_of.items():
             if turn < requests:
                 is_failed = (turn * failed) // requests != ((turn + 1) * failed) // requests
-                observer.take([RouteCount(name, route, not is_failed, is_failed)], now)
+                observer.add_counts([RouteCount(name, route, not is_failed, is_failed)], now)
 
 
 def healthy():
@@ -61,7 +61,7 @@
         for second in range(12):
             for name in "abcde":
                 failed = sum(chance.random() < 0.14 for _ in range(4))
-                observer.take([RouteCount(name, "find", 4 - failed, failed)], float(second))
+                observer.add_counts([RouteCount(name, "find", 4 - failed, failed)], float(second))
         wrong += bool(names(observer, 12.0))
     assert wrong <= 4
 
@@ -70,9 +70,9 @@
     observer = healthy()
     report(observer, 0.0, a=(4, 6), b=(0, 10))
     assert names(observer, 0.1) == ["a"]
-    assert names(observer, KEPT_S) == ["a"]
-    assert names(observer, KEPT_S + 0.1) == []
-    assert observer.is_idle(HALVED_S + 0.1)
+    assert names(observer, SUSPECT_KEPT_S) == ["a"]
+    assert names(observer, SUSPECT_KEPT_S + 0.1) == []
+    assert observer.is_idle(ROUTE_HALF_LIFE_S + 0.1)
 
 
 def test_a_suspect_that_answers_again_is_trusted_again():
@@ -93,10 +93,10 @@
 
 def test_failures_are_told_at_once_and_answers_together():
     book = ReportBook()
-    assert not book.note("s", "a", "r", failed=False, now=0.0)
-    assert not book.note("s", "a", "r", failed=False, now=0.5)
-    assert book.due(0.5) == [] and book.due(GATHER_S) == ["s"]
-    assert book.note("s", "b", "r", failed=True, now=0.6)
-    counts = {each.replica: (each.answers, each.failures) for each in book.take("s").counts}
+    assert not book.add_outcome("s", "a", "r", failed=False, now=0.0)
+    assert not book.add_outcome("s", "a", "r", failed=False, now=0.5)
+    assert book.due_services(0.5) == [] and book.due_services(GATHER_INTERVAL_S) == ["s"]
+    assert book.add_outcome("s", "b", "r", failed=True, now=0.6)
+    counts = {each.replica: (each.answers, each.failures) for each in book.take_report("s").counts}
     assert counts == {"a": (2, 0), "b": (0, 1)}
-    assert book.due(9.0) == []
+    assert book.due_services(9.0) == []
--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_rests.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_rests.py
@@ -10,7 +10,7 @@
 
 def test_a_replica_that_wants_rest_is_not_chosen_before_it_is_over():
     balancer, replicas = make(2)
-    assert balancer.note_rest("r0", 3.0, 10.0) == (True, 3.0)
+    assert balancer.record_rest("r0", 3.0, 10.0) == (True, 3.0)
     assert {balancer.choose(replicas, 12.9).id for _ in range(20)} == {"r1"}
     assert balancer.choose(replicas[:1], 12.9) is None
     assert balancer.choose(replicas[:1], 13.0) is replicas[0]
@@ -18,24 +18,24 @@
 
 def test_a_shorter_rest_does_not_end_a_longer_one():
     balancer, replicas = make(1)
-    balancer.note_rest("r0", 3.0, 10.0)
-    assert balancer.note_rest("r0", 0.5, 11.0) == (False, 2.0)
+    balancer.record_rest("r0", 3.0, 10.0)
+    assert balancer.record_rest("r0", 0.5, 11.0) == (False, 2.0)
     assert balancer.rest_left_s(replicas, 12.0) == 1.0
 
 
 def test_all_rest_until_the_first_is_back():
     balancer, replicas = make(2)
-    balancer.note_rest("r0", 3.0, 10.0)
+    balancer.record_rest("r0", 3.0, 10.0)
     assert balancer.rest_left_s(replicas, 10.0) == 0.0
-    balancer.note_rest("r1", 2.0, 10.0)
+    balancer.record_rest("r1", 2.0, 10.0)
     assert balancer.rest_left_s(replicas, 10.0) == 2.0
     assert balancer.rest_left_s([], 10.0) == 0.0
 
 
 def test_a_rest_is_bounded_and_outlasts_a_record_that_lapses():
     balancer, replicas = make(1)
-    assert balancer.note_rest("r0", float("inf"), 0.0) == (True, MOST_REST_S)
-    balancer.forget((), 1.0)
+    assert balancer.record_rest("r0", float("inf"), 0.0) == (True, MOST_REST_S)
+    balancer.prune((), 1.0)
     assert balancer.rest_left_s(replicas, 1.0) == MOST_REST_S - 1.0
-    balancer.forget((), MOST_REST_S)
+    balancer.prune((), MOST_REST_S)
     assert balancer.rest_left_s(replicas, 1.0) == 0.0
--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_suspicions.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_suspicions.py
@@ -83,13 +83,13 @@
         self.at(self.now + took_s, self.ended, host, chosen.id, route, failed)
 
     def ended(self, host, replica, route, failed):
-        seen = self.balancers[host].seen(replica)
+        seen = self.balancers[host].stats(replica)
         if failed:
-            seen.note_failure(0.3, self.now)
+            seen.record_failure(0.3, self.now)
         else:
-            seen.note_answer(ANSWER_S)
+            seen.record_answer(ANSWER_S)
         if host in self.nodes:
-            self.nodes[host].note_end("seats", replica, route, failed=failed)
+            self.nodes[host].record_outcome("seats", replica, route, failed=failed)
 
     def tick(self):
         self.at(self.now + 1.0, self.tick)
--- a/packages/chalkyoke/src/chalkyoke/entry/answers.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/answers.py
@@ -166,7 +166,7 @@
 
     :param token: the token of the message, already opened.
     """
-    if not service.runs.ledger.is_ours(token):
+    if not service.runs.ledger.is_issued_here(token):
         await connection.send_and_wait(ForwardEnd(issuer_gone()))
         return
     submitted = service.submit(message.request, token, message.token)
--- a/packages/chalkyoke/src/chalkyoke/entry/http.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/http.py
@@ -164,7 +164,7 @@
         token: Token | None,
     ) -> None:
         text = req.get_header(TOKEN_HEADER) or ""
-        if token is not None and not self._service.runs.ledger.is_ours(token):
+        if token is not None and not self._service.runs.ledger.is_issued_here(token):
             answer: Answer | Refusal = await self._forward(token, text, request)
         else:
             submitted = self._service.submit(request, token, text)
--- a/packages/chalkyoke/src/chalkyoke/entry/state.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/state.py
@@ -12,7 +12,7 @@
 from chalkyoke.invariants import require
 from chalkyoke.outcomes import Reason, Refusal, Verdict
 from chalkyoke.scheduling.messages import Grant
-from chalkyoke.tokens.ledger import Record, TokenLedger
+from chalkyoke.tokens.ledger import TokenLedger, TokenRecord
 from chalkyoke.tokens.state import TokenState
 
 
@@ -39,7 +39,7 @@
 
     id: str
     token: str
-    record: Record
+    record: TokenRecord
     ledger: TokenLedger
     request: CallerRequest
     arrived: float
@@ -70,7 +70,7 @@
 
     def queue(self) -> None:
         """Note that it waits for a grant."""
-        self.ledger.move(self.record, TokenState.QUEUED)
+        self.ledger.transition(self.record, TokenState.QUEUED)
 
     def dispatch(self, now: float) -> bool:
         """Take the one permission to send it; call before the first byte leaves.
@@ -80,7 +80,7 @@
         """
         if self.end is not None or self.state is not TokenState.QUEUED or now >= self.deadline:
             return False
-        self.ledger.move(self.record, TokenState.DISPATCHED)
+        self.ledger.transition(self.record, TokenState.DISPATCHED)
         self.dispatched_at = now
         return True
 
@@ -105,7 +105,7 @@
 
     def finish(self, now: float) -> None:
         """Note that the answer is whole."""
-        self.ledger.move(self.record, TokenState.ANSWERED)
+        self.ledger.transition(self.record, TokenState.ANSWERED)
         self._end(Whole(), now)
 
     def refuse(self, refusal: Refusal, now: float) -> None:
@@ -114,8 +114,8 @@
         :raises InvariantBroken: when it was dispatched.
         """
         require(refusal.verdict is Verdict.NOT_RUN, "a refusal says 'not run'", request=self.id)
-        self.ledger.move(self.record, TokenState.REFUSED)
-        self.ledger.told_not_run(self.record)
+        self.ledger.transition(self.record, TokenState.REFUSED)
+        self.ledger.check_not_run(self.record)
         self._end(refusal, now)
 
     def fail(self, refusal: Refusal, now: float) -> None:
@@ -128,7 +128,7 @@
             "a dispatched request is never told 'not run'",
             request=self.id,
         )
-        self.ledger.move(self.record, TokenState.FAILED)
+        self.ledger.transition(self.record, TokenState.FAILED)
         self._end(refusal, now)
 
     def failure(self, reason: Reason, detail: str, retry_after_s: float | None = None) -> Refusal:
--- a/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
@@ -62,15 +62,15 @@
         """
         parts = self._parts
         now = parts.now()
-        seen = parts.balancer.seen(granted.replica.id)
+        seen = parts.balancer.stats(granted.replica.id)
         if relay is not None and relay.fields.load is not None and end is not SendEnd.NOT_CONNECTED:
-            seen.note_load(relay.fields.load.running, relay.fields.load.waiting, now)
+            seen.record_load(relay.fields.load.running, relay.fields.load.waiting, now)
         if end is SendEnd.DELIVERED:
-            seen.note_answer(now - granted.started)
+            seen.record_answer(now - granted.started)
         elif end is SendEnd.NOT_CONNECTED:
-            seen.note_unreachable(now)
+            seen.record_unreachable(now)
         else:
-            seen.note_failure(FAILURE_WEIGHTS[end], now)
+            seen.record_failure(FAILURE_WEIGHTS[end], now)
         self._note_replica(admission, granted.replica, end, output_s(relay), request)
         parts.grants.release(admission, granted, ENDED_OUTCOMES[end])
         if end in NO_SIGN_OF_HEALTH:
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -146,7 +146,7 @@
                 granted = await self._local.choose(wanted, wait_s)
         if isinstance(granted, Granted):
             self._held[admission.request_id] = _Held(admission, granted)
-            self._balancer.seen(granted.replica.id).outstanding += 1
+            self._balancer.stats(granted.replica.id).outstanding += 1
         return granted
 
     async def _is_permitted(self, wanted: Wanted, granted: Granted) -> bool:
@@ -233,7 +233,7 @@
             process,
             expected_first_s=message.expected_first_s,
             for_trial=for_trial,
-            counted=message.counted,
+            counted=message.counts_toward_limit,
         )
 
     def _acquire_message(self, wanted: Wanted) -> Acquire:
@@ -257,10 +257,10 @@
             goal_s=(admission.due - now) or -1e-3,
             likely_output=fields.likely_output_tokens,
             gap_goal_s=admission.route.gap_goal_s,
-            whole_s=admission.ends - now,
+            answer_due_s=admission.ends - now,
             fingerprint=fingerprint(admission),
-            comes_back_s=(admission.ends - now) * COMES_BACK_SHARE,
-            tried=tuple(wanted.avoid),
+            max_retry_after_s=(admission.ends - now) * COMES_BACK_SHARE,
+            tried_upstreams=tuple(wanted.avoid),
         )
 
     # Messages of schedulers.
@@ -313,7 +313,7 @@
         if held is None or held.granted is not granted:
             return
         del self._held[admission.request_id]
-        self._balancer.seen(granted.replica.id).outstanding -= 1
+        self._balancer.stats(granted.replica.id).outstanding -= 1
         if granted.permit is not None and not granted.started:
             self._permits.give_back(granted.permit)
         if not admission.service.is_engine or not self._pooled:
@@ -332,7 +332,7 @@
             outcome,
             usage,
             declined=granted.declined,
-            rest_s=self._balancer.seen(granted.replica.id).rest_left_s(self._now()),
+            rest_s=self._balancer.stats(granted.replica.id).rest_left_s(self._now()),
         )
         owner = self._schedulers.owners(pool)[:1]
         for process in dict.fromkeys([granted.scheduler, *owner]):
--- a/packages/chalkyoke/src/chalkyoke/gateway/localchoice.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/localchoice.py
@@ -72,7 +72,7 @@
                 self._now(),
                 avoid=wanted.avoid,
                 repeatable=admission.route.repeatable and wanted.attempt < admission.route.attempts,
-                most_outstanding=bound,
+                max_outstanding=bound,
             )
             if chosen is not None:
                 permit = await self.permit(chosen, 0.0)
@@ -96,7 +96,7 @@
         rest_s = self._balancer.rest_left_s(replicas, now)
         if rest_s > 0 and now + rest_s > wanted.admission.due:
             return Denied("replicas rest", rest_s)
-        if self._balancer.out_of_reach(replicas, now, tried=wanted.avoid):
+        if self._balancer.are_all_unreachable(replicas, now, tried=wanted.avoid):
             return Denied("replicas out of reach", DEFAULT_RETRY_S)
         return None
 
@@ -109,7 +109,7 @@
         if isinstance(permit, Permit):
             return permit
         closed_s = max(LOCAL_POLL_S, permit.opens_in_s)
-        self._balancer.note_limited(replica.id, closed_s, self._now())
+        self._balancer.record_limited(replica.id, closed_s, self._now())
         return None
 
     async def _wait_for_limit(
@@ -121,11 +121,11 @@
         :return: nothing where limits do not hold up all, or another replica may be sooner.
         """
         now = self._now()
-        replica = self._balancer.soonest_limited(replicas, now)
+        replica = self._balancer.first_limit_to_open(replicas, now)
         if replica is None:
             return None
         latest = _latest(wanted, now)
-        opens_at = self._balancer.seen(replica.id).limited_until
+        opens_at = self._balancer.stats(replica.id).limited_until
         if opens_at > latest:
             spread_s = REOPENING_SPREAD_S * self._random()
             return Denied("replicas at their limits", opens_at - now + spread_s)
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
@@ -98,7 +98,7 @@
             acquire=acquire, release=lambda admission, granted, outcome: released.append(outcome)
         ),
         balancer=SimpleNamespace(
-            seen=lambda replica: SimpleNamespace(note_unreachable=lambda now: None),
+            stats=lambda replica: SimpleNamespace(record_unreachable=lambda now: None),
             rest_left_s=lambda replicas, now: 0.0,
         ),
         quotas=quotas,
@@ -262,7 +262,7 @@
             left=lambda *_: 9.0, try_spend=lambda *_: True, note_first=lambda *_: None
         )
         parts.grants.started = lambda admission, granted: None
-        parts.balancer.seen = lambda replica: SimpleNamespace(note_failure=lambda *_: None)
+        parts.balancer.stats = lambda replica: SimpleNamespace(record_failure=lambda *_: None)
         await exchange.run()
         assert dropped == [(REPLICA.ip, REPLICA.port)]
         assert answering.status == 502
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
@@ -122,7 +122,7 @@
         grants = grants_before(Schedulers(answers_from=99.0), pooled=False)
         loop = asyncio.get_running_loop()
         for each in REPLICAS:
-            grants._balancer.seen(each.id).note_unreachable(loop.time())
+            grants._balancer.stats(each.id).record_unreachable(loop.time())
         first = await grants.acquire(admission(1, 5.0), 1, [])
         assert isinstance(first, Granted), "one try: the list may know better than this node"
         second = await grants.acquire(admission(2, 5.0), 2, ["m0", "m1"])
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -94,7 +94,7 @@
             SimpleNamespace(replicas=fleet.replicas),
             Metrics(),
             lambda address, message: fleet.carry(self, address, "news", message),
-            lambda: self.balancer.limits_changed(),
+            lambda: self.balancer.clear_limits(),
             now,
         )
         self.permits = PermitClient(
@@ -279,7 +279,7 @@
         replica = self.limited[granted.replica.id]
         replica.arrivals.append((self.now(), node.process))
         await asyncio.sleep(WORK_S * self.random.expovariate(1.0))
-        node.balancer.seen(granted.replica.id).note_answer(self.now() - granted.started)
+        node.balancer.stats(granted.replica.id).record_answer(self.now() - granted.started)
         node.grants.release(admission, granted, ReleaseOutcome.DELIVERED)
         self.answers["served"] += 1
         self.answers["served", route.name] += 1
--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -76,7 +76,7 @@
 
     def _rests(self, replica: Replica, seconds: float) -> None:
         """Note that a replica wants nothing of this node for some time."""
-        is_new, for_s = self._balancer.note_rest(replica.id, seconds, self._now())
+        is_new, for_s = self._balancer.record_rest(replica.id, seconds, self._now())
         if is_new:
             log.info("replica_rests", replica=replica.id, asked_s=seconds, for_s=for_s)
             self._metrics.count("replica_rests")
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -342,7 +342,7 @@
                 now=self.now,
                 record=self.requests.record,
                 reject=self.requests.reject,
-                plain_ended=lambda admission, replica, failed: self.suspicions.note_end(
+                plain_ended=lambda admission, replica, failed: self.suspicions.record_outcome(
                     replica.service, replica.id, admission.route.name, failed=failed
                 ),
                 rollouts=self.rollouts,
@@ -353,7 +353,7 @@
 
     def _limits_changed(self) -> None:
         self.hosted.limits_changed()
-        self.balancer.limits_changed()
+        self.balancer.clear_limits()
 
     def _limit_kept(self, kept: KeptLimit) -> None:
         log.info(
@@ -537,7 +537,7 @@
         self.grants.send_progress()
         self.connections.expire()
         self._store_connections.expire()
-        self.balancer.forget(self.catalog.state.replicas, self.now())
+        self.balancer.prune(self.catalog.state.replicas, self.now())
         self.quotas.keep_house()
         self.suspicions.tick()
         self.quarantine.tick()
--- a/packages/chalkyoke/src/chalkyoke/node/probes.py
+++ b/packages/chalkyoke/src/chalkyoke/node/probes.py
@@ -41,5 +41,5 @@
         metrics.count("probe_failures")
         return
     report, dropped = answered
-    scheduler.cache_event(dropped)
-    schedulers.dispatch(scheduler.load_report(report, now))
+    scheduler.apply_cache_event(dropped)
+    schedulers.dispatch(scheduler.apply_load_report(report, now))
--- a/packages/chalkyoke/src/chalkyoke/node/schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/schedulers.py
@@ -30,7 +30,7 @@
     Shed,
 )
 from chalkyoke.scheduling.placement import Features
-from chalkyoke.scheduling.refusals import Out
+from chalkyoke.scheduling.refusals import AddressedAction
 from chalkyoke.scheduling.scheduler import PoolScheduler
 from chalkyoke.scheduling.state import PoolSpec
 
@@ -167,14 +167,14 @@
             self.dispatch(scheduler.release(domain, message, now))
             self._tell_closings(scheduler)
         elif isinstance(message, FirstOutput):
-            scheduler.first_output(message, now)
+            scheduler.apply_first_output(message, now)
             self._tell_closings(scheduler)
         elif isinstance(message, Progress):
-            self.dispatch(scheduler.progress(entry, message, now))
+            self.dispatch(scheduler.apply_progress(entry, message, now))
         elif isinstance(message, Adopt):
             self.dispatch(scheduler.adopt(entry, message, now))
         elif isinstance(message, Learned):
-            scheduler.take_over(message)
+            scheduler.import_learned(message)
         else:
             scheduler.withdraw(message)
 
@@ -182,7 +182,7 @@
         """Tell a pool's new scheduler what this process has learned as its earlier one."""
         scheduler = self.pools.get(pool)
         if scheduler is not None and process != self._process:
-            self.send(process, scheduler.learned())
+            self.send(process, scheduler.export_learned())
 
     def tick(self) -> None:
         """Let each scheduler give up what is late, and drop those that moved away."""
@@ -202,7 +202,7 @@
             owners = [each.process for each in self._view.pool_owners(name)]
             if owners[:1] != [self._process]:
                 continue
-            learned = scheduler.learned()
+            learned = scheduler.export_learned()
             for process in owners[1 : 1 + SUCCESSORS]:
                 if learned.speeds:
                     self.send(process, learned)
@@ -227,14 +227,14 @@
         """Drop what a dead entry process had here."""
         self._addresses.pop(process, None)
         for scheduler in self.pools.values():
-            self.dispatch(scheduler.member_gone(process, self._now()))
+            self.dispatch(scheduler.remove_entry(process, self._now()))
 
-    def dispatch(self, outs: list[Out]) -> None:
+    def dispatch(self, outs: list[AddressedAction]) -> None:
         """Deliver what a scheduler decided."""
         for out in outs:
             action = out.action
             if isinstance(action, Shed):
-                beside = "free" if out.beside_free else "taken"
+                beside = "free" if out.pool_mostly_free else "taken"
                 self._metrics.count(
                     "scheduler_shed", reason=action.reason, pool=action.pool, places=beside
                 )
@@ -251,10 +251,10 @@
         names = (each.id for each in self._fleet().pools.get(pool, scheduler.spec).upstreams)
         found = {name: self._keeper.allowance(pool, name, now) for name in names}
         allowances = {name: each for name, each in found.items() if each is not None}
-        self.dispatch(scheduler.limit(allowances, now))
+        self.dispatch(scheduler.set_allowances(allowances, now))
 
     def _tell_closings(self, scheduler: PoolScheduler) -> None:
-        for each in scheduler.take_closings():
+        for each in scheduler.take_refusal_changes():
             event = "upstream_closed" if each.refuses else "upstream_opened"
             log.info(event, pool=scheduler.spec.name, upstream=each.upstream)
             self._metrics.count(event, pool=scheduler.spec.name)
@@ -282,7 +282,7 @@
         self.holds_pools.set()
         learned = self._learned.pop(pool, None)
         if learned is not None:
-            scheduler.take_over(learned)
+            scheduler.import_learned(learned)
         self._ask_running(pool)
         self._events.add(EventKind.POOL_TAKEN, pool=pool)
         log.info("pool_taken", pool=pool)
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
@@ -53,16 +53,16 @@
 
 def test_failures_and_reach_of_the_start_before_do_not_count():
     balancer = LocalBalancer("a", lambda: 0.5)
-    balancer.seen("m1/1").note_failure(5.0, 0.0)
-    balancer.seen("m1/1").note_unreachable(0.0)
+    balancer.stats("m1/1").record_failure(5.0, 0.0)
+    balancer.stats("m1/1").record_unreachable(0.0)
     (replica,) = starts(1, 2).replicas.values()
-    balancer.forget({replica.id}, 0.0)
-    assert balancer.seen(replica.id).recent_failures(0.0) == 0.0
-    assert not balancer.out_of_reach([replica], 0.0, tried=[replica.id])
+    balancer.prune({replica.id}, 0.0)
+    assert balancer.stats(replica.id).recent_failures(0.0) == 0.0
+    assert not balancer.are_all_unreachable([replica], 0.0, tried=[replica.id])
 
 
 def test_what_observers_were_told_of_the_start_before_makes_no_suspect_of_the_new_one():
     observer = Observer()
-    observer.take([RouteCount("m2/1", "r", 50, 0), RouteCount("m1/1", "r", 0, 9)], 0.0)
-    observer.take([RouteCount("m1/2", "r", 1, 0)], 0.1)
+    observer.add_counts([RouteCount("m2/1", "r", 50, 0), RouteCount("m1/1", "r", 0, 9)], 0.0)
+    observer.add_counts([RouteCount("m1/2", "r", 1, 0)], 0.1)
     assert observer.suspects(3, 0.1) == ("m1/1",)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
@@ -15,7 +15,7 @@
 FIRST_PAUSE_S = 0.1
 # The longest pause, in seconds: one request a second finds out whether it serves again, at the cost
 # of one try of the pool's callers.
-MOST_PAUSE_S = 1.0
+MAX_PAUSE_S = 1.0
 
 
 class _Closed(msgspec.Struct):
@@ -29,7 +29,7 @@
     last: float = -math.inf
     until: float = -math.inf
 
-    def decline(self, granted: float, now: float) -> None:
+    def record_decline(self, granted: float, now: float) -> None:
         """Count a decline; those of requests that were under way together count once."""
         if granted < self.last:
             return
@@ -42,13 +42,13 @@
     @property
     def pause_s(self) -> float:
         """The pause before the next request is tried, in seconds."""
-        return min(MOST_PAUSE_S, FIRST_PAUSE_S * 2.0 ** min(self.count - 1, 10))
+        return min(MAX_PAUSE_S, FIRST_PAUSE_S * 2.0 ** min(self.count - 1, 10))
 
     def pause(self, now: float) -> None:
         """Keep the next request away for a while."""
         self.until = now + self.pause_s
 
-    def serve(self, granted: float) -> None:
+    def record_served(self, granted: float) -> None:
         """Note that a request was taken; one from before the last decline tells nothing."""
         if granted >= self.last:
             self.count = 0
@@ -70,39 +70,39 @@
         self._served: dict[str, float] = {}
         self._rests: dict[str, float] = {}
 
-    def decline(self, domain: str, granted: float, now: float) -> None:
+    def record_decline(self, domain: str, granted: float, now: float) -> None:
         """Note that a request was turned away.
 
         :param domain: failure domain of the entry process that sent it.
         :param granted: when it was granted, on the scheduler's clock.
         """
         closed = self._domains.setdefault(domain, _Closed())
-        closed.decline(granted, now)
+        closed.record_decline(granted, now)
         elsewhere = (at for other, at in self._served.items() if other != domain)
         if max(elsewhere, default=-math.inf) <= closed.since:
-            self._all.decline(granted, now)
+            self._all.record_decline(granted, now)
 
-    def serve(self, domain: str, granted: float, now: float) -> None:
+    def record_served(self, domain: str, granted: float, now: float) -> None:
         """Note that a request was taken."""
-        self._all.serve(granted)
+        self._all.record_served(granted)
         if (closed := self._domains.get(domain)) is not None:
-            closed.serve(granted)
+            closed.record_served(granted)
         if self._domains:
             self._served[domain] = now
 
-    def probe(self, domain: str, now: float) -> None:
+    def record_probe(self, domain: str, now: float) -> None:
         """Note a grant: while the upstream declines, the next one follows after a pause."""
         for closed in (self._all, self._domains.get(domain)):
             if closed is not None and closed.count:
                 closed.pause(now)
 
-    def rest(self, entry: str, seconds: float, now: float) -> None:
+    def record_rest(self, entry: str, seconds: float, now: float) -> None:
         """Note that the upstream wants nothing of an entry process for some time."""
         until = now + seconds
         self._rests = {name: at for name, at in self._rests.items() if at > now}
         self._rests[entry] = max(until, self._rests.get(entry, until))
 
-    def opens(self, domain: str, now: float) -> float:
+    def opens_at(self, domain: str, now: float) -> float:
         """Tell when an entry process of a failure domain may be granted the upstream, rests aside.
 
         :return: on the scheduler's clock; a moment that is over where it may be now.
@@ -127,7 +127,7 @@
     @property
     def refuses_all(self) -> bool:
         """Whether it has declined so often that it is taken to refuse whatever it gets."""
-        return self._all.pause_s >= MOST_PAUSE_S
+        return self._all.pause_s >= MAX_PAUSE_S
 
 
 class Closure(msgspec.Struct, frozen=True):
@@ -141,7 +141,7 @@
     refused: bool
 
 
-def closure(
+def find_closure(
     upstreams: Iterable[tuple[Declines, float]], entry: str, domain: str, now: float
 ) -> Closure | None:
     """Tell until when all upstreams are closed to an entry process; nothing where one is not.
@@ -152,7 +152,7 @@
     until = math.inf
     refused = True
     for each, limited_until in upstreams:
-        rests, opens = each.rests_until(entry), each.opens(domain, now)
+        rests, opens = each.rests_until(entry), each.opens_at(domain, now)
         if max(rests, opens, limited_until) <= now:
             return None
         until = min(until, max(rests, opens, limited_until))
--- a/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
@@ -17,30 +17,30 @@
 PREFILL_GAIN = 0.15
 FIRST_PREFILL_GAIN = 0.6
 # How far one sample moves a speed, and how far it may go from the first guess, as factors.
-MAX_STEP = 3.0
+MAX_STEP_FACTOR = 3.0
 MIN_FACTOR = 0.05
 MAX_FACTOR = 200.0
 # A first output that takes so many times what was expected tells of something else than speed.
 STALL_FACTOR = 4.0
 
 # Parts of all requests that have no more output than is reckoned with.
-MEDIAN = 0.5
-OPTIMISTIC = 0.15
-DEFAULT_CAUTION = 0.65
+MEDIAN_QUANTILE = 0.5
+OPTIMISTIC_QUANTILE = 0.15
+DEFAULT_CAUTION_QUANTILE = 0.65
 # How far a tracked quantile moves with a sample, in logarithms: at first, and at least.
 QUANTILE_STEP = 0.35
 QUANTILE_MIN_STEP = 0.05
 # Samples from which on a team's own outputs are believed, in number.
-TEAM_MIN_SAMPLES = 8
+MIN_LENGTH_SAMPLES = 8
 DEFAULT_OUTPUT_TOKENS = 128.0
 
 # The part of requests that have no more output than what is reckoned with for the end of a stream.
-HINT_CAUTION = 0.95
+HINT_QUANTILE = 0.95
 # What outputs come to at that part of all, as a multiple of their callers' estimates, until it is
 # learned: two standard deviations of a logarithmic spread of a half.
-FIRST_HINT_FACTOR = 2.5
+INITIAL_HINT_FACTOR = 2.5
 # How many samples that first guess is worth.
-HINT_START = 50
+HINT_PRIOR_SAMPLES = 50
 # Ratios are tracked in hundredths: the tracker's least value is 1.
 HINT_SCALE = 100.0
 
@@ -133,7 +133,7 @@
         """How many first outputs it has learned from."""
         return self._firsts
 
-    def take_over(self, prefill_factor: float, decode_factor: float, samples: int) -> None:
+    def adopt_factors(self, prefill_factor: float, decode_factor: float, samples: int) -> None:
         """Take what another one has learned, if that is more."""
         if samples <= self._firsts:
             return
@@ -155,7 +155,7 @@
         if tokens == 0:
             # A stall tells only that a token takes at least so long.
             if seconds > STALL_FACTOR * predicted:
-                self._scale_decode(min(seconds / predicted, MAX_STEP), SPEED_GAIN)
+                self._scale_decode(min(seconds / predicted, MAX_STEP_FACTOR), SPEED_GAIN)
             return
 
         weight = SPEED_GAIN * min(1.0, tokens / FULL_SAMPLE_TOKENS)
@@ -169,14 +169,14 @@
         """
         if expected_s <= 0 or observed_s <= 0:
             return
-        ratio = _clamp(observed_s / expected_s, 1 / MAX_STEP, MAX_STEP)
+        ratio = _clamp(observed_s / expected_s, 1 / MAX_STEP_FACTOR, MAX_STEP_FACTOR)
         self._firsts += 1
         gain = max(PREFILL_GAIN, FIRST_PREFILL_GAIN / self._firsts)
         factor = self.prefill_factor * ratio**gain
         self.prefill_factor = _clamp(factor, MIN_FACTOR, MAX_FACTOR)
 
     def _scale_decode(self, ratio: float, gain: float) -> None:
-        ratio = _clamp(ratio, 1 / MAX_STEP, MAX_STEP)
+        ratio = _clamp(ratio, 1 / MAX_STEP_FACTOR, MAX_STEP_FACTOR)
         self.decode_factor = _clamp(self.decode_factor * ratio**gain, MIN_FACTOR, MAX_FACTOR)
 
 
@@ -224,8 +224,8 @@
     :param caution: quantile of the cautious estimate.
     """
 
-    def __init__(self, caution: float = DEFAULT_CAUTION) -> None:
-        self._quantiles = (MEDIAN, OPTIMISTIC, caution)
+    def __init__(self, caution: float = DEFAULT_CAUTION_QUANTILE) -> None:
+        self._quantiles = (MEDIAN_QUANTILE, OPTIMISTIC_QUANTILE, caution)
         self._trackers: dict[tuple[str, str], tuple[QuantileTracker, ...]] = {}
 
     def predict(self, route: str, team: str, max_output: int) -> OutputEstimate:
@@ -236,7 +236,7 @@
         """
         for key in ((route, team), (route, "")):
             trackers = self._trackers.get(key)
-            if trackers is not None and trackers[0].samples >= TEAM_MIN_SAMPLES:
+            if trackers is not None and trackers[0].samples >= MIN_LENGTH_SAMPLES:
                 median, optimistic, cautious = trackers
                 learned = OutputEstimate(median.value, optimistic.value, cautious.value)
                 return learned.capped(max_output)
@@ -266,14 +266,14 @@
     def __init__(self) -> None:
         self._trackers: dict[str, QuantileTracker] = {}
 
-    def around(self, route: str, hint: int) -> OutputEstimate:
+    def estimate(self, route: str, hint: int) -> OutputEstimate:
         """Estimate the output of a request by its caller's estimate.
 
         :param hint: in tokens.
         :rtype: OutputEstimate
         """
         factor = self._tracker(route).value / HINT_SCALE
-        return OutputEstimate(hint, hint / FIRST_HINT_FACTOR, hint * max(1.0, factor))
+        return OutputEstimate(hint, hint / INITIAL_HINT_FACTOR, hint * max(1.0, factor))
 
     def learn(self, route: str, hint: int, output_tokens: int, *, whole: bool) -> None:
         """Learn from a request that has ended.
@@ -291,6 +291,8 @@
     def _tracker(self, route: str) -> QuantileTracker:
         found = self._trackers.get(route)
         if found is None:
-            start = HINT_SCALE * FIRST_HINT_FACTOR
-            found = self._trackers[route] = QuantileTracker(HINT_CAUTION, start, HINT_START)
+            start = HINT_SCALE * INITIAL_HINT_FACTOR
+            found = self._trackers[route] = QuantileTracker(
+                HINT_QUANTILE, start, HINT_PRIOR_SAMPLES
+            )
         return found
--- a/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from chalkyoke.scheduling.placement import Prediction, missed_by, predict
-from chalkyoke.scheduling.shortlist import FREE_COMPARED, MOST_COMPARED
-from chalkyoke.scheduling.state import Upstream, Waiting
+from chalkyoke.scheduling.placement import Prediction, lateness_s, predict
+from chalkyoke.scheduling.shortlist import MAX_COMPARED, MAX_FREE_COMPARED
+from chalkyoke.scheduling.state import Upstream, WaitingRequest
 
 # Waiting requests that a forecast plays forward, in number; what is behind them is late anyway.
-MAX_LOOKAHEAD = 4000
+MAX_FORECAST_REQUESTS = 4000
 
 
 class Late(msgspec.Struct, frozen=True):
@@ -27,7 +27,7 @@
     :param hopeless: whether nobody would wait for it any more.
     """
 
-    item: Waiting
+    item: WaitingRequest
     late_s: float
     hopeless: bool = True
 
@@ -45,7 +45,7 @@
         self._limited_until: dict[str, float] = {}
         for upstream in upstreams:
             if upstream.allowance is not None:
-                self._limited_until[upstream.spec.id] = upstream.limited_until(now)
+                self._limited_until[upstream.spec.id] = upstream.limit_opens_at(now)
             finishes = [max(now, item.expected_finish) for item in upstream.running.values()]
             free = max(0, upstream.spec.slots - upstream.occupied(now))
             slots = finishes + [now] * free
@@ -53,7 +53,7 @@
             if slots:
                 self._slots[upstream.spec.id] = slots
 
-    def soonest(self, upstreams: Iterable[Upstream]) -> tuple[Upstream, float] | None:
+    def soonest_start(self, upstreams: Iterable[Upstream]) -> tuple[Upstream, float] | None:
         """Find the upstream whose next slot gets free first.
 
         :return: the upstream and the moment, or nothing where none has slots.
@@ -69,7 +69,7 @@
                 best = (upstream, start)
         return best
 
-    def start(self, upstream: Upstream) -> float:
+    def next_start(self, upstream: Upstream) -> float:
         """Give the moment at which an upstream's next slot gets free; infinite where it has none.
 
         One that names a limit starts nothing before that allows it, whatever its slots.
@@ -81,18 +81,18 @@
             return math.inf
         return max(slots[0], self._limited_until.get(upstream.spec.id, slots[0]))
 
-    def soonest_ones(self, upstreams: list[Upstream]) -> list[Upstream]:
+    def soonest_candidates(self, upstreams: list[Upstream]) -> list[Upstream]:
         """Choose the upstreams of a large pool whose next slots get free first.
 
         :rtype: list[Upstream]
         """
-        if len(upstreams) <= MOST_COMPARED:
+        if len(upstreams) <= MAX_COMPARED:
             return upstreams
-        return heapq.nsmallest(FREE_COMPARED, upstreams, key=self.start)
+        return heapq.nsmallest(MAX_FREE_COMPARED, upstreams, key=self.next_start)
 
-    def take(self, upstream: Upstream, seconds: float) -> None:
+    def occupy(self, upstream: Upstream, seconds: float) -> None:
         """Use the next slot of an upstream for some time."""
-        start = self.start(upstream)
+        start = self.next_start(upstream)
         heapq.heapreplace(self._slots[upstream.spec.id], start + seconds)
         if upstream.allowance is not None:
             gap_s = 1.0 / upstream.allowance.rate_per_s
@@ -100,7 +100,7 @@
 
 
 def find_late(
-    ordered: Iterable[Waiting],
+    ordered: Iterable[WaitingRequest],
     eligible: dict[str, list[Upstream]],
     forecast: SlotForecast,
     now: float,
@@ -116,7 +116,7 @@
     :rtype: list[Late]
     """
     late: list[Late] = []
-    bounded = itertools.islice(ordered, MAX_LOOKAHEAD)
+    bounded = itertools.islice(ordered, MAX_FORECAST_REQUESTS)
     for _, tier in itertools.groupby(bounded, key=lambda item: item.rank):
         behind = [item for item in tier if not _plays_in_time(item, eligible, forecast, now)]
         late += [_play_late(item, eligible, forecast, now) for item in behind]
@@ -124,51 +124,51 @@
 
 
 def _plays_in_time(
-    item: Waiting, eligible: dict[str, list[Upstream]], forecast: SlotForecast, now: float
+    item: WaitingRequest, eligible: dict[str, list[Upstream]], forecast: SlotForecast, now: float
 ) -> bool:
     """Play a request where it would be in time, and tell whether it would."""
     upstreams = eligible[item.route]
-    found = forecast.soonest(upstreams)
+    found = forecast.soonest_start(upstreams)
     if found is None:
         return True
 
     upstream, start = found
     prediction = predict(item, upstream, 0, upstream.spec.slots, now)
-    if missed_by(item, start, prediction) > 0:
+    if lateness_s(item, start, prediction) > 0:
         upstream, start, prediction = _earliest_finish(item, upstreams, forecast, now)
-    in_time = missed_by(item, start, prediction) <= 0
+    in_time = lateness_s(item, start, prediction) <= 0
     if in_time or (start <= now and _could_start(item, upstream, now)):
-        forecast.take(upstream, prediction.finish_s)
+        forecast.occupy(upstream, prediction.finish_s)
         return True
     return False
 
 
 def _play_late(
-    item: Waiting, eligible: dict[str, list[Upstream]], forecast: SlotForecast, now: float
+    item: WaitingRequest, eligible: dict[str, list[Upstream]], forecast: SlotForecast, now: float
 ) -> Late:
     """Play a request that would be late; one that nobody would wait for takes no slot."""
     upstream, start, prediction = _earliest_finish(item, eligible[item.route], forecast, now)
     hopeless = not item.has_goal or start + prediction.first_s > item.deadline
     if not hopeless:
-        forecast.take(upstream, prediction.finish_s)
-    return Late(item, missed_by(item, start, prediction), hopeless)
+        forecast.occupy(upstream, prediction.finish_s)
+    return Late(item, lateness_s(item, start, prediction), hopeless)
 
 
 def _earliest_finish(
-    item: Waiting, upstreams: list[Upstream], forecast: SlotForecast, now: float
+    item: WaitingRequest, upstreams: list[Upstream], forecast: SlotForecast, now: float
 ) -> tuple[Upstream, float, Prediction]:
     best: tuple[float, Upstream, float, Prediction] | None = None
-    for upstream in forecast.soonest_ones(upstreams):
-        start = forecast.start(upstream)
+    for upstream in forecast.soonest_candidates(upstreams):
+        start = forecast.next_start(upstream)
         prediction = predict(item, upstream, 0, upstream.spec.slots, now)
-        finish = missed_by(item, start, prediction)
+        finish = lateness_s(item, start, prediction)
         if best is None or finish < best[0]:
             best = (finish, upstream, start, prediction)
     assert best is not None
     return best[1:]
 
 
-def _could_start(item: Waiting, upstream: Upstream, now: float) -> bool:
+def _could_start(item: WaitingRequest, upstream: Upstream, now: float) -> bool:
     """Tell whether a free slot is there and the deadline can be met with luck."""
     prediction = predict(item, upstream, 0, upstream.occupied(now) + 1, now)
     optimistic = prediction.first_s if item.has_goal else prediction.optimistic_s
@@ -176,7 +176,7 @@
 
 
 def may_shed(
-    late: list[Late], waiting: Iterable[Waiting], overlaps: Container[tuple[str, str]]
+    late: list[Late], waiting: Iterable[WaitingRequest], overlaps: Container[tuple[str, str]]
 ) -> list[Late]:
     """Keep, of the late requests, those that may be given up: strictly from the lowest tier up.
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
@@ -11,15 +11,21 @@
 from chalkyoke.invariants import require
 from chalkyoke.scheduling.headroom import Headroom
 from chalkyoke.scheduling.messages import Grant
-from chalkyoke.scheduling.placement import BLOCK_TOKENS, Choice, Features, choose, held_up_by
+from chalkyoke.scheduling.placement import (
+    BLOCK_TOKENS,
+    Features,
+    Placement,
+    choose_upstream,
+    streams_stalled_by,
+)
 from chalkyoke.scheduling.pool import PoolState
 from chalkyoke.scheduling.queues import TierQueue
-from chalkyoke.scheduling.refusals import Counters, Out
+from chalkyoke.scheduling.refusals import AddressedAction, Counters
 from chalkyoke.scheduling.shortlist import Openings
-from chalkyoke.scheduling.state import Running, Waiting
+from chalkyoke.scheduling.state import RunningRequest, WaitingRequest
 
 # Requests of one tier that are looked at closely in one decision, in number: it bounds its time.
-MAX_LOOKED = 8
+MAX_EXAMINED_REQUESTS = 8
 
 
 class _Decision(msgspec.Struct, frozen=True):
@@ -31,7 +37,7 @@
 
     now: float
     openings: Openings
-    outs: list[Out]
+    outs: list[AddressedAction]
     held: dict[str, int] = msgspec.field(default_factory=dict)
 
 
@@ -50,19 +56,19 @@
         self._features = features
         self._headroom = headroom
 
-    def decide(self, now: float) -> list[Out]:
+    def grant_waiting(self, now: float) -> list[AddressedAction]:
         """Grant what can go now: tiers strictly, teams by their shares, then deadlines.
 
         :rtype: list[Out]
         """
         if not self._pool.waiting:
             return []
-        outs: list[Out] = []
-        if not self._pool.any_slot(now):
+        outs: list[AddressedAction] = []
+        if not self._pool.has_free_slot(now):
             return outs
         decision = _Decision(now, Openings(self._pool.eligible, now), outs)
         for queue, late in self._passes():
-            wanted = queue.late if late else queue.live > queue.late
+            wanted = queue.late if late else queue.size > queue.late
             if wanted and not self._decide_tier(queue, late, decision):
                 return outs
         return outs
@@ -83,9 +89,9 @@
         blocked: set[tuple[str, str]] = set()
         full: set[str] = set()
         looked = 0
-        while looked < MAX_LOOKED:
+        while looked < MAX_EXAMINED_REQUESTS:
             granted = False
-            for each in queue.queues(self._features.fair):
+            for each in queue.ordered_queues(self._features.fair):
                 key = (each.name, each.route)
                 if key in blocked or each.route in full or self._pool.at_limit(each.name):
                     continue
@@ -104,19 +110,21 @@
                 blocked.add(key)
             if not granted:
                 return True
-            if not self._pool.any_slot(now):
+            if not self._pool.has_free_slot(now):
                 return False
         return True
 
-    def _try(self, item: Waiting, decision: "_Decision") -> bool:
+    def _try(self, item: WaitingRequest, decision: "_Decision") -> bool:
         now, openings = decision.now, decision.openings
-        if not openings.usable(item.route, item.domain, item.entry):
+        if not openings.usable_upstreams(item.route, item.domain, item.entry):
             return False
-        if self._features.headroom and item.long and not self._leaves_room(item, openings):
+        if self._features.headroom and item.is_long and not self._leaves_room(item, openings):
             return False
         depths = self._pool.prefixes.matches(item.blocks)
-        compared = openings.compared(item.route, item.domain, depths, item.entry, item.tried)
-        choice = choose(item, compared, depths, decision.held, now, self._features)
+        compared = openings.candidates(
+            item.route, item.domain, depths, item.entry, item.tried_upstreams
+        )
+        choice = choose_upstream(item, compared, depths, decision.held, now, self._features)
         if choice.upstream is None:
             if choice.held_for is not None:
                 name = choice.held_for.spec.id
@@ -125,16 +133,16 @@
             return False
         if self._features.shed and not self._may_start(item, choice, now):
             return False
-        decision.outs.append(self.grant(item, choice, now))
-        openings.changed()
+        decision.outs.append(self.grant_request(item, choice, now))
+        openings.invalidate_slots()
         return True
 
-    def _leaves_room(self, item: Waiting, openings: Openings) -> bool:
+    def _leaves_room(self, item: WaitingRequest, openings: Openings) -> bool:
         """Tell whether enough slots stay free for higher tiers beside long work of this one."""
         free = openings.free_slots(item.route, item.domain, item.entry)
-        return free > self._headroom.kept_free(item.rank)
+        return free > self._headroom.reserved_slots(item.rank)
 
-    def _may_start(self, item: Waiting, choice: Choice, now: float) -> bool:
+    def _may_start(self, item: WaitingRequest, choice: Placement, now: float) -> bool:
         """Tell whether to start a request that may be cut at its deadline."""
         prediction = choice.prediction
         assert prediction is not None
@@ -146,9 +154,9 @@
             return False
         if item.late and now + prediction.finish_s > item.deadline:
             return False
-        return item.late or self._pool.counts[item.rank, item.route] == 1
+        return item.late or self._pool.waiting_counts[item.rank, item.route] == 1
 
-    def grant(self, item: Waiting, choice: Choice, now: float) -> Out:
+    def grant_request(self, item: WaitingRequest, choice: Placement, now: float) -> AddressedAction:
         """Grant one request what was chosen for it.
 
         :raises InvariantBroken: when the upstream takes nothing now.
@@ -160,17 +168,17 @@
         )
         require(upstream.has_slot(now), "a grant finds a free slot", upstream=upstream.spec.id)
 
-        self._pool.remove(item)
-        for each in held_up_by(item, upstream, choice.cached_blocks, now):
-            each.held_up = True
+        self._pool.remove_waiting(item)
+        for each in streams_stalled_by(item, upstream, choice.cached_blocks, now):
+            each.gap_exceeded = True
         cached = min(choice.cached_blocks * BLOCK_TOKENS, item.prompt_tokens)
         left = max(1, item.prompt_tokens - cached)
-        work = self._pool.work(left, item.output.median)
-        self._pool.queues[item.rank].charge(item.team, work, self._pool.weight(item.team))
-        self._pool.prefixes.insert(upstream.spec.id, item.blocks)
+        work = self._pool.work_s(left, item.output.median)
+        self._pool.queues[item.rank].charge_team(item.team, work, self._pool.weight(item.team))
+        self._pool.prefixes.insert_blocks(upstream.spec.id, item.blocks)
         if upstream.allowance is not None:
             upstream.allowance.take(now)
-        running = Running(
+        running = RunningRequest(
             request=item.request,
             attempt=item.attempt,
             entry=item.entry,
@@ -191,16 +199,16 @@
             tier_index=self._pool.tier_index(item.rank),
             hint=item.hint,
             domain=item.domain,
-            counted=upstream.allowance is not None,
+            counts_toward_limit=upstream.allowance is not None,
         )
-        self._pool.delay_others(upstream, left)
-        self._pool.start(running, upstream, now)
-        upstream.declines.probe(item.domain, now)
+        self._pool.delay_running(upstream, left)
+        self._pool.start_running(running, upstream, now)
+        upstream.declines.record_probe(item.domain, now)
         self._counters.granted += 1
-        self._headroom.note_grant(item.rank, now)
-        return Out(item.entry, self.message(running))
+        self._headroom.record_grant(item.rank, now)
+        return AddressedAction(item.entry, self.grant_message(running))
 
-    def message(self, item: Running) -> Grant:
+    def grant_message(self, item: RunningRequest) -> Grant:
         """Word a grant.
 
         :rtype: Grant
@@ -214,5 +222,5 @@
             address,
             item.rank,
             item.expected_first_s,
-            item.counted,
+            item.counts_toward_limit,
         )
--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -11,21 +11,21 @@
 from chalkyoke.scheduling.messages import Acquire, ProgressItem, Release, Usage
 from chalkyoke.scheduling.placement import BLOCK_TOKENS, Features
 from chalkyoke.scheduling.pool import PoolState
-from chalkyoke.scheduling.state import ReleaseOutcome, Running, TokenSample, Upstream
+from chalkyoke.scheduling.state import ReleaseOutcome, RunningRequest, TokenSample, Upstream
 
 # Failures from which on an upstream is left out: a single one may be the request's own.
 FAILURES_TO_SUSPEND = 2.0
 # How much of a failure a success takes away: three successes make up for one.
-FADE_BY_SUCCESS = 0.34
+FAILURES_FORGIVEN_PER_SUCCESS = 0.34
 # Failures count up to this, so that an upstream that was bad for long is tried again in time.
-MOST_FAILURES = 6.0
+MAX_FAILURES = 6.0
 # How long an upstream is left out first, doubled with each further failure, and at most, in
 # seconds: a trade-off between failures met again and capacity left out.
 BACKOFF_S = 0.5
 MAX_BACKOFF_S = 30.0
 
 
-class Closing(msgspec.Struct, frozen=True):
+class RefusalChange(msgspec.Struct, frozen=True):
     """An upstream is taken to refuse whatever it gets, or no longer.
 
     :param refuses: whether it is from now on.
@@ -44,24 +44,24 @@
     def __init__(self, pool: PoolState, features: Features) -> None:
         self.outputs = OutputModel(pool.spec.caution)
         self.hints = HintModel()
-        self.closings: list[Closing] = []
+        self.refusal_changes: list[RefusalChange] = []
         self._pool = pool
         self._features = features
 
-    def estimate(self, message: Acquire) -> OutputEstimate:
+    def estimate_output(self, message: Acquire) -> OutputEstimate:
         """Estimate the output of a request.
 
         :rtype: OutputEstimate
         """
         if message.likely_output:
-            around = self.hints.around(message.route, message.likely_output)
+            around = self.hints.estimate(message.route, message.likely_output)
             return around.capped(message.max_output)
         if self._features.learn:
             return self.outputs.predict(message.route, message.team, message.max_output)
         most = float(message.max_output)
         return OutputEstimate(most / 2, most / 8, most / 2)
 
-    def progress(self, items: tuple[ProgressItem, ...], now: float) -> None:
+    def learn_progress(self, items: tuple[ProgressItem, ...], now: float) -> None:
         """Learn how far running work has come."""
         known = [(self._pool.running.get(item.request), item) for item in items]
         for running, item in known:
@@ -77,23 +77,25 @@
                 upstream = self._pool.upstreams[running.upstream]
                 running.expected_finish = now + self.remaining_s(running, upstream, now)
         for upstream in self._pool.upstreams.values():
-            upstream.changed()
+            upstream.invalidate_predictions()
 
-    def first_output(self, item: Running, first_s: float, now: float) -> None:
+    def learn_first_output(self, item: RunningRequest, first_s: float, now: float) -> None:
         """Learn that the first output of a running request has come."""
         self._learn_first(item, first_s, now)
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is not None:
             self._note_served(item, upstream, now)
-            upstream.changed()
+            upstream.invalidate_predictions()
 
-    def health(self, upstream: Upstream, domain: str, outcome: ReleaseOutcome, now: float) -> None:
+    def learn_health(
+        self, upstream: Upstream, domain: str, outcome: ReleaseOutcome, now: float
+    ) -> None:
         """Learn from an outcome whether an upstream can be relied on.
 
         :param domain: failure domain of the entry process.
         """
         if outcome is ReleaseOutcome.DELIVERED:
-            upstream.failures = max(0.0, upstream.failures - FADE_BY_SUCCESS)
+            upstream.failures = max(0.0, upstream.failures - FAILURES_FORGIVEN_PER_SUCCESS)
             upstream.unreachable = 0
             upstream.unreachable_from.pop(domain, None)
         elif outcome is ReleaseOutcome.UNREACHABLE:
@@ -101,31 +103,33 @@
             backoff = min(MAX_BACKOFF_S, BACKOFF_S * 2 ** min(upstream.unreachable, 10))
             upstream.unreachable_from[domain] = now + backoff
         elif outcome is ReleaseOutcome.FAILED:
-            upstream.failures = min(MOST_FAILURES, upstream.failures + 1.0)
+            upstream.failures = min(MAX_FAILURES, upstream.failures + 1.0)
             if upstream.failures >= FAILURES_TO_SUSPEND and self._may_suspend(now):
                 excess = int(upstream.failures - FAILURES_TO_SUSPEND)
                 upstream.suspended_until = now + min(MAX_BACKOFF_S, BACKOFF_S * 2**excess)
 
-    def willingness(self, item: Running, upstream: Upstream, message: Release, now: float) -> None:
+    def learn_willingness(
+        self, item: RunningRequest, upstream: Upstream, message: Release, now: float
+    ) -> None:
         """Learn whether an upstream takes requests at all."""
         if message.rest_s > 0:
-            upstream.declines.rest(item.entry, message.rest_s, now)
+            upstream.declines.record_rest(item.entry, message.rest_s, now)
         if message.declined:
             self._note_declined(item, upstream, now)
         elif message.outcome == ReleaseOutcome.DELIVERED:
             self._note_served(item, upstream, now)
 
-    def _note_declined(self, item: Running, upstream: Upstream, now: float) -> None:
+    def _note_declined(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
         refused = upstream.declines.refuses_all
-        upstream.declines.decline(item.domain, item.granted, now)
+        upstream.declines.record_decline(item.domain, item.granted, now)
         if upstream.declines.refuses_all and not refused:
-            self.closings.append(Closing(upstream.spec.id, refuses=True))
+            self.refusal_changes.append(RefusalChange(upstream.spec.id, refuses=True))
 
-    def _note_served(self, item: Running, upstream: Upstream, now: float) -> None:
+    def _note_served(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
         refused = upstream.declines.refuses_all
-        upstream.declines.serve(item.domain, item.granted, now)
+        upstream.declines.record_served(item.domain, item.granted, now)
         if refused and not upstream.declines.refuses_all:
-            self.closings.append(Closing(upstream.spec.id, refuses=False))
+            self.refusal_changes.append(RefusalChange(upstream.spec.id, refuses=False))
 
     def _may_suspend(self, now: float) -> bool:
         """Tell whether one more upstream may be left out: a pool must not go empty by suspicion."""
@@ -133,9 +137,9 @@
         suspended = sum(1 for each in upstreams if now < each.suspended_until)
         return suspended + 1 <= max(1, len(upstreams) // 2)
 
-    def usage(
+    def learn_usage(
         self,
-        item: Running,
+        item: RunningRequest,
         upstream: Upstream,
         outcome: ReleaseOutcome,
         usage: Usage,
@@ -144,12 +148,12 @@
         """Learn from the end of a grant, and correct the share of its team by what it used."""
         weight = self._pool.weight(item.team)
         if outcome in (ReleaseOutcome.UNUSED, ReleaseOutcome.UNREACHABLE):
-            self._pool.queues[item.rank].charge(item.team, -item.work, weight)
+            self._pool.queues[item.rank].charge_team(item.team, -item.work, weight)
             return
 
         cached = max(0, usage.cached_tokens)
-        actual = self._pool.work(max(0, item.prompt_tokens - cached), usage.output_tokens)
-        self._pool.queues[item.rank].charge(item.team, actual - item.work, weight)
+        actual = self._pool.work_s(max(0, item.prompt_tokens - cached), usage.output_tokens)
+        self._pool.queues[item.rank].charge_team(item.team, actual - item.work, weight)
         if not self._features.learn:
             return
         self._learn_first(item, usage.first_s, now)
@@ -167,15 +171,15 @@
         if usage.cached_tokens >= 0:
             believed = (item.prompt_tokens - item.prefill_left) // BLOCK_TOKENS
             found = usage.cached_tokens // BLOCK_TOKENS
-            self._pool.prefixes.correct(upstream.spec.id, int(believed), found)
+            self._pool.prefixes.correct_capacity(upstream.spec.id, int(believed), found)
 
-    def _learn_first(self, item: Running, first_s: float, now: float) -> None:
+    def _learn_first(self, item: RunningRequest, first_s: float, now: float) -> None:
         """Learn from a first token: how fast prompts are read, and that one was."""
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is None or item.first_seen or first_s <= 0:
             return
         item.first_seen = True
-        upstream.note_stall(upstream.speed.prefill_time(item.prefill_left), now)
+        upstream.record_stall(upstream.speed.prefill_time(item.prefill_left), now)
         item.stalls_seen = upstream.stall_s
         if self._features.learn:
             upstream.speed.learn_first(item.expected_first_s, first_s)
@@ -183,7 +187,7 @@
         item.output_tokens = 1
 
     def _note_progress(
-        self, item: Running, seen: ProgressItem, samples: dict[str, TokenSample]
+        self, item: RunningRequest, seen: ProgressItem, samples: dict[str, TokenSample]
     ) -> None:
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is None or seen.output_tokens < item.output_tokens:
@@ -202,10 +206,10 @@
             upstream = self._pool.upstreams[name]
             upstream.speed.learn_tokens(sample.tokens, sample.seconds, len(upstream.running))
 
-    def remaining_s(self, item: Running, upstream: Upstream, now: float) -> float:
+    def remaining_s(self, item: RunningRequest, upstream: Upstream, now: float) -> float:
         """Predict the rest of a running request, in seconds."""
         left = max(item.expected_output - item.output_tokens, 0.25 * item.output_tokens, 1.0)
-        _, moving = upstream.outlook(now)
+        _, moving = upstream.prefill_outlook(now)
         seconds = left * upstream.speed.token_time(len(upstream.running)) / moving
         if not item.first_seen:
             seconds += upstream.speed.prefill_time(item.prefill_left)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
@@ -9,35 +9,35 @@
 
 import msgspec
 
-from chalkyoke.scheduling.state import Running, Upstream, Waiting
+from chalkyoke.scheduling.state import RunningRequest, Upstream, WaitingRequest
 
 # Tokens of a prompt that are compared as one, a trade-off: smaller blocks find more and cost more.
 BLOCK_TOKENS = 256
 # How much sooner a busy upstream has to be for a request to wait for it: a part of the time, and
 # seconds. Predictions are off by about that.
-HOLD_MARGIN = 0.10
+HOLD_MARGIN_SHARE = 0.10
 HOLD_MARGIN_S = 0.02
 # Busy upstreams that are looked at for that: those that get free soonest. It bounds a decision.
-MOST_HELD_FOR = 8
+MAX_HOLD_CANDIDATES = 8
 # What opening a connection takes, in seconds: a round trip between failure domains.
 CONNECT_S = 0.002
 # What caution adds to the end of a request whose whole answer is due, as a part of its time.
-MARGIN_SHARE = 0.2
+MAX_CAUTION_SHARE = 0.2
 # Scores that put an upstream that misses a goal behind all that meet it, and one that harms others
 # behind all that don't; both far beyond any time in seconds.
-MISSED_GOAL = 1e6
-HARM = 1e3
+MISSED_GOAL_SCORE = 1e6
+HARM_SCORE = 1e3
 # The part of the longest pause in time that reading a prompt may make: the rest is the network's,
 # and tokens that come slower than predicted.
-GAP_SHARE = 0.65
+PREFILL_GAP_SHARE = 0.65
 # What harm to a tier weighs against harm to the next higher one.
-TIER_WEIGHT = 0.5
+TIER_HARM_FACTOR = 0.5
 # How much longer than predicted a first output is reckoned with: one in ten takes twice as long.
-RISK = 0.5
+FIRST_OUTPUT_RISK_SHARE = 0.5
 # What a slot of an upstream that takes no time is worth over one of the slowest, in seconds of a
 # request's end. Short work loses less than that on a slow upstream and leaves the fast ones to long
 # work, which would be cut at its deadline elsewhere.
-SPARE_S = 1.0
+SPARE_BONUS_S = 1.0
 
 
 class Prediction(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
     cautious_s: float
 
 
-class Choice(msgspec.Struct, frozen=True):
+class Placement(msgspec.Struct, frozen=True):
     """The decision for one request.
 
     :param upstream: where it goes now; ``None`` when it is held.
@@ -101,7 +101,7 @@
     spare: bool = False
 
 
-def prompt_left(item: Waiting, cached_blocks: int) -> int:
+def uncached_prompt_tokens(item: WaitingRequest, cached_blocks: int) -> int:
     """Count the prompt tokens that an upstream has to read.
 
     :param cached_blocks: leading blocks of the prompt in the upstream's cache.
@@ -111,7 +111,7 @@
 
 
 def predict(
-    item: Waiting, upstream: Upstream, cached_blocks: int, streams: int, now: float
+    item: WaitingRequest, upstream: Upstream, cached_blocks: int, streams: int, now: float
 ) -> Prediction:
     """Predict one request on one upstream, if it started now.
 
@@ -124,34 +124,34 @@
     :rtype: Prediction
     """
     speed = upstream.speed
-    left = prompt_left(item, cached_blocks)
-    backlog, moving = upstream.outlook(now)
+    left = uncached_prompt_tokens(item, cached_blocks)
+    backlog, moving = upstream.prefill_outlook(now)
     first = CONNECT_S + speed.first_time(left, backlog)
     token = speed.token_time(streams) / moving
     output = item.output
     margin = (output.cautious - output.median) * token
     if not item.has_goal:
-        margin = min(margin, MARGIN_SHARE * (item.deadline - item.arrived))
+        margin = min(margin, MAX_CAUTION_SHARE * (item.deadline - item.arrived))
     finish = first + output.median * token
     return Prediction(first, finish, first + output.optimistic * token, finish + margin)
 
 
-def idle_minimum(item: Waiting, upstream: Upstream, cached_blocks: int) -> float:
+def idle_time_s(item: WaitingRequest, upstream: Upstream, cached_blocks: int) -> float:
     """Predict the least time that one request can take on an idle upstream.
 
     :return: seconds; with the optimistic output, or, where the whole is due beside the first
         output, with the median: half of such requests would be cut at best.
     """
     speed = upstream.speed
-    first = speed.first_time(prompt_left(item, cached_blocks), 0)
+    first = speed.first_time(uncached_prompt_tokens(item, cached_blocks), 0)
     if item.has_goal:
         # Against the deadline of the first output, so that one figure tells of both.
         whole = first + item.output.median * speed.token_time(1)
-        return max(first, whole - (item.whole - item.deadline))
+        return max(first, whole - (item.answer_due - item.deadline))
     return first + item.output.optimistic * speed.token_time(1)
 
 
-def missed_by(item: Waiting, start: float, prediction: Prediction) -> float:
+def lateness_s(item: WaitingRequest, start: float, prediction: Prediction) -> float:
     """Predict by how much a request would miss what is due, if it started at a moment.
 
     :param start: on the scheduler's clock, in seconds.
@@ -162,26 +162,26 @@
     return start + prediction.cautious_s - item.deadline
 
 
-def next_slot(upstream: Upstream, now: float, ahead: int) -> float:
+def next_slot_s(upstream: Upstream, now: float, ahead: int) -> float:
     """Predict when a slot of a busy upstream gets free.
 
     :param ahead: requests that are already held for the same upstream.
     :return: seconds from now.
     """
-    ends = upstream.ends()
+    ends = upstream.expected_finishes()
     if ahead >= len(ends):
         return float("inf")
     return max(0.0, ends[ahead] - now)
 
 
-def choose(
-    item: Waiting,
+def choose_upstream(
+    item: WaitingRequest,
     eligible: list[Upstream],
     depths: dict[str, int],
     held: dict[str, int],
     now: float,
     features: Features,
-) -> Choice:
+) -> Placement:
     """Choose the upstream with the smallest predicted finish, or hold the request.
 
     :param eligible: upstreams that may take it now or when a slot gets free.
@@ -207,26 +207,26 @@
         if features.predict:
             score = _score(item, upstream, prediction, cached, now)
             if features.spare:
-                score += SPARE_S * (1.0 - upstream.speed.token_time(1) / slowest)
+                score += SPARE_BONUS_S * (1.0 - upstream.speed.token_time(1) / slowest)
         if best is None or score < best[0]:
             best = (score, upstream, prediction)
 
     if best is None:
-        return Choice(None, None)
+        return Placement(None, None)
 
     _, upstream, prediction = best
     if features.hold and features.predict:
-        in_time = item.has_goal and missed_by(item, now, prediction) <= 0
+        in_time = item.has_goal and lateness_s(item, now, prediction) <= 0
         cached = depths.get(upstream.spec.id, 0)
         if not in_time:
             better = _worth_waiting_for(item, busy, depths, held, prediction, now)
-        elif held_up_by(item, upstream, cached, now):
+        elif streams_stalled_by(item, upstream, cached, now):
             better = _harmless_in_time(item, busy, depths, held, now)
         else:
             better = None
         if better is not None:
-            return Choice(None, prediction, held_for=better)
-    return Choice(upstream, prediction, depths.get(upstream.spec.id, 0))
+            return Placement(None, prediction, held_for=better)
+    return Placement(upstream, prediction, depths.get(upstream.spec.id, 0))
 
 
 def _slowest_token_s(upstreams: list[Upstream]) -> float:
@@ -234,7 +234,7 @@
 
 
 def _score(
-    item: Waiting,
+    item: WaitingRequest,
     upstream: Upstream,
     prediction: Prediction,
     cached_blocks: int,
@@ -248,15 +248,19 @@
     """
     if not item.has_goal:
         return prediction.finish_s
-    missed = missed_by(item, now, prediction)
-    overrun = now + prediction.cautious_s - item.whole
-    if missed > -prediction.first_s * RISK or overrun > 0:
-        return MISSED_GOAL + max(missed, overrun)
-    harmed = held_up_by(item, upstream, cached_blocks, now)
-    return prediction.finish_s + HARM * sum(TIER_WEIGHT**each.tier_index for each in harmed)
-
-
-def held_up_by(item: Waiting, upstream: Upstream, cached_blocks: int, now: float) -> list[Running]:
+    missed = lateness_s(item, now, prediction)
+    overrun = now + prediction.cautious_s - item.answer_due
+    if missed > -prediction.first_s * FIRST_OUTPUT_RISK_SHARE or overrun > 0:
+        return MISSED_GOAL_SCORE + max(missed, overrun)
+    harmed = streams_stalled_by(item, upstream, cached_blocks, now)
+    return prediction.finish_s + HARM_SCORE * sum(
+        TIER_HARM_FACTOR**each.tier_index for each in harmed
+    )
+
+
+def streams_stalled_by(
+    item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float
+) -> list[RunningRequest]:
     """List the running requests that could not bear the pause that reading a prompt makes.
 
     Those that another prompt has held up already are left out: long prompts gather where they do
@@ -265,16 +269,16 @@
     :rtype: list[Running]
     """
     pause = _pause(item, upstream, cached_blocks, now)
-    if pause <= GAP_SHARE * upstream.shortest_gap():
+    if pause <= PREFILL_GAP_SHARE * upstream.shortest_gap_goal():
         return []
     return [
         each
         for each in upstream.running.values()
-        if not each.held_up and pause > GAP_SHARE * each.gap_goal
+        if not each.gap_exceeded and pause > PREFILL_GAP_SHARE * each.gap_goal
     ]
 
 
-def _pause(item: Waiting, upstream: Upstream, cached_blocks: int, now: float) -> float:
+def _pause(item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float) -> float:
     """Predict the pause that reading a prompt makes in the streams beside it, in seconds.
 
     A chunk of the prompt is read between two tokens, and an event holds several tokens.
@@ -282,22 +286,22 @@
     chunk = upstream.spec.prefill_chunk_tokens
     if not chunk:
         return 0.0
-    left = prompt_left(item, cached_blocks)
-    backlog, _ = upstream.outlook(now)
+    left = uncached_prompt_tokens(item, cached_blocks)
+    backlog, _ = upstream.prefill_outlook(now)
     between = min(left + backlog, chunk * upstream.spec.tokens_per_event)
     return upstream.speed.read_time(between, left)
 
 
-def _would_harm(item: Waiting, upstream: Upstream, cached_blocks: int, now: float) -> bool:
+def _would_harm(item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float) -> bool:
     """Tell whether reading the prompt would make a running request of its tier or higher late."""
     if not upstream.running:
         return False
-    stall = upstream.speed.prefill_time(prompt_left(item, cached_blocks))
-    return stall > upstream.slack(item.rank, now)
+    stall = upstream.speed.prefill_time(uncached_prompt_tokens(item, cached_blocks))
+    return stall > upstream.finish_slack_s(item.rank, now)
 
 
 def _harmless_in_time(
-    item: Waiting,
+    item: WaitingRequest,
     busy: list[Upstream],
     depths: dict[str, int],
     held: dict[str, int],
@@ -306,18 +310,20 @@
     """Find a busy upstream that meets the goal, wait included, without holding up its streams."""
     best: tuple[float, Upstream] | None = None
     for upstream in busy:
-        wait = next_slot(upstream, now, held.get(upstream.spec.id, 0))
+        wait = next_slot_s(upstream, now, held.get(upstream.spec.id, 0))
         cached = depths.get(upstream.spec.id, 0)
         first = predict(item, upstream, cached, upstream.spec.slots, now).first_s
-        if now + wait + first * (1.0 + RISK) > item.goal or (best and wait >= best[0]):
+        if now + wait + first * (1.0 + FIRST_OUTPUT_RISK_SHARE) > item.goal or (
+            best and wait >= best[0]
+        ):
             continue
-        if not held_up_by(item, upstream, cached, now):
+        if not streams_stalled_by(item, upstream, cached, now):
             best = (wait, upstream)
     return best[1] if best is not None else None
 
 
 def _worth_waiting_for(
-    item: Waiting,
+    item: WaitingRequest,
     busy: list[Upstream],
     depths: dict[str, int],
     held: dict[str, int],
@@ -329,13 +335,13 @@
     Only the :data:`MOST_HELD_FOR` that get free soonest are looked at, to bound a decision's time.
     """
     reached = free.first_s if item.has_goal else free.finish_s
-    limit = reached * (1.0 - HOLD_MARGIN) - HOLD_MARGIN_S
+    limit = reached * (1.0 - HOLD_MARGIN_SHARE) - HOLD_MARGIN_S
     waits = [
-        (next_slot(upstream, now, held.get(upstream.spec.id, 0)), index)
+        (next_slot_s(upstream, now, held.get(upstream.spec.id, 0)), index)
         for index, upstream in enumerate(busy)
     ]
     best: tuple[float, Upstream] | None = None
-    for wait, index in heapq.nsmallest(MOST_HELD_FOR, waits):
+    for wait, index in heapq.nsmallest(MAX_HOLD_CANDIDATES, waits):
         if wait >= limit:
             break
         upstream = busy[index]
--- a/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
@@ -13,17 +13,23 @@
 from chalkyoke.scheduling.overlaps import Overlaps
 from chalkyoke.scheduling.prefixes import PrefixIndex
 from chalkyoke.scheduling.queues import TierQueue
-from chalkyoke.scheduling.shortlist import fastest
-from chalkyoke.scheduling.state import PoolSpec, Running, Upstream, UpstreamSpec, Waiting
+from chalkyoke.scheduling.shortlist import fastest_upstreams
+from chalkyoke.scheduling.state import (
+    PoolSpec,
+    RunningRequest,
+    Upstream,
+    UpstreamSpec,
+    WaitingRequest,
+)
 
 # So many first outputs make an upstream's speed known enough to guess a new one's from: the first
 # ones move it by six tenths and three tenths of an error (estimates.FIRST_PREFILL_GAIN).
-KNOWN_SAMPLES = 3
+MIN_SPEED_SAMPLES = 3
 # A pool with less than this part of its slots taken is mostly free: operators count a refusal as
 # needless below it.
 MOSTLY_FREE_SHARE = 0.5
 # How long it is believed which upstreams are the fastest, in seconds.
-FASTEST_KEPT_S = 1.0
+FASTEST_CACHE_S = 1.0
 
 
 class PoolState:
@@ -40,9 +46,9 @@
         self.upstreams: dict[str, Upstream] = {}
         self.prefixes = PrefixIndex()
         self.queues: dict[int, TierQueue] = {}
-        self.waiting: dict[str, Waiting] = {}
-        self.counts: dict[tuple[int, str], int] = {}
-        self.running: dict[str, Running] = {}
+        self.waiting: dict[str, WaitingRequest] = {}
+        self.waiting_counts: dict[tuple[int, str], int] = {}
+        self.running: dict[str, RunningRequest] = {}
         self.team_running: dict[str, int] = {}
         self._allowances: Mapping[str, Allowance] = {}
         self._fastest: dict[str, tuple[float, list[Upstream]]] = {}
@@ -65,7 +71,7 @@
         self.overlaps = Overlaps(spec.routes)
         self._set_reference_costs()
 
-    def limit(self, allowances: Mapping[str, Allowance]) -> None:
+    def set_allowances(self, allowances: Mapping[str, Allowance]) -> None:
         """Take what upstreams that name a limit may get; all others are taken to name none."""
         self._allowances = allowances
         for name, upstream in self.upstreams.items():
@@ -102,50 +108,50 @@
             queue = self.queues[rank] = TierQueue(rank)
         return queue
 
-    def work(self, prompt_tokens: float, output_tokens: float) -> float:
+    def work_s(self, prompt_tokens: float, output_tokens: float) -> float:
         """Price some work, in seconds of a mean upstream.
 
         :rtype: float
         """
         return prompt_tokens * self._prefill_cost + output_tokens * self._decode_cost
 
-    def add(self, item: Waiting) -> None:
+    def add_waiting(self, item: WaitingRequest) -> None:
         """Take a request in."""
         self.queue(item.rank).push(item)
         self.waiting[item.request] = item
         key = (item.rank, item.route)
-        self.counts[key] = self.counts.get(key, 0) + 1
+        self.waiting_counts[key] = self.waiting_counts.get(key, 0) + 1
 
-    def remove(self, item: Waiting) -> None:
+    def remove_waiting(self, item: WaitingRequest) -> None:
         """Take a request out; one that is not waiting is left alone."""
         if self.waiting.get(item.request) is not item:
             return
         del self.waiting[item.request]
         self.queues[item.rank].discard(item)
-        self.counts[item.rank, item.route] -= 1
+        self.waiting_counts[item.rank, item.route] -= 1
 
-    def start(self, item: Running, upstream: Upstream, now: float) -> None:
+    def start_running(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
         """Note a grant."""
         require(item.request not in self.running, "a request holds one grant", request=item.request)
         self.running[item.request] = item
         upstream.running[item.request] = item
-        upstream.changed()
-        upstream.note_own_load(now)
+        upstream.invalidate_predictions()
+        upstream.record_own_load(now)
         self.team_running[item.team] = self.team_running.get(item.team, 0) + 1
 
-    def end(self, item: Running, now: float) -> None:
+    def end_running(self, item: RunningRequest, now: float) -> None:
         """Note the end of a grant."""
         self._forget_running(item)
-        self.upstreams[item.upstream].note_own_load(now)
+        self.upstreams[item.upstream].record_own_load(now)
 
-    def lower_waits(self, item: Waiting) -> bool:
+    def has_lower_tier_waiting(self, item: WaitingRequest) -> bool:
         """Tell whether a lower tier waits for some of the same upstreams."""
         return any(
             count > 0 and rank > item.rank and (route, item.route) in self.overlaps
-            for (rank, route), count in self.counts.items()
+            for (rank, route), count in self.waiting_counts.items()
         )
 
-    def any_slot(self, now: float) -> bool:
+    def has_free_slot(self, now: float) -> bool:
         """Tell whether any upstream that takes new work has a free slot.
 
         :rtype: bool
@@ -170,8 +176,10 @@
         """
         until, found = self._fastest.get(route, (0.0, []))
         if now >= until:
-            found = fastest(each for each in self.eligible.get(route, ()) if not each.leaving)
-            self._fastest[route] = (now + FASTEST_KEPT_S, found)
+            found = fastest_upstreams(
+                each for each in self.eligible.get(route, ()) if not each.leaving
+            )
+            self._fastest[route] = (now + FASTEST_CACHE_S, found)
         return found
 
     def at_limit(self, team: str) -> bool:
@@ -182,18 +190,18 @@
         limit = self.limits.get(team)
         return limit is not None and self.team_running.get(team, 0) >= limit
 
-    def delay_others(self, upstream: Upstream, prompt_tokens: int) -> None:
+    def delay_running(self, upstream: Upstream, prompt_tokens: int) -> None:
         """Expect the running requests of an upstream to end later, for a prompt that it reads."""
         stall = upstream.speed.prefill_time(prompt_tokens)
         for other in upstream.running.values():
             other.expected_finish += stall
-        upstream.changed()
+        upstream.invalidate_predictions()
 
-    def _forget_running(self, item: Running) -> None:
+    def _forget_running(self, item: RunningRequest) -> None:
         del self.running[item.request]
         upstream = self.upstreams[item.upstream]
         upstream.running.pop(item.request, None)
-        upstream.changed()
+        upstream.invalidate_predictions()
         self.team_running[item.team] -= 1
         if self.team_running[item.team] == 0:
             del self.team_running[item.team]
@@ -231,7 +239,7 @@
         known = [
             each.speed
             for each in self.upstreams.values()
-            if each.speed.samples >= KNOWN_SAMPLES and _guesses(each.spec) == _guesses(spec)
+            if each.speed.samples >= MIN_SPEED_SAMPLES and _guesses(each.spec) == _guesses(spec)
         ]
         if known:
             speed.prefill_factor = statistics.median(each.prefill_factor for each in known)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/prefixes.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/prefixes.py
@@ -8,8 +8,8 @@
 from collections import OrderedDict
 
 # What one answer of an engine changes of the part of its cache that is believed, as factors.
-SHRINK_ON_MISS = 0.95
-GROW_ON_HIT = 1.01
+MISS_SHRINK_FACTOR = 0.95
+HIT_GROWTH_FACTOR = 1.01
 MIN_BELIEVED_SHARE = 0.1
 
 
@@ -33,7 +33,7 @@
 
     def remove_upstream(self, upstream: str) -> None:
         """Forget an engine."""
-        self.drop(upstream, tuple(self._held.get(upstream, ())))
+        self.drop_blocks(upstream, tuple(self._held.get(upstream, ())))
         for table in (self._held, self._capacity, self._believed):
             table.pop(upstream, None)
 
@@ -55,7 +55,7 @@
                 depths[upstream] = depth + 1
         return depths
 
-    def insert(self, upstream: str, blocks: tuple[int, ...]) -> None:
+    def insert_blocks(self, upstream: str, blocks: tuple[int, ...]) -> None:
         """Note that an engine reads a prompt, and so caches its blocks."""
         held = self._held.get(upstream)
         if held is None or self._capacity[upstream] <= 0:
@@ -70,7 +70,7 @@
             block, _ = held.popitem(last=False)
             self._forget(upstream, block)
 
-    def drop(self, upstream: str, blocks: tuple[int, ...]) -> None:
+    def drop_blocks(self, upstream: str, blocks: tuple[int, ...]) -> None:
         """Note that an engine dropped blocks."""
         held = self._held.get(upstream)
         if held is None:
@@ -80,7 +80,7 @@
                 del held[block]
                 self._forget(upstream, block)
 
-    def correct(self, upstream: str, expected_blocks: int, found_blocks: int) -> None:
+    def correct_capacity(self, upstream: str, expected_blocks: int, found_blocks: int) -> None:
         """Learn how much an engine's cache really holds.
 
         :param expected_blocks: leading blocks that were believed to be cached.
@@ -89,7 +89,7 @@
         capacity = self._capacity.get(upstream)
         if not capacity or expected_blocks == 0:
             return
-        factor = SHRINK_ON_MISS if found_blocks < expected_blocks else GROW_ON_HIT
+        factor = MISS_SHRINK_FACTOR if found_blocks < expected_blocks else HIT_GROWTH_FACTOR
         believed = self._believed[upstream] * factor
         self._believed[upstream] = min(capacity, max(MIN_BELIEVED_SHARE * capacity, believed))
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
@@ -9,10 +9,10 @@
 from bisect import bisect_left, insort
 from collections.abc import Iterator
 
-from chalkyoke.scheduling.state import Waiting
+from chalkyoke.scheduling.state import WaitingRequest
 
 # Requests of a queue that are tried for a slot in one decision: the first may fit nowhere.
-PEEK = 4
+MAX_PEEKED_REQUESTS = 4
 
 
 class TeamQueue:
@@ -23,27 +23,27 @@
     def __init__(self, name: str, route: str) -> None:
         self.name = name
         self.route = route
-        self._items: list[tuple[bool, float, int, Waiting]] = []
+        self._items: list[tuple[bool, float, int, WaitingRequest]] = []
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: WaitingRequest) -> None:
         """Add a request."""
         insort(self._items, (item.late, item.due, item.order, item))
 
-    def discard(self, item: Waiting) -> None:
+    def discard(self, item: WaitingRequest) -> None:
         """Take a request out."""
         del self._items[bisect_left(self._items, (item.late, item.due, item.order))]
 
-    def front(self) -> list[Waiting]:
+    def front(self) -> list[WaitingRequest]:
         """List a few requests from the front; the first has the earliest deadline.
 
         :rtype: list[Waiting]
         """
-        return [entry[3] for entry in self._items[:PEEK]]
+        return [entry[3] for entry in self._items[:MAX_PEEKED_REQUESTS]]
 
-    def ordered(self) -> list[Waiting]:
+    def ordered(self) -> list[WaitingRequest]:
         """List all waiting requests, earliest deadline first.
 
         :rtype: list[Waiting]
@@ -61,7 +61,7 @@
 
     def __init__(self, rank: int) -> None:
         self.rank = rank
-        self.live = 0
+        self.size = 0
         self.late = 0
         self._queues: dict[tuple[str, str], TeamQueue] = {}
         self._order: list[tuple[float, str, str]] = []
@@ -69,7 +69,7 @@
         self._virtual: dict[str, float] = {}
         self._floor = 0.0
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: WaitingRequest) -> None:
         """Add a request; a team that was idle starts level with the others."""
         if item.team not in self._backlog:
             level = min((self._virtual[team] for team in self._backlog), default=self._floor)
@@ -82,15 +82,15 @@
             queue = self._queues[key] = TeamQueue(item.team, item.route)
             insort(self._order, (self._virtual[item.team], *key))
         queue.push(item)
-        self.live += 1
+        self.size += 1
         self.late += item.late
 
-    def discard(self, item: Waiting) -> None:
+    def discard(self, item: WaitingRequest) -> None:
         """Take a request out."""
         key = (item.team, item.route)
         queue = self._queues[key]
         queue.discard(item)
-        self.live -= 1
+        self.size -= 1
         self.late -= item.late
         if not queue:
             del self._queues[key]
@@ -100,7 +100,7 @@
         if self._backlog[item.team] == 0:
             del self._backlog[item.team]
 
-    def charge(self, team: str, work: float, weight: float) -> None:
+    def charge_team(self, team: str, work: float, weight: float) -> None:
         """Add work to a team's share.
 
         :param work: seconds; negative where less was used than charged before.
@@ -117,14 +117,14 @@
             self._order.remove(key)
             insort(self._order, (after, *key[1:]))
 
-    def virtual(self, team: str) -> float:
+    def virtual_time(self, team: str) -> float:
         """Give a team's virtual time, in seconds of work per weight.
 
         :rtype: float
         """
         return self._virtual.get(team, self._floor)
 
-    def mark(self, item: Waiting, late: bool) -> None:
+    def set_late(self, item: WaitingRequest, late: bool) -> None:
         """Note whether a request is predicted to be late; its place in the queue changes."""
         if item.late == late:
             return
@@ -134,7 +134,7 @@
         item.late = late
         queue.push(item)
 
-    def queues(self, fair: bool = True) -> Iterator[TeamQueue]:
+    def ordered_queues(self, fair: bool = True) -> Iterator[TeamQueue]:
         """Walk over the queues that wait, in the order of their teams' shares.
 
         Nothing may be pushed, discarded or charged during the walk.
@@ -150,12 +150,12 @@
             )
         )
 
-    def items(self) -> Iterator[Waiting]:
+    def items(self) -> Iterator[WaitingRequest]:
         """Walk over all waiting requests, team by team."""
         for queue in self._queues.values():
             yield from queue.ordered()
 
-    def fair_order(self, weights: dict[str, float]) -> Iterator[Waiting]:
+    def fair_order(self, weights: dict[str, float]) -> Iterator[WaitingRequest]:
         """Walk over all waiting requests in the order in which they would be granted.
 
         The walk charges copies of the virtual times; nothing changes.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
@@ -10,8 +10,8 @@
 
 from chalkyoke.limits.allowance import Allowance
 from chalkyoke.scheduling.granting import Granter
-from chalkyoke.scheduling.headroom import LONG_S, Headroom
-from chalkyoke.scheduling.learning import Closing, Learner
+from chalkyoke.scheduling.headroom import LONG_OUTPUT_S, Headroom
+from chalkyoke.scheduling.learning import Learner, RefusalChange
 from chalkyoke.scheduling.messages import (
     Acquire,
     Adopt,
@@ -29,13 +29,13 @@
     Features,
 )
 from chalkyoke.scheduling.pool import PoolState
-from chalkyoke.scheduling.refusals import Counters, Out, Refuser
+from chalkyoke.scheduling.refusals import AddressedAction, Counters, Refuser
 from chalkyoke.scheduling.state import (
     PoolSpec,
     ReleaseOutcome,
-    Running,
+    RunningRequest,
     Upstream,
-    Waiting,
+    WaitingRequest,
 )
 
 # The deadline assumed for what runs under an earlier scheduler, in seconds: it is not told.
@@ -47,13 +47,13 @@
 # A grant that its holder no longer lists is over after so long, in seconds: three reports.
 LOST_RELEASE_S = 3.0
 # An entry process that has said nothing for so long is gone, in seconds: ten reports.
-SILENT_S = 10.0
+ENTRY_TIMEOUT_S = 10.0
 # How often silent entry processes are looked for, in seconds.
 SWEEP_S = 1.0
 # How long a load report is believed, in seconds: some times between two of them.
 FOREIGN_VALID_S = 5.0
 # Ends of grants under which a request may never have left its node.
-UNSENT = frozenset((ReleaseOutcome.UNUSED, ReleaseOutcome.UNREACHABLE))
+UNSENT_OUTCOMES = frozenset((ReleaseOutcome.UNUSED, ReleaseOutcome.UNREACHABLE))
 
 
 class PoolScheduler:
@@ -124,41 +124,45 @@
         """
         return request in self._pool.waiting
 
-    def waiting_items(self) -> list[Waiting]:
+    def waiting_items(self) -> list[WaitingRequest]:
         """List what waits, in no order.
 
         :rtype: list[Waiting]
         """
         return list(self._pool.waiting.values())
 
-    def take_closings(self) -> list[Closing]:
+    def take_refusal_changes(self) -> list[RefusalChange]:
         """Take what has changed since the last call of the upstreams that refuse all.
 
         :rtype: list[Closing]
         """
-        closings, self._learner.closings = self._learner.closings, []
+        closings, self._learner.refusal_changes = self._learner.refusal_changes, []
         return closings
 
     # Events.
 
-    def configure(self, spec: PoolSpec, now: float) -> list[Out]:
+    def configure(self, spec: PoolSpec, now: float) -> list[AddressedAction]:
         """Take a new configuration or host list.
 
         :return: refusals of requests whose route or tier is gone, and new grants.
         """
         self._pool.configure(spec)
-        return self._refuser.no_upstream() + self._decide(now)
+        return self._refuser.refuse_without_upstream() + self._decide(now)
 
-    def limit(self, allowances: Mapping[str, Allowance], now: float) -> list[Out]:
+    def set_allowances(
+        self, allowances: Mapping[str, Allowance], now: float
+    ) -> list[AddressedAction]:
         """Take what upstreams that name a limit may get; all others are taken to name none.
 
         :param allowances: by upstream.
         :return: new grants.
         """
-        self._pool.limit(allowances)
+        self._pool.set_allowances(allowances)
         return self._decide(now)
 
-    def acquire(self, entry: str, domain: str, message: Acquire, now: float) -> list[Out]:
+    def acquire(
+        self, entry: str, domain: str, message: Acquire, now: float
+    ) -> list[AddressedAction]:
         """Take a request in; the same message again changes nothing.
 
         :param entry: id of the entry process.
@@ -172,25 +176,25 @@
         held = self._pool.running.get(message.request)
         if held is not None:
             if held.attempt >= message.attempt:
-                return [Out(entry, self._granter.message(held))]
-            self._pool.end(held, now)
+                return [AddressedAction(entry, self._granter.grant_message(held))]
+            self._pool.end_running(held, now)
         if known is not None:
-            self._pool.remove(known)
+            self._pool.remove_waiting(known)
 
         item = self._make_waiting(entry, domain, message, now)
-        refusal = self._refuser.at_arrival(item, now, settled=self._settled(now))
+        refusal = self._refuser.check_arrival(item, now, settled=self._settled(now))
         if refusal is not None:
             return [refusal]
-        self._pool.add(item)
+        self._pool.add_waiting(item)
         return self._refuser.make_room(item, now) + self._decide(now)
 
     def withdraw(self, message: Withdraw) -> None:
         """Forget a request that waits."""
         item = self._pool.waiting.get(message.request)
         if item is not None:
-            self._pool.remove(item)
+            self._pool.remove_waiting(item)
 
-    def release(self, domain: str, message: Release, now: float) -> list[Out]:
+    def release(self, domain: str, message: Release, now: float) -> list[AddressedAction]:
         """Take a grant back and learn from it.
 
         :param domain: failure domain of the entry process.
@@ -204,26 +208,26 @@
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is not None:
             self._give_back(item, upstream, message)
-            self._learner.health(upstream, domain, outcome, now)
-            self._learner.willingness(item, upstream, message, now)
-            self._learner.usage(item, upstream, outcome, message.usage, now)
-        self._pool.end(item, now)
+            self._learner.learn_health(upstream, domain, outcome, now)
+            self._learner.learn_willingness(item, upstream, message, now)
+            self._learner.learn_usage(item, upstream, outcome, message.usage, now)
+        self._pool.end_running(item, now)
         return self._decide(now)
 
-    def _give_back(self, item: Running, upstream: Upstream, message: Release) -> None:
+    def _give_back(self, item: RunningRequest, upstream: Upstream, message: Release) -> None:
         """Give back to an upstream's limit what was granted and never sent."""
-        unsent = message.outcome in UNSENT and message.usage.total_s == 0.0
-        if unsent and item.counted and upstream.allowance is not None:
+        unsent = message.outcome in UNSENT_OUTCOMES and message.usage.total_s == 0.0
+        if unsent and item.counts_toward_limit and upstream.allowance is not None:
             upstream.allowance.give_back()
 
-    def progress(self, entry: str, message: Progress, now: float) -> list[Out]:
+    def apply_progress(self, entry: str, message: Progress, now: float) -> list[AddressedAction]:
         """Learn how far running work has come, and find releases that were lost.
 
         :param entry: id of the entry process; the message lists all that it has running here.
         :rtype: list[Out]
         """
         self._heard[entry] = now
-        self._learner.progress(message.items, now)
+        self._learner.learn_progress(message.items, now)
         listed = {item.request for item in message.items}
         lost = [
             running
@@ -233,16 +237,16 @@
             and now - running.granted > LOST_RELEASE_S
         ]
         for running in lost:
-            self._pool.end(running, now)
+            self._pool.end_running(running, now)
         return self._decide(now) if lost else []
 
-    def first_output(self, message: FirstOutput, now: float) -> None:
+    def apply_first_output(self, message: FirstOutput, now: float) -> None:
         """Learn that a prompt has been read."""
         running = self._pool.running.get(message.request)
         if running is not None:
-            self._learner.first_output(running, message.first_s, now)
+            self._learner.learn_first_output(running, message.first_s, now)
 
-    def adopt(self, entry: str, message: Adopt, now: float) -> list[Out]:
+    def adopt(self, entry: str, message: Adopt, now: float) -> list[AddressedAction]:
         """Take over what an entry process has running under an earlier scheduler.
 
         :rtype: list[Out]
@@ -254,13 +258,13 @@
             if waiting is not None and waiting.attempt > item.attempt:
                 continue
             if waiting is not None:
-                self._pool.remove(waiting)
+                self._pool.remove_waiting(waiting)
             if upstream is not None and item.request not in self._pool.running:
-                self._pool.start(self._adopted(entry, item, upstream, now), upstream, now)
+                self._pool.start_running(self._adopted(entry, item, upstream, now), upstream, now)
         self._unsettled.discard(entry)
         return self._decide(now)
 
-    def learned(self) -> Learned:
+    def export_learned(self) -> Learned:
         """Tell a successor what is known of the upstreams' speeds.
 
         :rtype: Learned
@@ -277,15 +281,15 @@
         )
         return Learned(self.spec.name, speeds)
 
-    def take_over(self, message: Learned) -> None:
+    def import_learned(self, message: Learned) -> None:
         """Take what an earlier scheduler has learned."""
         for each in message.speeds:
             upstream = self._pool.upstreams.get(each.upstream)
             if upstream is not None:
-                upstream.speed.take_over(each.prefill_factor, each.decode_factor, each.samples)
-                upstream.changed()
+                upstream.speed.adopt_factors(each.prefill_factor, each.decode_factor, each.samples)
+                upstream.invalidate_predictions()
 
-    def member_gone(self, entry: str, now: float) -> list[Out]:
+    def remove_entry(self, entry: str, now: float) -> list[AddressedAction]:
         """Drop what a dead entry process had waiting and running.
 
         :rtype: list[Out]
@@ -293,7 +297,7 @@
         self._drop_entry(entry, now)
         return self._decide(now)
 
-    def load_report(self, message: LoadReport, now: float) -> list[Out]:
+    def apply_load_report(self, message: LoadReport, now: float) -> list[AddressedAction]:
         """Learn from what an upstream says of itself: only what cannot be seen from here.
 
         :rtype: list[Out]
@@ -303,25 +307,25 @@
             return []
 
         upstream.draining = message.draining
-        own = upstream.most_own_load_since(now - 2 * message.age_s - 1.0)
-        upstream.foreign = max(0, message.running + message.waiting - own)
-        upstream.foreign_until = now + FOREIGN_VALID_S
+        own = upstream.max_own_load_since(now - 2 * message.age_s - 1.0)
+        upstream.foreign_load = max(0, message.running + message.waiting - own)
+        upstream.foreign_load_until = now + FOREIGN_VALID_S
         return self._decide(now)
 
-    def cache_event(self, message: CacheEvent) -> None:
+    def apply_cache_event(self, message: CacheEvent) -> None:
         """Note what an engine dropped from its prefix cache; a hint, late and with gaps."""
-        self._pool.prefixes.drop(message.upstream, message.dropped)
+        self._pool.prefixes.drop_blocks(message.upstream, message.dropped)
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[AddressedAction]:
         """Give up what has expired, is hopeless or would be late; call about every 50 ms.
 
         :rtype: list[Out]
         """
         self._drop_silent(now)
-        self._headroom.observe((each.rank for each in self._pool.running.values()), now)
-        outs = self._refuser.expire(now)
+        self._headroom.observe_running((each.rank for each in self._pool.running.values()), now)
+        outs = self._refuser.refuse_expired(now)
         if self._settled(now):
-            outs += self._refuser.forecast(now)
+            outs += self._refuser.shed_by_forecast(now)
         return outs + self._decide(now)
 
     def _drop_silent(self, now: float) -> None:
@@ -333,24 +337,26 @@
             return
         self._next_sweep = now + SWEEP_S
         for entry, heard in list(self._heard.items()):
-            if now - heard > SILENT_S:
+            if now - heard > ENTRY_TIMEOUT_S:
                 del self._heard[entry]
                 self._drop_entry(entry, now)
 
     def _drop_entry(self, entry: str, now: float) -> None:
         for waiting in [each for each in self._pool.waiting.values() if each.entry == entry]:
-            self._pool.remove(waiting)
+            self._pool.remove_waiting(waiting)
         for running in [each for each in self._pool.running.values() if each.entry == entry]:
-            self._pool.end(running, now)
+            self._pool.end_running(running, now)
         self._unsettled.discard(entry)
 
     # Arrival.
 
-    def _make_waiting(self, entry: str, domain: str, message: Acquire, now: float) -> Waiting:
-        output = self._learner.estimate(message)
+    def _make_waiting(
+        self, entry: str, domain: str, message: Acquire, now: float
+    ) -> WaitingRequest:
+        output = self._learner.estimate_output(message)
         self._order += 1
         blocks = message.blocks if self.features.prefix else ()
-        return Waiting(
+        return WaitingRequest(
             request=message.request,
             attempt=message.attempt,
             entry=entry,
@@ -365,18 +371,18 @@
             order=self._order,
             output=output,
             goal=now + message.goal_s if message.goal_s else math.inf,
-            comes_back_s=message.comes_back_s,
+            max_retry_after_s=message.max_retry_after_s,
             gap_goal=message.gap_goal_s or math.inf,
-            whole=now + message.whole_s if message.whole_s else math.inf,
+            answer_due=now + message.answer_due_s if message.answer_due_s else math.inf,
             fingerprint=message.fingerprint,
             hint=message.likely_output,
-            tried=message.tried,
-            long=self._pool.work(0, output.median) > LONG_S,
-            work=self._pool.work(message.prompt_tokens, output.median),
+            tried_upstreams=message.tried_upstreams,
+            is_long=self._pool.work_s(0, output.median) > LONG_OUTPUT_S,
+            work=self._pool.work_s(message.prompt_tokens, output.median),
         )
 
-    def _decide(self, now: float) -> list[Out]:
-        return self._granter.decide(now) if self._settled(now) else []
+    def _decide(self, now: float) -> list[AddressedAction]:
+        return self._granter.grant_waiting(now) if self._settled(now) else []
 
     def _settled(self, now: float) -> bool:
         if self._unsettled and now < self._settle_at:
@@ -384,11 +390,13 @@
         self._unsettled.clear()
         return True
 
-    def _adopted(self, entry: str, item: RunningItem, upstream: Upstream, now: float) -> Running:
+    def _adopted(
+        self, entry: str, item: RunningItem, upstream: Upstream, now: float
+    ) -> RunningRequest:
         rank = self._pool.rank(item.tier)
         expected = self._learner.outputs.predict(item.route, item.team, item.max_output).median
         self._pool.queue(rank)
-        running = Running(
+        running = RunningRequest(
             request=item.request,
             attempt=item.attempt,
             entry=entry,
@@ -398,7 +406,7 @@
             team=item.team,
             prompt_tokens=item.prompt_tokens,
             expected_output=expected,
-            work=self._pool.work(item.prompt_tokens, expected),
+            work=self._pool.work_s(item.prompt_tokens, expected),
             granted=now,
             deadline=now + ADOPTED_DEADLINE_S,
             expected_finish=now,
--- a/packages/chalkyoke/src/chalkyoke/scheduling/shortlist.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/shortlist.py
@@ -12,12 +12,12 @@
 from chalkyoke.scheduling.state import Upstream
 
 # Up to so many upstreams all are compared, in number.
-MOST_COMPARED = 32
+MAX_COMPARED = 32
 # Of more: so many with a free slot, so many whose next slot gets free soonest, and so many that
 # keep the most of the prompt.
-FREE_COMPARED = 16
-BUSY_COMPARED = 8
-CACHED_COMPARED = 8
+MAX_FREE_COMPARED = 16
+MAX_BUSY_COMPARED = 8
+MAX_CACHED_COMPARED = 8
 
 
 # Route, failure domain, and the entry process where some upstream wants nothing of it.
@@ -41,7 +41,7 @@
         self._free: dict[_Sender, int] = {}
         self._resting: dict[str, frozenset[str]] = {}
 
-    def usable(self, route: str, domain: str, entry: str = "") -> list[Upstream]:
+    def usable_upstreams(self, route: str, domain: str, entry: str = "") -> list[Upstream]:
         """List the upstreams of a route that an entry process may be sent to.
 
         :param domain: failure domain of the entry process.
@@ -53,7 +53,8 @@
             self._usable[key] = [
                 each
                 for each in self._eligible[route]
-                if each.usable(domain, self._now) and each.declines.rests_until(entry) <= self._now
+                if each.is_usable(domain, self._now)
+                and each.declines.rests_until(entry) <= self._now
             ]
         return self._usable[key]
 
@@ -66,11 +67,11 @@
         if key not in self._free:
             self._free[key] = sum(
                 max(0, each.spec.slots - each.occupied(self._now))
-                for each in self.usable(route, domain, entry)
+                for each in self.usable_upstreams(route, domain, entry)
             )
         return self._free[key]
 
-    def compared(
+    def candidates(
         self,
         route: str,
         domain: str,
@@ -99,16 +100,16 @@
         return route, domain, entry if entry in self._resting[route] else ""
 
     def _shortest(self, key: "_Sender", depths: dict[str, int]) -> list[Upstream]:
-        usable = self.usable(*key)
-        if len(usable) <= MOST_COMPARED:
+        usable = self.usable_upstreams(*key)
+        if len(usable) <= MAX_COMPARED:
             return usable
         if key not in self._best:
             self._best[key] = self._likely(usable)
         keeping = [each for each in usable if each.spec.id in depths] if depths else []
-        most = heapq.nlargest(CACHED_COMPARED, keeping, key=lambda each: depths[each.spec.id])
+        most = heapq.nlargest(MAX_CACHED_COMPARED, keeping, key=lambda each: depths[each.spec.id])
         return list(dict.fromkeys([*self._best[key], *most]))
 
-    def changed(self) -> None:
+    def invalidate_slots(self) -> None:
         """Forget what was free, after a grant."""
         self._best.clear()
         self._free.clear()
@@ -117,15 +118,15 @@
         """Choose those that would serve a request of a usual size soonest."""
         free = [each for each in usable if each.has_slot(self._now)]
         busy = [each for each in usable if not each.has_slot(self._now)]
-        soonest = heapq.nsmallest(FREE_COMPARED, free, key=Upstream.typical_s)
-        return soonest + heapq.nsmallest(BUSY_COMPARED, busy, key=_next_end)
+        soonest = heapq.nsmallest(MAX_FREE_COMPARED, free, key=Upstream.typical_s)
+        return soonest + heapq.nsmallest(MAX_BUSY_COMPARED, busy, key=_next_end)
 
 
-def fastest(upstreams: Iterable[Upstream]) -> list[Upstream]:
+def fastest_upstreams(upstreams: Iterable[Upstream]) -> list[Upstream]:
     """Choose those that would serve a request soonest if they were idle."""
-    return heapq.nsmallest(BUSY_COMPARED, upstreams, key=Upstream.idle_s)
+    return heapq.nsmallest(MAX_BUSY_COMPARED, upstreams, key=Upstream.idle_s)
 
 
 def _next_end(upstream: Upstream) -> float:
-    ends = upstream.ends()
+    ends = upstream.expected_finishes()
     return ends[0] if ends else 0.0
--- a/packages/chalkyoke/src/chalkyoke/scheduling/state.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/state.py
@@ -12,23 +12,23 @@
 
 from chalkyoke.limits.allowance import Allowance
 from chalkyoke.scheduling.declines import Declines
-from chalkyoke.scheduling.estimates import DEFAULT_CAUTION, OutputEstimate, SpeedModel
+from chalkyoke.scheduling.estimates import DEFAULT_CAUTION_QUANTILE, OutputEstimate, SpeedModel
 
 # A request of a usual size, in tokens: the mean prompt and answer of the callers' sheets. Only the
 # order of upstreams hangs on it.
-TYPICAL_PROMPT = 2000
-TYPICAL_OUTPUT = 60
+TYPICAL_PROMPT_TOKENS = 2000
+TYPICAL_OUTPUT_TOKENS = 60
 # How long a scheduler remembers what it had at an upstream, in seconds: beyond the age of any load
 # report that it is compared with.
 OWN_LOAD_MEMORY_S = 15.0
 # Over how long the share of time that an upstream reads prompts is averaged, in seconds.
 STALL_MEMORY_S = 10.0
 # The largest such share that is reckoned with: streams go on between two prompts.
-MAX_STALLED = 0.6
+MAX_STALLED_SHARE = 0.6
 # The least part of a stream's time that counts as its own, whatever was read beside it.
 MIN_OWN_SHARE = 0.2
 # How much earlier what comes back as it was told counts as due, in seconds: the longest goals seen.
-RETURNING_S = 1.0
+RETRY_DUE_ADVANCE_S = 1.0
 
 
 class ReleaseOutcome(StrEnum):
@@ -110,10 +110,10 @@
     tiers: tuple[TierSpec, ...] = ()
     teams: tuple[TeamSpec, ...] = ()
     routes: tuple[RouteSpec, ...] = ()
-    caution: float = DEFAULT_CAUTION
+    caution: float = DEFAULT_CAUTION_QUANTILE
 
 
-class Waiting(msgspec.Struct, eq=False):
+class WaitingRequest(msgspec.Struct, eq=False):
     """One request that waits for a grant.
 
     :param deadline: on the scheduler's own clock.
@@ -150,14 +150,14 @@
     least_s: float = 0.0
     late: bool = False
     goal: float = math.inf
-    long: bool = False
-    comes_back_s: float = 0.0
+    is_long: bool = False
+    max_retry_after_s: float = 0.0
     gap_goal: float = math.inf
-    whole: float = math.inf
+    answer_due: float = math.inf
     fingerprint: int = 0
-    returning: bool = False
+    is_promised_retry: bool = False
     hint: int = 0
-    tried: tuple[str, ...] = ()
+    tried_upstreams: tuple[str, ...] = ()
 
     @property
     def has_goal(self) -> bool:
@@ -171,10 +171,10 @@
         What comes back as it was told goes before what is new.
         """
         due = min(self.goal, self.deadline)
-        return due - RETURNING_S if self.returning else due
+        return due - RETRY_DUE_ADVANCE_S if self.is_promised_retry else due
 
 
-class Running(msgspec.Struct, eq=False):
+class RunningRequest(msgspec.Struct, eq=False):
     """One request that holds a grant.
 
     :param prefill_left: prompt tokens to be read when it was granted.
@@ -206,10 +206,10 @@
     stalls_seen: float = 0.0
     gap_goal: float = math.inf
     tier_index: int = 0
-    held_up: bool = False
+    gap_exceeded: bool = False
     hint: int = 0
     domain: str = ""
-    counted: bool = False
+    counts_toward_limit: bool = False
 
 
 class Upstream(msgspec.Struct, eq=False):
@@ -224,10 +224,10 @@
 
     spec: UpstreamSpec
     speed: SpeedModel
-    running: dict[str, Running] = msgspec.field(default_factory=dict)
+    running: dict[str, RunningRequest] = msgspec.field(default_factory=dict)
     draining: bool = False
-    foreign: int = 0
-    foreign_until: float = 0.0
+    foreign_load: int = 0
+    foreign_load_until: float = 0.0
     failures: float = 0.0
     unreachable: int = 0
     suspended_until: float = 0.0
@@ -237,7 +237,7 @@
     own_load: deque[tuple[float, int]] = msgspec.field(default_factory=deque)
     stall_s: float = 0.0
     stall_share: float = 0.0
-    stall_noted: float = 0.0
+    stall_updated_at: float = 0.0
     _ends: list[float] | None = None
     _outlook: tuple[float, float, float] | None = None
     _shortest_gap: float | None = None
@@ -253,7 +253,7 @@
 
         :rtype: int
         """
-        foreign = self.foreign if now < self.foreign_until else 0
+        foreign = self.foreign_load if now < self.foreign_load_until else 0
         return len(self.running) + foreign
 
     def has_slot(self, now: float) -> bool:
@@ -265,14 +265,14 @@
             return False
         return self.allowance is None or self.allowance.is_open(now)
 
-    def limited_until(self, now: float) -> float:
+    def limit_opens_at(self, now: float) -> float:
         """Tell when it takes one more request by the limit that it names, slots aside.
 
         :return: on the scheduler's clock.
         """
         return now if self.allowance is None else now + self.allowance.opens_in_s(now)
 
-    def usable(self, domain: str, now: float) -> bool:
+    def is_usable(self, domain: str, now: float) -> bool:
         """Tell whether an entry process of a failure domain may be sent here, rests aside.
 
         :rtype: bool
@@ -281,17 +281,17 @@
             return False
         if self.allowance is not None and not self.allowance.is_open(now):
             return False
-        if now < self.declines.opens(domain, now):
+        if now < self.declines.opens_at(domain, now):
             return False
         return now >= self.unreachable_from.get(domain, 0.0)
 
-    def note_own_load(self, now: float) -> None:
+    def record_own_load(self, now: float) -> None:
         """Remember how much was granted here, to tell it apart in lagged reports."""
         self.own_load.append((now, len(self.running)))
         while self.own_load and self.own_load[0][0] < now - OWN_LOAD_MEMORY_S:
             self.own_load.popleft()
 
-    def most_own_load_since(self, since: float) -> int:
+    def max_own_load_since(self, since: float) -> int:
         """Give the highest number of grants held at any time since a moment.
 
         :rtype: int
@@ -300,21 +300,21 @@
         before = [count for at, count in self.own_load if at < since]
         return max([*recent, *before[-1:], len(self.running)])
 
-    def note_stall(self, seconds: float, now: float) -> None:
+    def record_stall(self, seconds: float, now: float) -> None:
         """Note that it has read a prompt."""
         self.stall_share = self.stalled_share(now) + seconds / STALL_MEMORY_S
-        self.stall_noted = now
+        self.stall_updated_at = now
         self.stall_s += seconds
-        self.changed()
+        self.invalidate_predictions()
 
     def stalled_share(self, now: float) -> float:
         """Give the share of its time that reading prompts took lately.
 
         :rtype: float
         """
-        return self.stall_share * math.exp((self.stall_noted - now) / STALL_MEMORY_S)
+        return self.stall_share * math.exp((self.stall_updated_at - now) / STALL_MEMORY_S)
 
-    def slack(self, rank: int, now: float) -> float:
+    def finish_slack_s(self, rank: int, now: float) -> float:
         """Give the delay that its running requests of a tier or higher bear, in seconds.
 
         Requests that miss their deadlines anyway are left out.
@@ -328,7 +328,7 @@
         ]
         return min((each for each in slacks if each > 0), default=math.inf)
 
-    def changed(self) -> None:
+    def invalidate_predictions(self) -> None:
         """Forget what is kept of the running requests; call after each change of them."""
         self._ends = None
         self._outlook = None
@@ -341,7 +341,9 @@
         :rtype: float
         """
         speed = self.speed
-        return speed.first_time(TYPICAL_PROMPT, 0) + TYPICAL_OUTPUT * speed.token_time(1)
+        return speed.first_time(
+            TYPICAL_PROMPT_TOKENS, 0
+        ) + TYPICAL_OUTPUT_TOKENS * speed.token_time(1)
 
     def typical_s(self) -> float:
         """Predict a request of a usual size that starts here now, in seconds.
@@ -352,12 +354,12 @@
         """
         if self._typical_s is None:
             unread = (each.prefill_left for each in self.running.values() if not each.first_seen)
-            first = self.speed.first_time(TYPICAL_PROMPT, sum(unread))
+            first = self.speed.first_time(TYPICAL_PROMPT_TOKENS, sum(unread))
             token = self.speed.token_time(len(self.running) + 1)
-            self._typical_s = first + TYPICAL_OUTPUT * token
+            self._typical_s = first + TYPICAL_OUTPUT_TOKENS * token
         return self._typical_s
 
-    def shortest_gap(self) -> float:
+    def shortest_gap_goal(self) -> float:
         """Give the shortest pause that one of its running requests can bear, in seconds.
 
         :rtype: float
@@ -367,7 +369,7 @@
             self._shortest_gap = min(gaps, default=math.inf)
         return self._shortest_gap
 
-    def ends(self) -> list[float]:
+    def expected_finishes(self) -> list[float]:
         """List when the running requests are expected to end, earliest first.
 
         :rtype: list[float]
@@ -376,7 +378,7 @@
             self._ends = sorted(item.expected_finish for item in self.running.values())
         return self._ends
 
-    def outlook(self, now: float) -> tuple[float, float]:
+    def prefill_outlook(self, now: float) -> tuple[float, float]:
         """Say what stands before a new request.
 
         :return: prompt tokens that are granted and not yet read, and the share of time in which
@@ -386,7 +388,7 @@
             backlog = sum(
                 item.prefill_left for item in self.running.values() if not item.first_seen
             )
-            moving = 1.0 - min(MAX_STALLED, self.stalled_share(now))
+            moving = 1.0 - min(MAX_STALLED_SHARE, self.stalled_share(now))
             self._outlook = (now, backlog, moving)
         return self._outlook[1:]
 
@@ -397,7 +399,9 @@
     tokens: int = 0
     seconds: float = 0.0
 
-    def add(self, item: Running, upstream: Upstream, output_tokens: int, elapsed_s: float) -> None:
+    def add(
+        self, item: RunningRequest, upstream: Upstream, output_tokens: int, elapsed_s: float
+    ) -> None:
         """Add what one stream did since its progress was last told.
 
         The seconds in which the upstream read other prompts are left out.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
@@ -4,7 +4,7 @@
 
 import msgspec
 from chalkyoke.outcomes import Reason
-from chalkyoke.scheduling.headroom import SWING, Headroom
+from chalkyoke.scheduling.headroom import SWING_DEVIATIONS, Headroom
 from chalkyoke.scheduling.messages import (
     Acquire,
     FirstOutput,
@@ -71,9 +71,9 @@
         waited_s=0.0,
         goal_s=0.6,
         likely_output=20,
-        comes_back_s=4.0,
+        max_retry_after_s=4.0,
         gap_goal_s=0.3,
-        whole_s=15.0,
+        answer_due_s=15.0,
     )
     return message.__class__(**{**_asdict(message), **changes})
 
@@ -152,7 +152,7 @@
     ]
     scheduler = make(specs)
     first = granted(ask(scheduler, name="stream", tier="0"))[0]
-    scheduler.first_output(FirstOutput("stream", "p", 0.05), 0.06)
+    scheduler.apply_first_output(FirstOutput("stream", "p", 0.05), 0.06)
     other = granted(ask(scheduler, name="big", tier="0", prompt_tokens=5000, now=0.1))[0]
     assert other != first
 
@@ -161,7 +161,7 @@
     scheduler = make([upstream(FAST, slots=8)])
     ask(scheduler, name="big", prompt_tokens=16_000, goal_s=2.0)
     (before,) = [a for a in ask(scheduler, name="x", now=0.5) if isinstance(a, Grant)]
-    scheduler.first_output(FirstOutput("big", "p", 0.4), 0.5)
+    scheduler.apply_first_output(FirstOutput("big", "p", 0.4), 0.5)
     (after,) = [a for a in ask(scheduler, name="y", now=0.5) if isinstance(a, Grant)]
     assert after.expected_first_s < before.expected_first_s / 2
 
@@ -176,7 +176,7 @@
 def test_what_would_wait_beyond_its_goal_is_refused_at_once_and_let_in_when_it_comes_back():
     scheduler = make([upstream(FAST, slots=1)])
     ask(scheduler, name="holder", likely_output=400)
-    answers = crowd(scheduler, 6, now=0.1, comes_back_s=1.0)
+    answers = crowd(scheduler, 6, now=0.1, max_retry_after_s=1.0)
     shed = [each for actions in answers for each in actions if isinstance(each, Shed)]
     assert shed and all(0 < each.retry_after_s <= 1.0 for each in shed)
 
@@ -203,32 +203,35 @@
 
 def test_a_successor_starts_with_what_was_learned():
     old = make([upstream(FAST)])
-    old.take_over(Learned("p", (LearnedSpeed(FAST, 2.0, 3.0, 7),)))
-    told = old.learned()
+    old.import_learned(Learned("p", (LearnedSpeed(FAST, 2.0, 3.0, 7),)))
+    told = old.export_learned()
     assert told.speeds == (LearnedSpeed(FAST, 2.0, 3.0, 7),)
     new = make([upstream(FAST)])
-    new.take_over(told)
-    new.take_over(Learned("p", (LearnedSpeed(FAST, 9.0, 9.0, 3),)))
-    new.take_over(Learned("p", (LearnedSpeed("unknown", 9.0, 9.0, 3),)))
-    assert new.learned() == told
+    new.import_learned(told)
+    new.import_learned(Learned("p", (LearnedSpeed(FAST, 9.0, 9.0, 3),)))
+    new.import_learned(Learned("p", (LearnedSpeed("unknown", 9.0, 9.0, 3),)))
+    assert new.export_learned() == told
 
 
 def test_headroom_grows_with_what_higher_tiers_use():
     headroom = Headroom(0.0)
-    assert headroom.kept_free(1) == 0
+    assert headroom.reserved_slots(1) == 0
     for step in range(200):
-        headroom.observe([0] * 8 + [1] * 3, 0.05 * step)
-    assert headroom.kept_free(1) == math.ceil(4 * SWING) and headroom.kept_free(0) == 0
+        headroom.observe_running([0] * 8 + [1] * 3, 0.05 * step)
+    assert (
+        headroom.reserved_slots(1) == math.ceil(4 * SWING_DEVIATIONS)
+        and headroom.reserved_slots(0) == 0
+    )
     for step in range(200, 800):
-        headroom.observe([], 0.05 * step)
-    assert headroom.kept_free(1) == 0
+        headroom.observe_running([], 0.05 * step)
+    assert headroom.reserved_slots(1) == 0
 
 
 def test_a_tiers_wait_is_predicted_from_how_fast_it_gets_slots():
     headroom = Headroom(0.0)
     for step in range(100):
-        headroom.note_grant(1, 0.1 * step)
-    assert 8 < headroom.rate(1, 10.0) < 12
+        headroom.record_grant(1, 0.1 * step)
+    assert 8 < headroom.grant_rate_per_s(1, 10.0) < 12
     assert 0.8 < headroom.wait_s(1, 10, 10.0) < 1.25
     assert headroom.wait_s(1, 10, 60.0) > 20
 
@@ -249,10 +252,10 @@
     for number in range(4):
         name = f"stream{number}"
         ask(scheduler, name=name, tier="0", likely_output=500, now=0.1 * number)
-        scheduler.first_output(FirstOutput(name, "p", 0.05), 0.1 * number + 0.06)
+        scheduler.apply_first_output(FirstOutput(name, "p", 0.05), 0.1 * number + 0.06)
     assert all(each.running for each in scheduler.upstreams.values())
     first = granted(ask(scheduler, name="big1", tier="0", prompt_tokens=5000, now=1.0))
-    scheduler.first_output(FirstOutput("big1", "p", 0.4), 1.4)
+    scheduler.apply_first_output(FirstOutput("big1", "p", 0.4), 1.4)
     second = granted(ask(scheduler, name="big2", tier="0", prompt_tokens=5000, now=1.5))
     assert first == second
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
@@ -13,7 +13,7 @@
 
 def limited(names, limit_per_s=LIMIT_PER_S, slots=8):
     scheduler = make([upstream(FAST, slots=slots), upstream(SLOW, slots=slots)])
-    scheduler.limit({name: Allowance(limit_per_s, 1.0, 0.0) for name in names}, 0.0)
+    scheduler.set_allowances({name: Allowance(limit_per_s, 1.0, 0.0) for name in names}, 0.0)
     return scheduler
 
 
@@ -33,7 +33,7 @@
             outs += scheduler.release("z", done, now)
         for action in (each.action for each in outs):
             if isinstance(action, Grant):
-                granted.append((now, action.upstream, action.counted))
+                granted.append((now, action.upstream, action.counts_toward_limit))
                 ends.append((now + run_s, action.request))
             elif isinstance(action, Shed):
                 refused.append((now, action))
@@ -90,6 +90,6 @@
 def test_a_limit_that_is_over_is_forgotten():
     scheduler = limited({FAST, SLOW}, limit_per_s=0.2)
     assert not scheduler.acquire("h", "z", acquire("a", goal_s=2.0, budget_s=6.0), 0.0)
-    (out,) = scheduler.limit({}, 0.1)
+    (out,) = scheduler.set_allowances({}, 0.1)
     assert out.action.request == "a"
-    assert not out.action.counted
+    assert not out.action.counts_toward_limit
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_parts.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_parts.py
@@ -41,18 +41,18 @@
     index = PrefixIndex()
     index.add_upstream("a", 10)
     index.add_upstream("b", 10)
-    index.insert("a", (1, 2, 3))
-    index.insert("b", (1, 9))
+    index.insert_blocks("a", (1, 2, 3))
+    index.insert_blocks("b", (1, 9))
     assert index.matches((1, 2, 3, 4)) == {"a": 3, "b": 1}
-    index.drop("a", (1,))
+    index.drop_blocks("a", (1,))
     assert index.matches((1, 2, 3)) == {"b": 1}
 
 
 def test_a_cache_that_is_full_drops_the_least_recently_used():
     index = PrefixIndex()
     index.add_upstream("a", 2)
-    index.insert("a", (1, 2))
-    index.insert("a", (1, 5))
+    index.insert_blocks("a", (1, 2))
+    index.insert_blocks("a", (1, 5))
     assert index.matches((1, 2)) == {"a": 1}
     index.remove_upstream("a")
     assert index.matches((1,)) == {}
@@ -62,6 +62,6 @@
     index = PrefixIndex()
     index.add_upstream("a", 100)
     for _ in range(30):
-        index.correct("a", 5, 0)
-    index.insert("a", tuple(range(100)))
+        index.correct_capacity("a", 5, 0)
+    index.insert_blocks("a", tuple(range(100)))
     assert 5 < index.matches(tuple(range(100)))["a"] < 40
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_pool.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_pool.py
@@ -9,7 +9,7 @@
 def test_a_new_upstream_starts_as_fast_as_most_of_the_known_ones():
     pool = PoolState(PoolSpec("p", (spec("a"), spec("b"), spec("c"))))
     for name, factor in (("a", 0.6), ("b", 0.7), ("c", 3.0)):
-        pool.upstreams[name].speed.take_over(factor, factor, 9)
+        pool.upstreams[name].speed.adopt_factors(factor, factor, 9)
     pool.configure(PoolSpec("p", (spec("a"), spec("b"), spec("c"), spec("d"), spec("e", 9_000))))
     assert pool.upstreams["d"].speed.prefill_factor == 0.7
     assert pool.upstreams["e"].speed.prefill_factor == 1.0, "of another make"
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_scheduler.py
@@ -118,8 +118,8 @@
     again = take(scheduler, 0.2, acquire("x", attempt=2))[0]
     assert again.upstream != first
     end(scheduler, "x", 0.3, attempt=2)
-    assert scheduler.upstreams[first].usable("d", 5.0)
-    assert scheduler.upstreams[first].usable("another-domain", 0.2)
+    assert scheduler.upstreams[first].is_usable("d", 5.0)
+    assert scheduler.upstreams[first].is_usable("another-domain", 0.2)
 
 
 def test_an_upstream_that_keeps_failing_is_suspended():
@@ -127,24 +127,24 @@
     for index in range(3):
         take(scheduler, index, acquire(f"x{index}"))
         end(scheduler, f"x{index}", index + 0.5, "failed")
-    assert not scheduler.upstreams["u1"].usable("d", 2.6)
-    assert scheduler.upstreams["u1"].usable("d", 10.0)
+    assert not scheduler.upstreams["u1"].is_usable("d", 2.6)
+    assert scheduler.upstreams["u1"].is_usable("d", 10.0)
 
 
 def test_a_grant_whose_release_was_lost_is_found_by_progress():
     scheduler = make()
     take(scheduler, 0.0, acquire("x"), acquire("y"))
-    assert scheduler.progress("e1", Progress("pool", ()), 1.0) == []
-    outs = scheduler.progress("e1", Progress("pool", ()), 5.0)
+    assert scheduler.apply_progress("e1", Progress("pool", ()), 1.0) == []
+    outs = scheduler.apply_progress("e1", Progress("pool", ()), 5.0)
     assert outs[0].action.request == "y"
 
 
 def test_load_reports_count_only_what_cannot_be_seen_from_here():
     scheduler = make(slots=3)
     take(scheduler, 0.0, acquire("x"), acquire("y"))
-    scheduler.load_report(LoadReport("u1", 2, 0, 0.5), 0.5)
-    assert scheduler.upstreams["u1"].foreign == 0
-    scheduler.load_report(LoadReport("u1", 3, 0, 0.5), 0.6)
+    scheduler.apply_load_report(LoadReport("u1", 2, 0, 0.5), 0.5)
+    assert scheduler.upstreams["u1"].foreign_load == 0
+    scheduler.apply_load_report(LoadReport("u1", 3, 0, 0.5), 0.6)
     assert take(scheduler, 0.7, acquire("z")) == []
     assert isinstance(scheduler.tick(10.0)[0].action, Grant)
 
@@ -152,7 +152,7 @@
 def test_a_dead_entry_process_leaves_nothing_behind():
     scheduler = make()
     take(scheduler, 0.0, acquire("x"), acquire("y"))
-    scheduler.member_gone("e1", 1.0)
+    scheduler.remove_entry("e1", 1.0)
     assert (scheduler.running, scheduler.waiting) == (0, 0)
     assert scheduler.upstreams["u1"].running == {}
 
@@ -166,13 +166,13 @@
 
 def test_what_a_process_holds_that_has_fallen_silent_is_given_back():
     scheduler = make()
-    scheduler.member_gone("e1", 0.0)
+    scheduler.remove_entry("e1", 0.0)
     # A message that was under way when its sender died comes after the news of its death.
     take(scheduler, 0.1, acquire("x"))
     scheduler.acquire("e2", "d", acquire("y"), 0.2)
     granted = []
     for second in range(1, 20):
-        scheduler.progress("e2", Progress("pool", ()), float(second))
+        scheduler.apply_progress("e2", Progress("pool", ()), float(second))
         granted += [out.action.request for out in scheduler.tick(float(second))]
     assert granted == ["y"]
 
@@ -180,7 +180,7 @@
 def test_a_refusal_beside_free_places_is_told_from_one_for_want_of_them():
     scheduler = make(slots=4)
     hopeless = acquire("x", budget=0.01)
-    assert [out.beside_free for out in scheduler.acquire("e1", "d", hopeless, 0.0)] == [True]
+    assert [out.pool_mostly_free for out in scheduler.acquire("e1", "d", hopeless, 0.0)] == [True]
     take(scheduler, 0.0, acquire("a"), acquire("b"))
     hopeless = acquire("y", budget=0.01)
-    assert [out.beside_free for out in scheduler.acquire("e1", "d", hopeless, 0.0)] == [False]
+    assert [out.pool_mostly_free for out in scheduler.acquire("e1", "d", hopeless, 0.0)] == [False]
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_shortlist.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_shortlist.py
@@ -1,12 +1,12 @@
 from chalkyoke.scheduling.placement import Features
 from chalkyoke.scheduling.scheduler import PoolScheduler
 from chalkyoke.scheduling.shortlist import (
-    BUSY_COMPARED,
-    CACHED_COMPARED,
-    FREE_COMPARED,
-    MOST_COMPARED,
+    MAX_BUSY_COMPARED,
+    MAX_CACHED_COMPARED,
+    MAX_COMPARED,
+    MAX_FREE_COMPARED,
     Openings,
-    fastest,
+    fastest_upstreams,
 )
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec
 
@@ -35,18 +35,18 @@
 
 
 def test_in_a_pool_of_a_usual_size_all_are_compared():
-    openings = openings_of(scheduler_of(MOST_COMPARED))
-    assert len(openings.compared("r", "d", {})) == MOST_COMPARED
+    openings = openings_of(scheduler_of(MAX_COMPARED))
+    assert len(openings.candidates("r", "d", {})) == MAX_COMPARED
 
 
 def test_in_a_large_pool_the_likely_ones_are_compared_and_those_that_keep_the_prompt():
     scheduler = scheduler_of(140)
     depths = {f"u{number:03d}": number for number in range(1, 140, 3)}
-    compared = openings_of(scheduler).compared("r", "d", depths)
-    assert len(compared) == FREE_COMPARED + CACHED_COMPARED
+    compared = openings_of(scheduler).candidates("r", "d", depths)
+    assert len(compared) == MAX_FREE_COMPARED + MAX_CACHED_COMPARED
     names = [each.spec.id for each in compared]
-    assert all(int(name[1:]) % 3 != 1 for name in names[:FREE_COMPARED])
-    assert set(sorted(depths)[-CACHED_COMPARED:]) <= set(names)
+    assert all(int(name[1:]) % 3 != 1 for name in names[:MAX_FREE_COMPARED])
+    assert set(sorted(depths)[-MAX_CACHED_COMPARED:]) <= set(names)
 
 
 def test_busy_ones_are_compared_by_when_they_get_free():
@@ -54,10 +54,10 @@
     for number in range(200):
         scheduler.acquire("e", "d", acquire(f"x{number}"), 0.0)
     busy = [each for each in scheduler.upstreams.values() if not each.has_slot(0.1)]
-    assert len(busy) > BUSY_COMPARED
-    compared = openings_of(scheduler, 0.1).compared("r", "d", {})
-    soonest = sorted(each.ends()[0] for each in busy)[:BUSY_COMPARED]
-    assert sorted(each.ends()[0] for each in compared if each in busy) == soonest
+    assert len(busy) > MAX_BUSY_COMPARED
+    compared = openings_of(scheduler, 0.1).candidates("r", "d", {})
+    soonest = sorted(each.expected_finishes()[0] for each in busy)[:MAX_BUSY_COMPARED]
+    assert sorted(each.expected_finishes()[0] for each in compared if each in busy) == soonest
 
 
 def test_a_grant_is_seen_by_the_next_request_of_the_same_decision():
@@ -66,10 +66,10 @@
     free = openings.free_slots("r", "d")
     scheduler.acquire("e", "d", acquire("x"), 1.0)
     assert openings.free_slots("r", "d") == free
-    openings.changed()
+    openings.invalidate_slots()
     assert openings.free_slots("r", "d") == free - 1
 
 
 def test_the_fastest_are_those_that_an_idle_pool_would_offer():
-    chosen = fastest(scheduler_of(90).upstreams.values())
+    chosen = fastest_upstreams(scheduler_of(90).upstreams.values())
     assert all(int(each.spec.id[1:]) % 3 != 1 for each in chosen)
--- a/packages/chalkyoke/src/chalkyoke/tokens/codec.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/codec.py
@@ -17,7 +17,7 @@
 
 PREFIX = "ck1_"
 MAC_BYTES = 16
-MAX_TEXT_LENGTH = 512
+MAX_TEXT_CHARS = 512
 
 
 class TokenCodec:
@@ -44,7 +44,7 @@
         :param text: what a caller sent.
         :return: the token, or ``MALFORMED`` or ``FORGED``.
         """
-        if not text.startswith(PREFIX) or len(text) > MAX_TEXT_LENGTH:
+        if not text.startswith(PREFIX) or len(text) > MAX_TEXT_CHARS:
             return Err(TokenProblem.MALFORMED)
 
         sealed = _unwrap(text)
@@ -60,7 +60,7 @@
         return hashlib.blake2b(body, digest_size=MAC_BYTES, key=self._key, person=b"token").digest()
 
 
-def request_of(text: str) -> str:
+def request_id_of(text: str) -> str:
     """Give the id of a token's request, for looking it up; the seal is not checked.
 
     :param text: a token, or a request id.
--- a/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
@@ -12,15 +12,15 @@
 
 from chalkyoke.invariants import require
 from chalkyoke.tokens.messages import Token, TokenProblem
-from chalkyoke.tokens.state import ALLOWED_MOVES, FINAL_STATES, TokenState
+from chalkyoke.tokens.state import ALLOWED_TRANSITIONS, FINAL_STATES, TokenState
 
 DEFAULT_LIFETIME_S = 900.0
 # Tokens that are remembered, in number.
-DEFAULT_CAPACITY = 100_000
+DEFAULT_CAPACITY_TOKENS = 100_000
 
 
 @dataclass(slots=True)
-class Record:
+class TokenRecord:
     """What the issuer knows of one token that was used.
 
     :param digest: hash of the request that first used it; another request is not served.
@@ -60,7 +60,7 @@
         address: str,
         incarnation: int,
         lifetime_s: float = DEFAULT_LIFETIME_S,
-        capacity: int = DEFAULT_CAPACITY,
+        capacity: int = DEFAULT_CAPACITY_TOKENS,
     ) -> None:
         self.host = host
         self.address = address
@@ -68,7 +68,7 @@
         self.lifetime_s = lifetime_s
         self._capacity = capacity
         self._next = 1
-        self._records: OrderedDict[int, Record] = OrderedDict()
+        self._records: OrderedDict[int, TokenRecord] = OrderedDict()
         self._expired_up_to_ms = -1
 
     def __len__(self) -> int:
@@ -85,21 +85,21 @@
         expires_ms = int((now + self.lifetime_s) * 1000)
         return Token(self.host, self.address, self.incarnation, sequence, expires_ms)
 
-    def is_ours(self, token: Token) -> bool:
+    def is_issued_here(self, token: Token) -> bool:
         """Tell whether this process issued a token, and nobody else may run it.
 
         :rtype: bool
         """
         return token.host == self.host and token.incarnation == self.incarnation
 
-    def admit(self, token: Token, digest: bytes, now: float) -> Result[Record, TokenProblem]:
+    def admit(self, token: Token, digest: bytes, now: float) -> Result[TokenRecord, TokenProblem]:
         """Find the record of a token, or make one at its first use.
 
         :param digest: hash of the request that comes with it.
         :param now: seconds on the monotonic clock since this process started.
         :return: the record, or why the token is not taken; then nothing has changed.
         """
-        if not self.is_ours(token):
+        if not self.is_issued_here(token):
             return Err(TokenProblem.OTHER_INCARNATION)
         if token.sequence >= self._next:
             return Err(TokenProblem.NEVER_ISSUED)
@@ -112,11 +112,11 @@
         if len(self._records) >= self._capacity:
             return Err(TokenProblem.LEDGER_FULL)
 
-        record = Record(token, digest)
+        record = TokenRecord(token, digest)
         self._records[token.sequence] = record
         return Ok(record)
 
-    def move(self, record: Record, state: TokenState) -> None:
+    def transition(self, record: TokenRecord, state: TokenState) -> None:
         """Move a token to its next state.
 
         :param state: the new state.
@@ -124,7 +124,7 @@
             second dispatch.
         """
         require(
-            state in ALLOWED_MOVES[record.state],
+            state in ALLOWED_TRANSITIONS[record.state],
             "a token moves one way",
             sequence=record.token.sequence,
             held=record.state,
@@ -139,7 +139,7 @@
             )
         record.state = state
 
-    def told_not_run(self, record: Record) -> None:
+    def check_not_run(self, record: TokenRecord) -> None:
         """Check, before a caller is told "not run", that it is true and stays true.
 
         :raises InvariantBroken: when bytes may have left, or the token could still run.
@@ -152,14 +152,14 @@
             dispatches=record.dispatches,
         )
 
-    def expire(self, now: float) -> list[Record]:
+    def expire(self, now: float) -> list[TokenRecord]:
         """Forget the final records whose tokens have expired.
 
         :param now: seconds on the monotonic clock since this process started.
         :return: the records that were forgotten.
         """
         now_ms = int(now * 1000)
-        forgotten: list[Record] = []
+        forgotten: list[TokenRecord] = []
         for sequence, record in list(self._records.items()):
             if record.token.expires_ms > now_ms:
                 break
--- a/packages/chalkyoke/src/chalkyoke/tokens/state.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/state.py
@@ -18,7 +18,7 @@
     REFUSED = "refused"
 
 
-ALLOWED_MOVES: dict[TokenState, frozenset[TokenState]] = {
+ALLOWED_TRANSITIONS: dict[TokenState, frozenset[TokenState]] = {
     TokenState.ISSUED: frozenset({TokenState.QUEUED, TokenState.REFUSED}),
     TokenState.QUEUED: frozenset({TokenState.DISPATCHED, TokenState.REFUSED}),
     TokenState.DISPATCHED: frozenset({TokenState.ANSWERED, TokenState.FAILED}),
@@ -27,4 +27,4 @@
     TokenState.REFUSED: frozenset(),
 }
 
-FINAL_STATES = frozenset(state for state, moves in ALLOWED_MOVES.items() if not moves)
+FINAL_STATES = frozenset(state for state, moves in ALLOWED_TRANSITIONS.items() if not moves)
--- a/packages/chalkyoke/src/chalkyoke/tokens/tests/test_ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/tests/test_ledger.py
@@ -1,6 +1,6 @@
 import pytest
 from chalkyoke.exceptions import InvariantBroken
-from chalkyoke.tokens.codec import TokenCodec, request_of
+from chalkyoke.tokens.codec import TokenCodec, request_id_of
 from chalkyoke.tokens.ledger import TokenLedger
 from chalkyoke.tokens.messages import Token, TokenProblem
 from chalkyoke.tokens.state import FINAL_STATES, TokenState
@@ -44,7 +44,7 @@
     ledger = make_ledger(lifetime_s=10)
     token = ledger.issue(0.0)
     record = ledger.admit(token, b"", 1.0).unwrap()
-    ledger.move(record, TokenState.REFUSED)
+    ledger.transition(record, TokenState.REFUSED)
     assert ledger.expire(11.0) == [record]
     assert ledger.admit(token, b"", 2.0).unwrap_err() is TokenProblem.EXPIRED
 
@@ -52,7 +52,7 @@
 def test_a_running_token_is_kept_beyond_its_expiry():
     ledger = make_ledger(lifetime_s=10)
     record = ledger.admit(ledger.issue(0.0), b"", 1.0).unwrap()
-    ledger.move(record, TokenState.QUEUED)
+    ledger.transition(record, TokenState.QUEUED)
     assert ledger.expire(100.0) == []
     assert ledger.admit(record.token, b"", 100.0).unwrap() is record
 
@@ -68,27 +68,27 @@
 def test_a_second_dispatch_stops_the_process():
     ledger = make_ledger()
     record = ledger.admit(ledger.issue(0.0), b"", 0.0).unwrap()
-    ledger.move(record, TokenState.QUEUED)
-    ledger.move(record, TokenState.DISPATCHED)
+    ledger.transition(record, TokenState.QUEUED)
+    ledger.transition(record, TokenState.DISPATCHED)
     with pytest.raises(InvariantBroken):
-        ledger.move(record, TokenState.DISPATCHED)
+        ledger.transition(record, TokenState.DISPATCHED)
 
 
 def test_not_run_is_not_told_of_a_dispatched_request():
     ledger = make_ledger()
     record = ledger.admit(ledger.issue(0.0), b"", 0.0).unwrap()
-    ledger.move(record, TokenState.QUEUED)
-    ledger.move(record, TokenState.DISPATCHED)
+    ledger.transition(record, TokenState.QUEUED)
+    ledger.transition(record, TokenState.DISPATCHED)
     with pytest.raises(InvariantBroken):
-        ledger.told_not_run(record)
+        ledger.check_not_run(record)
 
 
 def test_a_token_survives_its_text_form():
     codec = TokenCodec(KEY)
     token = make_ledger().issue(3.0)
     assert codec.decode(codec.encode(token)).unwrap() == token
-    assert request_of(codec.encode(token)) == "h1-5-1"
-    assert request_of("h1-5-1") == "h1-5-1"
+    assert request_id_of(codec.encode(token)) == "h1-5-1"
+    assert request_id_of("h1-5-1") == "h1-5-1"
 
 
 def test_a_token_of_another_fleet_is_forged():
@@ -134,7 +134,7 @@
         record = admitted.unwrap()
         history = self.moves.setdefault(token.sequence, [])
         try:
-            self.ledger.move(record, state)
+            self.ledger.transition(record, state)
         except InvariantBroken:
             return
         history.append(state)
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import aiohttp
-from chalkyoke.tokens.codec import request_of
+from chalkyoke.tokens.codec import request_id_of
 from chalkyoke_fakes import platformdemo
 from chalkyoke_fakes.caller import Caller, Reply, Told
 from chalkyoke_fakes.fleet import LocalFleet
@@ -134,7 +134,7 @@
         if reply.told in (Told.BAD, Told.NOTHING):
             self.wrong.append(f"#{number} was not accounted for: {reply.told} {reply.reason}")
         if reply.told is Told.NOT_RUN:
-            self.refused[request_of(reply.token)] = number
+            self.refused[request_id_of(reply.token)] = number
 
     async def check(self) -> None:
         """Compare what callers were told with what the upstreams counted."""
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -37,7 +37,7 @@
                 depths[name] = depth
         return depths
 
-    def insert(self, name, blocks):
+    def insert_blocks(self, name, blocks):
         if name not in self.held or self.capacity[name] <= 0:
             return
         held = [block for block in self.held[name] if block not in blocks]
@@ -46,11 +46,11 @@
             held.pop(0)
         self.held[name] = held
 
-    def drop(self, name, blocks):
+    def drop_blocks(self, name, blocks):
         if name in self.held:
             self.held[name] = [block for block in self.held[name] if block not in blocks]
 
-    def correct(self, name, expected, found):
+    def correct_capacity(self, name, expected, found):
         if not self.capacity.get(name) or expected == 0:
             return
         believed = self.believed[name] * (0.95 if found < expected else 1.01)
@@ -65,7 +65,7 @@
 def fair_teams(self, rank):
     """List (team, route) of a tier in the order of their shares."""
     keys = {(item.team, item.route) for item in self._pool.waiting.values() if item.rank == rank}
-    return sorted(keys, key=lambda key: (self._pool.queues[rank].virtual(key[0]), *key))
+    return sorted(keys, key=lambda key: (self._pool.queues[rank].virtual_time(key[0]), *key))
 
 
 def in_order(self, rank, team, route):
@@ -99,7 +99,7 @@
         return [
             self._pool.upstreams[n]
             for n in names
-            if self._pool.upstreams[n].usable(item.domain, now)
+            if self._pool.upstreams[n].is_usable(item.domain, now)
         ]
 
     # The decision.
@@ -115,7 +115,7 @@
 
     def _decide_naively(self, rank, late, held, now, outs):
         blocked, full, looked = set(), set(), 0
-        while looked < granting.MAX_LOOKED:
+        while looked < granting.MAX_EXAMINED_REQUESTS:
             granted = False
             for team, route in self._fair_teams(rank):
                 if (team, route) in blocked or route in full or self._over_limit(team):
@@ -151,7 +151,7 @@
         for upstream in self._usable(item, now):
             cached = depths.get(upstream.spec.id, 0)
             left = max(1, item.prompt_tokens - cached * BLOCK_TOKENS)
-            harm = upstream.running and upstream.speed.prefill_time(left) > upstream.slack(
+            harm = upstream.running and upstream.speed.prefill_time(left) > upstream.finish_slack_s(
                 item.rank, now
             )
             (busy if harm or not upstream.has_slot(now) else free).append((upstream, cached))
@@ -162,7 +162,7 @@
         if not found:
             return False
         best, upstream, cached = min(found, key=lambda each: each[0].finish_s)
-        limit = best.finish_s * (1.0 - placement.HOLD_MARGIN) - placement.HOLD_MARGIN_S
+        limit = best.finish_s * (1.0 - placement.HOLD_MARGIN_SHARE) - placement.HOLD_MARGIN_S
         waits = []
         for index, (other, other_cached) in enumerate(busy):
             ends = sorted(each.expected_finish for each in other.running.values())
@@ -181,7 +181,9 @@
             return False
         if not self._worth_starting(item, best, now):
             return False
-        outs.append(self._granter.grant(item, placement.Choice(upstream, best, cached), now))
+        outs.append(
+            self._granter.grant_request(item, placement.Placement(upstream, best, cached), now)
+        )
         return True
 
     def _worth_starting(self, item, best, now):
@@ -207,7 +209,7 @@
     def shed_late(self, now):
         slots = {}
         for name, upstream in self._pool.upstreams.items():
-            if upstream.usable("", now):
+            if upstream.is_usable("", now):
                 ends = [max(now, each.expected_finish) for each in upstream.running.values()]
                 free = max(0, upstream.spec.slots - upstream.occupied(now))
                 slots[name] = sorted(ends + [now] * free)
@@ -217,17 +219,19 @@
             if (missed := self._missed(item, slots, now)) is not None
         ]
         allowed = self._lowest_first(late)
-        outs = [self.shed(item, Reason.SHED, self.retry_after(missed)) for item, missed in allowed]
+        outs = [
+            self.shed(item, Reason.SHED, self.retry_after_s(missed)) for item, missed in allowed
+        ]
         gone = [item for item, _ in late]
         for item in list(self._pool.waiting.values()):
-            self._pool.queues[item.rank].mark(item, item in gone)
+            self._pool.queues[item.rank].set_late(item, item in gone)
         return outs
 
     def _play_order(self):
         weights = {team.name: team.weight for team in self._pool.spec.teams}
         for rank in sorted({item.rank for item in self._pool.waiting.values()}):
             queues = {key: self._in_order(rank, *key) for key in self._fair_teams(rank)}
-            virtual = {team: self._pool.queues[rank].virtual(team) for team, _ in queues}
+            virtual = {team: self._pool.queues[rank].virtual_time(team) for team, _ in queues}
             while queues:
                 key = min(queues, key=lambda each: (virtual[each[0]], each))
                 item = queues[key].pop(0)
--- a/tests/overload.py
+++ b/tests/overload.py
@@ -148,13 +148,15 @@
             for name in self.running
         )
         for entry in range(3):
-            self.take(self.scheduler.progress(f"entry{entry}", Progress("pool", items), self.now))
+            self.take(
+                self.scheduler.apply_progress(f"entry{entry}", Progress("pool", items), self.now)
+            )
 
     def report(self):
         upstream = f"u{self.random.randrange(4)}"
         running = self.random.randrange(3)
         report = LoadReport(upstream, running, 0, 0.5, upstream in self.leaving)
-        self.take(self.scheduler.load_report(report, self.now))
+        self.take(self.scheduler.apply_load_report(report, self.now))
 
     def change_list(self):
         name = f"u{self.random.randrange(4)}"
@@ -172,7 +174,7 @@
                 self.waiting.pop(name)
             for name in [n for n, r in self.scheduler._pool.running.items() if r.entry == entry]:
                 self.running.pop(name, None)
-            self.take(self.scheduler.member_gone(entry, self.now))
+            self.take(self.scheduler.remove_entry(entry, self.now))
 
     def adopt(self):
         self.number += 1
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -30,8 +30,8 @@
 
     monkeypatch.setattr(Run, "dispatch", dispatch)
     monkeypatch.setattr(Run, "add", lambda run, data, now, tokens=0: run.chunks.append(data))
-    monkeypatch.setattr(TokenLedger, "move", lambda ledger, record, state: None)
-    monkeypatch.setattr(TokenLedger, "told_not_run", lambda ledger, record: None)
+    monkeypatch.setattr(TokenLedger, "transition", lambda ledger, record, state: None)
+    monkeypatch.setattr(TokenLedger, "check_not_run", lambda ledger, record: None)
     monkeypatch.setattr(Dispatcher, "_not_answered", not_answered)
 
 
@@ -51,7 +51,9 @@
 
 def restarted_host_runs_old_tokens(monkeypatch):
     """A restarted process takes the tokens of the one before it for its own."""
-    monkeypatch.setattr(TokenLedger, "is_ours", lambda ledger, token: token.host == ledger.host)
+    monkeypatch.setattr(
+        TokenLedger, "is_issued_here", lambda ledger, token: token.host == ledger.host
+    )
     monkeypatch.setattr(TokenLedger, "issue", _issue_from_far)
 
 
@@ -111,7 +113,7 @@
     """A full queue gives up the lowest tier beside the arrival, whoever waits beside that."""
 
     def make_room(refuser, item, now):
-        if len(refuser._pool.waiting) <= refusals.MAX_WAITING:
+        if len(refuser._pool.waiting) <= refusals.MAX_WAITING_REQUESTS:
             return []
         victim = refuser._lowest_beside(item)
         return [refuser.shed(victim, refusals.Reason.SHED, 1.0)]
--- a/tests/shiftedload.py
+++ b/tests/shiftedload.py
@@ -270,9 +270,9 @@
             goal_s=kind.goal,
             likely_output=demand.given,
             gap_goal_s=GAP_S,
-            whole_s=ends - at,
+            answer_due_s=ends - at,
             fingerprint=int(demand.id[1:]) + 1,
-            comes_back_s=(ends - at) * COMES_BACK_SHARE,
+            max_retry_after_s=(ends - at) * COMES_BACK_SHARE,
         )
         self.take(self.scheduler.acquire("n", "z", message, at))
 
@@ -311,7 +311,9 @@
             firsts, done = engine.work(self.now)
             for run in firsts:
                 first_s = run.first_at - run.began
-                self.scheduler.first_output(FirstOutput(run.demand.id, "p", first_s), self.now)
+                self.scheduler.apply_first_output(
+                    FirstOutput(run.demand.id, "p", first_s), self.now
+                )
             for run in done:
                 self.end(run, ReleaseOutcome.DELIVERED)
             for run in list(engine.runs.values()):
@@ -349,7 +351,7 @@
             for engine in self.engines.values()
             for run in engine.runs.values()
         )
-        self.take(self.scheduler.progress("n", Progress("p", items), self.now))
+        self.take(self.scheduler.apply_progress("n", Progress("p", items), self.now))
 
     # What came of it.
 
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -22,14 +22,14 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_full_queue_gives_up_the_lowest_tier(seed, monkeypatch):
-    monkeypatch.setattr(refusals, "MAX_WAITING", 12)
+    monkeypatch.setattr(refusals, "MAX_WAITING_REQUESTS", 12)
     run = overload(seed)
     assert len(run.waiting) <= 12
     assert run.counts["granted"] > 100
 
 
 def test_a_full_queue_that_looks_beside_the_arrival_only_is_found(monkeypatch):
-    monkeypatch.setattr(refusals, "MAX_WAITING", 12)
+    monkeypatch.setattr(refusals, "MAX_WAITING_REQUESTS", 12)
     plants.room_is_made_beside_only(monkeypatch)
     with pytest.raises((AssertionError, InvariantBroken)):
         for seed in range(8):
--- a/tests/world.py
+++ b/tests/world.py
@@ -164,7 +164,7 @@
             for name in list(scheduler.upstreams):
                 upstream = self.world.upstreams[name]
                 report = LoadReport(name, len(upstream.running), 0, 0.5, upstream.draining)
-                self.schedulers.dispatch(scheduler.load_report(report, self.now()))
+                self.schedulers.dispatch(scheduler.apply_load_report(report, self.now()))
 
     def apply(self, changes):
         for change in changes:
@@ -341,12 +341,12 @@
     async def send(self, node, request, token, text):
         self.steps["sent"] += 1
         issuer = node
-        if token is not None and not node.runs.ledger.is_ours(token):
+        if token is not None and not node.runs.ledger.is_issued_here(token):
             issuer = self.nodes.get(token.host, node)
             both = self.linked(node.domain, issuer.domain) and self.linked(
                 issuer.domain, node.domain
             )
-            if issuer.dead or not both or not issuer.runs.ledger.is_ours(token):
+            if issuer.dead or not both or not issuer.runs.ledger.is_issued_here(token):
                 self.hear(token.request, issuer_gone(), b"")
                 return
             self.steps["forwarded"] += 1
