--- a/packages/chalkyoke/src/chalkyoke/discovery/host_list.py
+++ b/packages/chalkyoke/src/chalkyoke/discovery/host_list.py
@@ -10,7 +10,7 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.configuration.messages import HostsAnswer, ListedHost
 
-CALL_S = 2.0
+FETCH_TIMEOUT_S = 2.0
 
 
 class _Entry(msgspec.Struct):
@@ -45,7 +45,7 @@
         self._metrics.count("store_calls", kind="hosts")
         try:
             async with self._session.get(
-                self._url, timeout=aiohttp.ClientTimeout(total=CALL_S)
+                self._url, timeout=aiohttp.ClientTimeout(total=FETCH_TIMEOUT_S)
             ) as response:
                 if response.status != 200:
                     return None
--- a/packages/chalkyoke/src/chalkyoke/node/probes.py
+++ b/packages/chalkyoke/src/chalkyoke/node/probes.py
@@ -35,7 +35,7 @@
     address: str,
     now: float,
 ) -> None:
-    answered = await client.load(upstream, address)
+    answered = await client.fetch_load(upstream, address)
     scheduler = schedulers.pools.get(pool)
     if answered is None or scheduler is None:
         metrics.count("probe_failures")
--- a/packages/chalkyoke/src/chalkyoke/upstreams/client.py
+++ b/packages/chalkyoke/src/chalkyoke/upstreams/client.py
@@ -25,11 +25,11 @@
 )
 
 # How long opening a connection may take, in seconds.
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # How long a load report or a cancellation may take, in seconds.
-PROBE_S = 1.0
+SHORT_CALL_TIMEOUT_S = 1.0
 # How long an unused connection is kept, in seconds.
-KEEP_ALIVE_S = 10.0
+IDLE_CONNECTION_S = 10.0
 # What is read of the text of an upstream's refusal, in bytes; it goes into one line of the log.
 MAX_DECLINE_BYTES = 2_000
 REQUEST_ID = "X-Request-Id"
@@ -37,16 +37,16 @@
 Gate = Callable[[], bool]
 
 
-class _GateShut(ChalkyokeError):
+class _DispatchRefused(ChalkyokeError):
     """The gate refused the dispatch on a connection that was ready."""
 
 
-async def _take_permission(
+async def _check_gate(
     _session: aiohttp.ClientSession, context: SimpleNamespace, _params: object
 ) -> None:
     gate: Gate | None = context.trace_request_ctx
     if gate is not None and not gate():
-        raise _GateShut
+        raise _DispatchRefused
 
 
 def dispatch_trace() -> aiohttp.TraceConfig:
@@ -55,8 +55,8 @@
     :rtype: aiohttp.TraceConfig
     """
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(_take_permission)
-    trace.on_connection_reuseconn.append(_take_permission)
+    trace.on_connection_create_end.append(_check_gate)
+    trace.on_connection_reuseconn.append(_check_gate)
     return trace
 
 
@@ -66,12 +66,12 @@
     :rtype: aiohttp.ClientSession
     """
     connector = aiohttp.TCPConnector(
-        limit=0, keepalive_timeout=KEEP_ALIVE_S, use_dns_cache=False, family=socket.AF_INET
+        limit=0, keepalive_timeout=IDLE_CONNECTION_S, use_dns_cache=False, family=socket.AF_INET
     )
     return aiohttp.ClientSession(
         connector=connector,
         trace_configs=[dispatch_trace()],
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         auto_decompress=False,
     )
 
@@ -116,11 +116,13 @@
                 trace_request_ctx=ask,
                 allow_redirects=False,
             )
-        except _GateShut:
+        except _DispatchRefused:
             return NotPermitted()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return NoAnswer(_word(error)) if asked else NotConnected(_word(error))
-        return await self._sort(response)
+            return (
+                NoAnswer(_describe_error(error)) if asked else NotConnected(_describe_error(error))
+            )
+        return await self._classify_response(response)
 
     async def resume(self, address: str, path: str, request: str, offset: int) -> CallOutcome:
         """Go on reading a stream whose connection broke; never a dispatch.
@@ -133,28 +135,28 @@
                 f"http://{address}{path}/{request}/events", params={"offset": str(offset)}
             )
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return NotConnected(_word(error))
-        return await self._sort(response)
+            return NotConnected(_describe_error(error))
+        return await self._classify_response(response)
 
     async def cancel(self, address: str, path: str, request: str) -> None:
         """Tell an engine that nobody waits for a request any more."""
         try:
             async with self._session.delete(
                 f"http://{address}{path}/{request}",
-                timeout=aiohttp.ClientTimeout(total=PROBE_S),
+                timeout=aiohttp.ClientTimeout(total=SHORT_CALL_TIMEOUT_S),
             ):
                 pass
         except (aiohttp.ClientError, TimeoutError, OSError):
             return
 
-    async def load(self, upstream: str, address: str) -> tuple[LoadReport, CacheEvent] | None:
+    async def fetch_load(self, upstream: str, address: str) -> tuple[LoadReport, CacheEvent] | None:
         """Ask an upstream for its load report and cache events.
 
         :return: both, or nothing where it did not answer.
         """
         try:
             async with self._session.get(
-                f"http://{address}/load", timeout=aiohttp.ClientTimeout(total=PROBE_S)
+                f"http://{address}/load", timeout=aiohttp.ClientTimeout(total=SHORT_CALL_TIMEOUT_S)
             ) as response:
                 if response.status != 200:
                     return None
@@ -164,7 +166,7 @@
         report = LoadReport(upstream, body.running, body.waiting, body.age_s, body.draining)
         return report, CacheEvent(upstream, tuple(body.cache_dropped))
 
-    async def _sort(self, response: aiohttp.ClientResponse) -> CallOutcome:
+    async def _classify_response(self, response: aiohttp.ClientResponse) -> CallOutcome:
         if response.status < 500 and response.status not in (408, 429):
             return Opened(response)
         try:
@@ -177,5 +179,5 @@
         )
 
 
-def _word(error: BaseException) -> str:
+def _describe_error(error: BaseException) -> str:
     return f"{type(error).__name__}: {error}"[:200]
--- a/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
@@ -11,7 +11,7 @@
 from chalkyoke.rests import bounded
 
 # Service unavailable (RFC 9110): with a time, the upstream wants nothing of its caller for so long.
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     @property
     def rest_s(self) -> float:
         """For how long the upstream wants nothing of this process, in seconds."""
-        return bounded(self.retry_after_s) if self.status == UNAVAILABLE else 0.0
+        return bounded(self.retry_after_s) if self.status == SERVICE_UNAVAILABLE else 0.0
 
 
 CallOutcome = Opened | NotConnected | NotPermitted | NoAnswer | Declined
