--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -49,18 +49,18 @@
         self._send = send
         self._changed = changed
         self._now = now
-        self._first_here: set[str] = set()
+        self._first_announced_here: set[str] = set()
 
     def note_answer(self, replica: Replica, statement: Statement) -> None:
         """Take what an answer says of its replica."""
         if statement.leaving:
-            self._leaves(replica)
+            self._apply_leaving(replica)
         if statement.rest_s > 0:
-            self._rests(replica, statement.rest_s)
+            self._apply_rest(replica, statement.rest_s)
         if statement.tells_limit:
             self._limits.note_answer(replica.id, statement.limit_per_s)
 
-    def _leaves(self, replica: Replica) -> None:
+    def _apply_leaving(self, replica: Replica) -> None:
         """Note that a replica says that it leaves, and tell all nodes unless its record did.
 
         Its answers tell it some milliseconds before its record does, and alone while the store is
@@ -68,13 +68,13 @@
         """
         if not self._state.note_leaving(replica.id, self._now()):
             return
-        self._first_here = {*self._still_leaving(), replica.id}
+        self._first_announced_here = {*self._announced_leaving(), replica.id}
         self._changed()
         told_to = tell_all(self._view, self._send, ReplicasLeave((replica.id,)))
         log.info("replica_leaves", replica=replica.id, source="answer", told_to=told_to)
         self._metrics.count("replica_leaves", source="answer")
 
-    def _rests(self, replica: Replica, seconds: float) -> None:
+    def _apply_rest(self, replica: Replica, seconds: float) -> None:
         """Note that a replica wants nothing of this node for some time."""
         is_new, for_s = self._balancer.note_rest(replica.id, seconds, self._now())
         if is_new:
@@ -95,16 +95,16 @@
             self._metrics.count("replica_leaves", source="peer")
         relay_on(self._view, self._send, message)
 
-    def joined(self, member: MemberRecord) -> None:
+    def member_joined(self, member: MemberRecord) -> None:
         """Tell a node that has started or was cut off who leaves, where the store may not do so.
 
         That is what was first heard here, and what a restored store has lost. A node that misses
         this learns it by the first answer of the replica itself.
         """
-        leaving = self._still_leaving() | self._state.leaving_despite_restore()
+        leaving = self._announced_leaving() | self._state.leaving_despite_restore()
         if leaving:
             self._send(member.address, ReplicasLeave(tuple(sorted(leaving))))
 
-    def _still_leaving(self) -> set[str]:
+    def _announced_leaving(self) -> set[str]:
         """Give what was first heard here and is still remembered, which bounds it."""
-        return {each for each in self._first_here if self._state.leaves(each)}
+        return {each for each in self._first_announced_here if self._state.leaves(each)}
--- a/packages/chalkyoke/src/chalkyoke/node/api.py
+++ b/packages/chalkyoke/src/chalkyoke/node/api.py
@@ -82,7 +82,7 @@
         problems.stop_on_broken_invariants(app)
         return app
 
-    def allow(self, req: falcon.asgi.Request, role: str) -> str:
+    def check_role(self, req: falcon.asgi.Request, role: str) -> str:
         """Check the caller's role.
 
         :param role: ``view`` or ``operate``; who may operate may view.
@@ -164,7 +164,7 @@
         name: str = "",
     ) -> None:
         """Read the resources of the revision in force."""
-        self._api.allow(req, VIEW)
+        self._api.check_role(req, VIEW)
         if kind and kind not in KINDS:
             raise falcon.HTTPNotFound(description=f"kinds are {', '.join(KINDS)}")
         state = self._node.configuration.state
@@ -177,7 +177,7 @@
         resp.media = {"revision": state.revision, "resources": chosen}
 
 
-def _shown(before: FleetView, specs: Specs) -> dict[str, Any]:
+def _plan_warnings(before: FleetView, specs: Specs) -> dict[str, Any]:
     """Work out what a configuration would leave without an upstream or unused."""
     built = build(specs)
     if isinstance(built, Err):
@@ -192,32 +192,34 @@
 class _Plan(_Page):
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Show what a change would do; nothing is written."""
-        author = self._api.allow(req, VIEW)
+        author = self._api.check_role(req, VIEW)
         change = await self._api.read_change(req, author)
         if isinstance(change, Err):
-            _invalid(resp, tuple(change.err_value))
+            _respond_invalid(resp, tuple(change.err_value))
             return
         keeper = self._node.configuration
         planned = plan(keeper.state.root, keeper.state.specs, change.ok_value, 0)
         if isinstance(planned, Planned):
-            shown = _shown(keeper.fleet, planned.specs)
+            shown = _plan_warnings(keeper.fleet, planned.specs)
             resp.media = {"revision": keeper.state.revision, "paths": planned.paths, **shown}
         elif isinstance(planned, Conflict):
-            _conflict(resp, planned)
+            _respond_conflict(resp, planned)
         else:
-            _invalid(resp, planned.problems)
+            _respond_invalid(resp, planned.problems)
 
 
 class _Apply(_Page):
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Apply a change: accepted only when it is known to have taken effect."""
-        author = self._api.allow(req, OPERATE)
+        author = self._api.check_role(req, OPERATE)
         change = await self._api.read_change(req, author)
         if isinstance(change, Err):
-            _invalid(resp, tuple(change.err_value))
+            _respond_invalid(resp, tuple(change.err_value))
             return
         if not change.ok_value.change_id:
-            _invalid(resp, (Problem(path="change_id", message="is needed: a new one per change"),))
+            _respond_invalid(
+                resp, (Problem(path="change_id", message="is needed: a new one per change"),)
+            )
             return
         node = self._node
         wall_ms = node.events.stamp().wall_ms
@@ -234,21 +236,21 @@
                 "change_id": change.ok_value.change_id,
             }
         elif isinstance(outcome, Conflict):
-            _conflict(resp, outcome)
+            _respond_conflict(resp, outcome)
         elif isinstance(outcome, Invalid):
-            _invalid(resp, outcome.problems)
+            _respond_invalid(resp, outcome.problems)
         elif isinstance(outcome, NotReached):
             text = "the platform's key-value service is away; nothing was changed"
-            _answer(resp, 503, "store_away", text, retry_after_s=STORE_RETRY_S)
+            _respond_problem(resp, 503, "store_away", text, retry_after_s=STORE_RETRY_S)
         else:
             text = "it can't be told yet whether the change took effect; send it again as it is"
-            _answer(resp, 504, "unsettled", text, retry_after_s=STORE_RETRY_S)
+            _respond_problem(resp, 504, "unsettled", text, retry_after_s=STORE_RETRY_S)
 
 
 class _History(_Page):
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """List the latest changes, oldest first."""
-        self._api.allow(req, VIEW)
+        self._api.check_role(req, VIEW)
         root = self._node.configuration.state.root
         resp.media = {
             "revision": root.revision,
@@ -268,7 +270,7 @@
 class _Status(_Page):
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Show nodes, pools and upstreams as this node sees them."""
-        self._api.allow(req, VIEW)
+        self._api.check_role(req, VIEW)
         node = self._node
         now = node.now()
         resp.media = {
@@ -305,7 +307,7 @@
 class _Events(_Page):
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """List this node's events, oldest first."""
-        self._api.allow(req, VIEW)
+        self._api.check_role(req, VIEW)
         request = req.get_param("request") or ""
         since = req.get_param_as_int("since_ms") or 0
         limit = req.get_param_as_int("limit", min_value=1) or 1000
@@ -317,37 +319,37 @@
 class _Drain(_Page):
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Begin a planned stop of this node."""
-        self._api.allow(req, OPERATE)
+        self._api.check_role(req, OPERATE)
         resp.status = 202
         resp.media = {"stopping": True, "in_progress": len(self._node.entry.in_progress())}
         self._node.stop()
 
 
-def _answer(
+def _respond_problem(
     resp: falcon.asgi.Response, status: int, kind: str, detail: str, **members: object
 ) -> None:
     problems.respond(resp, problems.document(status, kind, detail, **members))
 
 
-def _invalid(resp: falcon.asgi.Response, found: tuple[Problem, ...]) -> None:
+def _respond_invalid(resp: falcon.asgi.Response, found: tuple[Problem, ...]) -> None:
     listed = [each.model_dump() for each in found]
     text = "; ".join(f"{each.path}: {each.message}" for each in found[:3])
-    _answer(resp, 422, "invalid", text, problems=listed)
+    _respond_problem(resp, 422, "invalid", text, problems=listed)
 
 
-def _conflict(resp: falcon.asgi.Response, conflict: Conflict) -> None:
+def _respond_conflict(resp: falcon.asgi.Response, conflict: Conflict) -> None:
     other = conflict.other
     if other is None:
         text = "the revision that the change builds on is too old to compare with"
-        _answer(resp, 409, "conflict", text, fields=conflict.paths)
+        _respond_problem(resp, 409, "conflict", text, fields=conflict.paths)
         return
     text = f"change {other.change_id} (revision {other.number}) touched the same fields first"
     members = {"revision": other.number, "change_id": other.change_id, "author": other.author}
-    _answer(resp, 409, "conflict", text, fields=conflict.paths, other=members)
+    _respond_problem(resp, 409, "conflict", text, fields=conflict.paths, other=members)
 
 
 def _serialize_error(
     _: falcon.asgi.Request, resp: falcon.asgi.Response, error: falcon.HTTPError
 ) -> None:
     detail = error.description or error.title or ""
-    _answer(resp, error.status_code, "bad_request", detail)
+    _respond_problem(resp, error.status_code, "bad_request", detail)
--- a/packages/chalkyoke/src/chalkyoke/node/configuration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/configuration.py
@@ -32,8 +32,8 @@
 from chalkyoke.storage.keyvalue import StoreClient
 
 WATCH_DUTY = "watch"
-ASK_AGAIN_S = 0.3
-IDLE_S = 0.25
+REQUEST_INTERVAL_S = 0.3
+RETRY_DELAY_S = 0.25
 
 log = logger("configuration")
 
@@ -69,7 +69,7 @@
         self._changed = changed
         self._now = now
         self._root_version = 0
-        self._asked: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
     # Starting.
 
@@ -83,14 +83,14 @@
         """Wait on the root while this process is its failure domain's watcher."""
         while True:
             if not self._view.holds_duty(WATCH_DUTY):
-                await asyncio.sleep(IDLE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             wait = self._timing.watch_wait_s
             found = await self._store.watch(ROOT_KEY, self._root_version, wait)
             if isinstance(found, Found):
-                await self._take_root(found)
+                await self._apply_root(found)
             else:
-                await asyncio.sleep(IDLE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def watch_hosts(self) -> None:
         """Poll the host list while this process is its failure domain's watcher."""
@@ -101,15 +101,15 @@
 
     # Peers.
 
-    def heard(self, address: str, record: MemberRecord) -> None:
+    def receive_heartbeat(self, address: str, record: MemberRecord) -> None:
         """Ask a peer for what it has and this node lacks.
 
         :param address: link address of the peer.
         """
-        if record.revision > self.state.revision and self._may_ask("revision"):
+        if record.revision > self.state.revision and self._may_request("revision"):
             held = tuple(self.state.chunks)
             self._links.send(address, RevisionRequest(self.state.revision, held))
-        if record.hosts_version > self.hosts_version and self._may_ask("hosts"):
+        if record.hosts_version > self.hosts_version and self._may_request("hosts"):
             self._links.send(address, HostsRequest(self.hosts_version))
 
     def receive(
@@ -150,20 +150,20 @@
     async def _read_root(self) -> None:
         found = await self._store.get(ROOT_KEY)
         if isinstance(found, Found):
-            await self._take_root(found)
+            await self._apply_root(found)
 
-    async def _take_root(self, found: Found) -> None:
+    async def _apply_root(self, found: Found) -> None:
         try:
             root = decode_root(found.value)
         except ValueError as error:
             self._metrics.count("revision_unreadable")
             log.error("the root in the store is not readable: {}", error)
-            await asyncio.sleep(IDLE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             return
         if root.revision > self.state.revision:
             chunks = await self._fetch_chunks(root)
             if chunks is None:
-                await asyncio.sleep(IDLE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 return
             self.adopt(root, chunks, "the store")
         self._root_version = max(self._root_version, found.version)
@@ -198,9 +198,9 @@
         )
         self._changed()
 
-    def _may_ask(self, what: str) -> bool:
+    def _may_request(self, what: str) -> bool:
         now = self._now()
-        if now - self._asked.get(what, -ASK_AGAIN_S) < ASK_AGAIN_S:
+        if now - self._requested_at.get(what, -REQUEST_INTERVAL_S) < REQUEST_INTERVAL_S:
             return False
-        self._asked[what] = now
+        self._requested_at[what] = now
         return True
--- a/packages/chalkyoke/src/chalkyoke/node/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleet.py
@@ -33,7 +33,7 @@
     return service.name if service.shards == 1 else f"{service.name}.{shard}"
 
 
-def _class_of(host: ListedHost, classes: Iterable[UpstreamClass]) -> UpstreamClass | None:
+def _match_class(host: ListedHost, classes: Iterable[UpstreamClass]) -> UpstreamClass | None:
     """Find the class of an upstream: the matching one with the most conditions."""
     found = [each for each in classes if matches(each.selector, host.labels)]
     return max(found, key=lambda each: (len(each.selector), each.name), default=None)
@@ -144,7 +144,7 @@
         for host in self.hosts:
             if host.labels.get(KIND_LABEL) == ENTRY_KIND:
                 continue
-            found = _class_of(host, classes)
+            found = _match_class(host, classes)
             if found is None:
                 continue
             self._upstreams[host.id] = UpstreamSpec(
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -55,13 +55,13 @@
 from chalkyoke.node.parts import PlatformParts
 from chalkyoke.node.peers import PeerKeepers, PeerQuotas, PeerSchedulers
 from chalkyoke.node.pools import DeclaredPools, DeclaredReplicas
-from chalkyoke.node.registration import Listed, Registration, read_candidates
+from chalkyoke.node.registration import NodeEntry, Registration, read_candidates
 from chalkyoke.node.requestlog import RequestLog
 from chalkyoke.node.rollouts import TICK_S as ROLLOUTS_TICK_S
 from chalkyoke.node.rollouts import Rollouts
 from chalkyoke.node.routing import (
-    KINDS_OF_OLD_NODES,
-    KINDS_WITH_QUARANTINE,
+    LEGACY_KINDS,
+    LEGACY_QUARANTINE_KINDS,
     LINK_MESSAGES,
     MessageRouter,
     RoutedParts,
@@ -85,13 +85,13 @@
 # Bits of the random number that tells two starts of a process apart: it stays positive in 64.
 INCARNATION_BITS = 62
 # New connections that may wait to be taken, in number: a burst while the loop is busy.
-BACKLOG = 1024
+BACKLOG_CONNECTIONS = 1024
 # How long a node that stops still takes callers, in seconds: the balancer asks each second and goes
 # by two misses.
-LEAVE_S = 2.5
+LEAVE_DELAY_S = 2.5
 # When a node that finds no other takes duties for the fleet, in seconds since its start: four
 # heartbeats.
-NEW_MEMBER_S = 1.0
+READY_ALONE_AFTER_S = 1.0
 # How much sooner than it may be killed a node that stops ends, in seconds: for its last answers and
 # for taking itself off the list.
 GRACE_MARGIN_S = 0.6
@@ -128,12 +128,12 @@
         )
         self.events = EventRing(settings.node.host, HybridClock(), _wall_ms)
         self.view = MembershipView(self.record, settings.scheduling.heartbeat_interval_s)
-        self.size = FleetSize()
-        self.requests = RequestLog(self.metrics, self.now)
+        self.fleet_size = FleetSize()
+        self.request_log = RequestLog(self.metrics, self.now)
         self._connections: set[ServerConnection] = set()
         self._supervisor = Supervisor(self.metrics)
         self._stopping = asyncio.Event()
-        self._seen_generation = -1
+        self._handled_generation = -1
         self._is_monitor = False
         self._store_epoch = 0
         self._make_links()
@@ -146,7 +146,7 @@
                 self.links,
                 self.catalog,
                 self.grants,
-                self.hosted,
+                self.scheduler_host,
                 self.quotas,
                 self.suspicions,
                 self.rollouts,
@@ -155,7 +155,7 @@
                 self.limits,
                 self.permits,
             ),
-            self._apply,
+            self._apply_member_changes,
             self.now,
         )
         self._pages = PageServer(self.is_ready, self.metrics)
@@ -177,7 +177,7 @@
             self.events,
             self._receive,
             listen,
-            PeerKinds(KINDS_OF_OLD_NODES, KINDS_WITH_QUARANTINE),
+            PeerKinds(LEGACY_KINDS, LEGACY_QUARANTINE_KINDS),
         )
         add_link_gauges(self.metrics, self.links)
 
@@ -221,7 +221,7 @@
         self.replicas = DeclaredReplicas(state, self.now, self.rollouts)
         self.pools = DeclaredPools(settings.scheduling, self.rollouts)
         node = settings.node
-        listed = Listed(settings.listen.links_reached_at, node.failure_domain, node.capacity)
+        listed = NodeEntry(settings.listen.links_reached_at, node.failure_domain, node.capacity)
         key = platform.keys.nodes + settings.node.host
         self.held_records = HeldRecords(self.store, platform.keys.held, self.now)
         self._registration = Registration(
@@ -237,9 +237,9 @@
         known = KnownLimits()
         self.keeper = LimitKeeper(
             known,
-            lambda service: self.hosted.owner(service) == self.record.process,
+            lambda service: self.scheduler_host.owner(service) == self.record.process,
             lambda: self.presence().share,
-            self._limit_kept,
+            self._log_kept_limit,
         )
         self.limits = LimitAnnouncements(
             known,
@@ -250,7 +250,7 @@
             self._limits_changed,
             self.now,
         )
-        self.hosted = SchedulerHost(
+        self.scheduler_host = SchedulerHost(
             self.record.process,
             self.view,
             lambda: self.pools,
@@ -262,11 +262,13 @@
             keeper=self.keeper,
             acknowledge=True,
         )
-        schedulers = PeerSchedulers(self.hosted, self.view)
+        schedulers = PeerSchedulers(self.scheduler_host, self.view)
         self.permits = PermitClient(
             known,
             self.keeper,
-            PeerKeepers(schedulers, self.hosted, self.view, self.links.send, self.nodes),
+            PeerKeepers(
+                schedulers, self.scheduler_host, self.view, self.links.send, self.count_nodes
+            ),
             self.limits.take,
             random.random,
             self.now,
@@ -281,14 +283,14 @@
             self.now,
             pooled=self.settings.scheduling.pooled,
         )
-        self.hosted.deliver = self.grants.receive
-        self.hosted.tell_running = self.grants.tell_running
+        self.scheduler_host.deliver = self.grants.receive
+        self.scheduler_host.report_running = self.grants.tell_running
 
     def _make_gateway(self) -> None:
         limits = self.settings.limits
         quota = QuotaLimits(limits.quota_window_s, limits.quota_over, limits.quota_slack)
         self.quotas = QuotaClient(
-            HeldLeases(quota, self.nodes),
+            HeldLeases(quota, self.count_nodes),
             QuotaOwner(
                 quota,
                 first_start=self.settings.node.first_start,
@@ -338,10 +340,10 @@
                 quotas=self.quotas,
                 budget=RetryBudget(budget),
                 connections=self.connections,
-                nodes=self.nodes,
+                nodes=self.count_nodes,
                 now=self.now,
-                record=self.requests.record,
-                reject=self.requests.reject,
+                record=self.request_log.log_decision,
+                reject=self.request_log.log_rejection,
                 plain_ended=lambda admission, replica, failed: self.suspicions.note_end(
                     replica.service, replica.id, admission.route.name, failed=failed
                 ),
@@ -352,10 +354,10 @@
         )
 
     def _limits_changed(self) -> None:
-        self.hosted.limits_changed()
+        self.scheduler_host.limits_changed()
         self.balancer.limits_changed()
 
-    def _limit_kept(self, kept: KeptLimit) -> None:
+    def _log_kept_limit(self, kept: KeptLimit) -> None:
         log.info(
             "limit_kept",
             service=kept.service,
@@ -366,19 +368,19 @@
 
     # What the parts ask of the node.
 
-    def nodes(self) -> int:
+    def count_nodes(self) -> int:
         """Count the nodes that there may be in the fleet.
 
         :rtype: int
         """
-        return self.size.known()
+        return self.fleet_size.count()
 
     def presence(self) -> Presence:
         """Tell how much of the fleet this node sees.
 
         :rtype: Presence
         """
-        return Presence(len(self.view.live()), self.nodes(), self.view.foreign_patience_s)
+        return Presence(len(self.view.live()), self.count_nodes(), self.view.foreign_patience_s)
 
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here.
@@ -414,7 +416,7 @@
             pages.append(await self._listen(self.settings.listen.metrics, self._pages.start))
         self._start_loops()
         log.notice("started", process=self.record.process, pid=os.getpid(), version=__version__)
-        self._supervisor.start(self._stop_on_plan(server))
+        self._supervisor.start(self._run_planned_stop(server))
         await self._supervisor.ended.wait()
         await self._close([server, *pages])
         if self._supervisor.failure is not None:
@@ -423,7 +425,7 @@
     async def _listen(self, address: str, start: Start) -> asyncio.Server:
         ip, port = address.rsplit(":", 1)
         own = self._connections if start == self.gateway.start else set()
-        most = most_callers(self.settings.limits.descriptors or _descriptors())
+        most = most_callers(self.settings.limits.descriptors or _descriptor_limit())
 
         def opened() -> None:
             if closed := make_room(own, most):
@@ -433,19 +435,19 @@
             lambda: ServerConnection(start, self._limits, own, opened),
             ip,
             int(port),
-            backlog=BACKLOG,
+            backlog=BACKLOG_CONNECTIONS,
             reuse_address=True,
         )
 
-    async def _stop_on_plan(self, server: asyncio.Server) -> None:
+    async def _run_planned_stop(self, server: asyncio.Server) -> None:
         """Call for no new callers, finish what is in progress, then end."""
         await self._stopping.wait()
         began = self.now()
         log.notice("stopping", in_progress=self.gateway.in_progress)
         self.view.update_self(leaving=True, ready=False)
-        self._beat()
+        self._send_heartbeats()
         # Callers still come until the balancer has noticed.
-        await asyncio.sleep(LEAVE_S)
+        await asyncio.sleep(LEAVE_DELAY_S)
         server.close()
         for connection in list(self._connections):
             connection.stop()
@@ -457,7 +459,7 @@
         log.notice("stopped", in_progress=self.gateway.in_progress, took_s=self.now() - began)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.3):
-                await self._registration.end()
+                await self._registration.deregister()
         self._supervisor.ended.set()
 
     async def _close(self, servers: list[asyncio.Server]) -> None:
@@ -483,11 +485,11 @@
 
     def _start_loops(self) -> None:
         loops = self._supervisor
-        loops.repeat(self.view.interval_s, self._beat)
+        loops.repeat(self.view.interval_s, self._send_heartbeats)
         loops.repeat(self.view.interval_s, self._check_members)
         loops.repeat(KEEP_S, self._keep_links)
         loops.repeat(self.view.interval_s, self.catalog.settle)
-        loops.repeat(HOUSEKEEPING_S, self._keep_house)
+        loops.repeat(HOUSEKEEPING_S, self._run_housekeeping)
         loops.repeat(TELL_S, self.quotas.tell_successors)
         loops.repeat(ROLLOUTS_TICK_S, self.rollouts.tick)
         loops.start(self._tick_pools())
@@ -495,7 +497,7 @@
         loops.start(self._registration.run())
         loops.start(self.held_records.run())
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for send in self.view.beat(self.now()):
             self.links.send(send.address, send.message)
         known = {each.address for each in self.view.live()}
@@ -503,36 +505,36 @@
             if seed not in known:
                 self.links.send(seed, self.view.introduction())
 
-    def _note_fitness(self) -> None:
+    def _declare_ready(self) -> None:
         """Take duties for the fleet once this node knows the others, or finds none that does."""
         if self.view.record.ready or self._stopping.is_set() or not self.catalog.state.complete:
             return
         others = any(each.ready for each in self.view.live())
-        if not others or self.now() >= NEW_MEMBER_S:
+        if not others or self.now() >= READY_ALONE_AFTER_S:
             self.view.update_self(ready=True)
 
     def _keep_links(self) -> None:
         self.links.keep_alive(confirm_every_s(self.view.spacing_s))
 
     def _check_members(self) -> None:
-        self._apply(self.view.tick(self.now()))
-        self._note_fitness()
+        self._apply_member_changes(self.view.tick(self.now()))
+        self._declare_ready()
         if self._is_monitor != self.view.is_monitor:
             self._is_monitor = self.view.is_monitor
             log.info("monitoring", begun=self._is_monitor, live=len(self.view.live()))
-        if self._seen_generation != self.view.generation:
-            self._seen_generation = self.view.generation
+        if self._handled_generation != self.view.generation:
+            self._handled_generation = self.view.generation
             self.quotas.keep_house()
 
     async def _tick_pools(self) -> None:
         """Let the pools that are scheduled here go on; most nodes schedule none."""
         while True:
-            await self.hosted.holds_pools.wait()
-            self.hosted.tick()
+            await self.scheduler_host.has_pools.wait()
+            self.scheduler_host.tick()
             await asyncio.sleep(TICK_S)
 
-    def _keep_house(self) -> None:
-        self.size.note(self.view.live(), self.now())
+    def _run_housekeeping(self) -> None:
+        self.fleet_size.record_live(self.view.live(), self.now())
         self.grants.check_owners(self.pools.pools)
         self.grants.send_progress()
         self.connections.expire()
@@ -554,19 +556,19 @@
 
     # Changes.
 
-    def _apply(self, changes: list[Change]) -> None:
+    def _apply_member_changes(self, changes: list[Change]) -> None:
         for change in changes:
             record = change.record
             joined = isinstance(change, Joined)
             event = "member_joined" if joined else "member_left"
             log.info(event, member=record.process, failure_domain=record.failure_domain)
             if joined:
-                self.announcements.joined(record)
+                self.announcements.member_joined(record)
                 self.limits.joined(record)
             else:
-                self.hosted.member_left(record.process)
+                self.scheduler_host.member_left(record.process)
         if changes:
-            self.size.note(self.view.live(), self.now())
+            self.fleet_size.record_live(self.view.live(), self.now())
             self.grants.check_owners(self.pools.pools)
             self.keeper.refresh(self.now())
 
@@ -581,7 +583,7 @@
         self.rollouts.rebuild()
         self.replicas.rebuild()
         self.pools.rebuild(state.catalog, state.replicas)
-        self.hosted.reconfigure()
+        self.scheduler_host.reconfigure()
         self.grants.check_owners(self.pools.pools)
         self.quarantine.replicas_changed(state.replicas)
         self.quarantine.stored(state.held, state.released)
@@ -599,10 +601,10 @@
     def _nodes_registered(self, registered: dict[str, bytes]) -> None:
         candidates = read_candidates(registered, self._platform.keys.nodes)
         self.view.set_candidates(candidates)
-        self.size.note_listed((each.host for each in candidates), self.now())
+        self.fleet_size.record_registered((each.host for each in candidates), self.now())
 
 
-def _descriptors() -> int:
+def _descriptor_limit() -> int:
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
--- a/packages/chalkyoke/src/chalkyoke/node/pages.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pages.py
@@ -15,7 +15,7 @@
 METRICS_PATH = b"/metrics"
 
 
-class _Done:
+class _FinishedPage:
     """A page is answered at once: there is nothing to stop or to hold back."""
 
     def caller_left(self) -> None:
@@ -35,19 +35,19 @@
         self._is_ready = is_ready
         self._metrics = metrics
 
-    def start(self, request: Request, answering: Answering) -> _Done:
+    def start(self, request: Request, answering: Answering) -> _FinishedPage:
         """Answer one request."""
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
             status = 200 if self._is_ready() else 503
-            self._answer(answering, status, b"ready" if status == 200 else b"not ready")
+            self._respond(answering, status, b"ready" if status == 200 else b"not ready")
         elif path == METRICS_PATH:
-            self._answer(answering, 200, metrics_page(self._metrics))
+            self._respond(answering, 200, metrics_page(self._metrics))
         else:
-            self._answer(answering, 404, b"no such page")
-        return _Done()
+            self._respond(answering, 404, b"no such page")
+        return _FinishedPage()
 
-    def _answer(self, answering: Answering, status: int, body: bytes) -> None:
+    def _respond(self, answering: Answering, status: int, body: bytes) -> None:
         headers: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
         answering.begin(AnswerHead(status, reason_of(status), headers, len(body)), body)
         answering.end()
--- a/packages/chalkyoke/src/chalkyoke/node/peers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/peers.py
@@ -16,21 +16,21 @@
 
 # A node that sees this share of the fleet takes its owners for those that others see. With less,
 # after the loss of all nodes, several nodes would lease at once, each as the owner of a small side.
-KNOWN_SHARE = 0.95
+MIN_VISIBLE_FLEET_SHARE = 0.95
 
 
 class PeerSchedulers:
     """The pool schedulers, here and in other processes."""
 
     def __init__(self, hosted: SchedulerHost, view: MembershipView) -> None:
-        self._hosted = hosted
+        self._scheduler_host = hosted
         self._view = view
         self._generation = -1
         self._owners: dict[str, list[str]] = {}
 
     def send(self, process: str, message: EntryMessage) -> None:
         """Send a message to the scheduler in a process."""
-        self._hosted.send(process, message)
+        self._scheduler_host.send(process, message)
 
     def owners(self, pool: str) -> list[str]:
         """List the processes that may schedule a pool, the present owner first."""
@@ -60,7 +60,7 @@
         nodes: Callable[[], int],
     ) -> None:
         self._schedulers = schedulers
-        self._hosted = hosted
+        self._scheduler_host = hosted
         self._view = view
         self._send = send
         self._nodes = nodes
@@ -75,7 +75,7 @@
 
     def send(self, process: str, message: PermitMessage) -> None:
         """Send a message to a process; nothing where it is not there any more."""
-        address = self._hosted.address(process)
+        address = self._scheduler_host.address(process)
         if address is not None:
             self._send(address, message)
 
@@ -151,7 +151,7 @@
 
     def knows_owners(self) -> bool:
         """Tell whether this node knows the fleet well enough to find owners."""
-        return self._presence().share >= KNOWN_SHARE
+        return self._presence().share >= MIN_VISIBLE_FLEET_SHARE
 
     def presence(self) -> Presence:
         """Tell how much of the fleet this node sees."""
--- a/packages/chalkyoke/src/chalkyoke/node/pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pools.py
@@ -18,7 +18,7 @@
 CACHE_SHARE = 0.7
 # How long a replica whose record has gone may still be tried where a service has no other, in
 # seconds: less than the 2 s after which operators forbid it.
-LAST_RESORT_S = 1.2
+DEPARTED_FALLBACK_S = 1.2
 
 
 class ReplicaStandings(Protocol):
@@ -27,7 +27,7 @@
     def standing(self, replica: Replica) -> Standing:
         """Tell what a replica takes."""
 
-    def tried(self, service: str, replicas: list[Replica]) -> list[Replica]:
+    def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
         """Choose, of the replicas of a version under trial, those that the trial uses."""
 
 
@@ -38,12 +38,12 @@
         """Tell that a replica takes whatever there is."""
         return Standing.USUAL
 
-    def tried(self, service: str, replicas: list[Replica]) -> list[Replica]:  # noqa: ARG002
+    def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:  # noqa: ARG002
         """Choose all."""
         return replicas
 
 
-class _CatalogParts:
+class _CatalogSpecs:
     """What pools need of a catalog, whatever its replicas are.
 
     Replicas change far more often than the catalog, whose routes and teams may be many.
@@ -71,17 +71,17 @@
     """
 
     def __init__(self, guess: SchedulingSection, standings: ReplicaStandings | None = None) -> None:
-        self._guess = guess
+        self._defaults = guess
         self._standings = standings or NoRollouts()
         self._catalog = Catalog()
-        self._parts = _CatalogParts(self._catalog)
+        self._parts = _CatalogSpecs(self._catalog)
         self.pools: dict[str, PoolSpec] = {}
 
     def rebuild(self, catalog: Catalog, replicas: dict[str, Replica]) -> None:
         """Take a new catalog or other replicas."""
         if catalog is not self._catalog:
             self._catalog = catalog
-            self._parts = _CatalogParts(catalog)
+            self._parts = _CatalogSpecs(catalog)
         self.pools = {
             service.name: self._pool(service, replicas)
             for service in catalog.services.values()
@@ -90,9 +90,9 @@
 
     def _pool(self, service: Service, replicas: dict[str, Replica]) -> PoolSpec:
         mine = [each for each in replicas.values() if each.service == service.name]
-        usual, trial = _by_standing(mine, self._standings)
+        usual, trial = _split_by_standing(mine, self._standings)
         names = frozenset(each.id for each in usual)
-        tried = frozenset(each.id for each in self._standings.tried(service.name, trial))
+        tried = frozenset(each.id for each in self._standings.trial_replicas(service.name, trial))
         routes: list[RouteSpec] = []
         for each in self._parts.routes.get(service.name, ()):
             routes.append(RouteSpec(each, names))
@@ -104,7 +104,7 @@
         )
 
     def _upstream(self, service: Service, replica: Replica) -> UpstreamSpec:
-        guess = self._guess
+        guess = self._defaults
         return UpstreamSpec(
             id=replica.id,
             address=replica.address,
@@ -145,7 +145,7 @@
         """Take other replicas."""
         self._usual, self._trial = {}, {}
         open_ones = (each for each in self._state.replicas.values() if not each.draining)
-        usual, trial = _by_standing(open_ones, self._standings)
+        usual, trial = _split_by_standing(open_ones, self._standings)
         for replica in usual:
             self._usual.setdefault(replica.service, []).append(replica)
         for replica in trial:
@@ -158,7 +158,7 @@
         """
         found = self._state.replicas.get(replica)
         if found is None:
-            return next((each for each in self._last_resort() if each.id == replica), None)
+            return next((each for each in self._recently_departed() if each.id == replica), None)
         standing = self._standings.standing(found)
         allowed = standing is Standing.USUAL or (for_trial and standing is Standing.TRIAL)
         return found if allowed and not found.draining else None
@@ -176,10 +176,10 @@
         found = self._usual.get(service)
         if found:
             return found
-        return [each for each in self._last_resort() if each.service == service]
+        return [each for each in self._recently_departed() if each.service == service]
 
-    def _last_resort(self) -> list[Replica]:
-        since = self._now() - LAST_RESORT_S
+    def _recently_departed(self) -> list[Replica]:
+        since = self._now() - DEPARTED_FALLBACK_S
         return [
             each.replica
             for each in self._state.departed.values()
@@ -189,7 +189,7 @@
         ]
 
 
-def _by_standing(
+def _split_by_standing(
     replicas: Iterable[Replica], standings: ReplicaStandings
 ) -> tuple[list[Replica], list[Replica]]:
     """Split replicas into those that take whatever there is, and those under trial."""
--- a/packages/chalkyoke/src/chalkyoke/node/process.py
+++ b/packages/chalkyoke/src/chalkyoke/node/process.py
@@ -69,7 +69,7 @@
 TICK_S = 0.05
 HOUSEKEEPING_S = 1.0
 # How long a stop is announced before it begins, in heartbeats.
-LEAVING_INTERVALS = 3
+LEAVE_NOTICE_HEARTBEATS = 3
 # Bits of the random number that tells two starts of a process apart: it stays positive in 64.
 INCARNATION_BITS = 62
 
@@ -197,7 +197,7 @@
             runs, self.acquirer, ends, dispatcher, port, self.events, self.metrics, self.now
         )
         self.schedulers.deliver = self.acquirer.receive
-        self.schedulers.tell_running = self.acquirer.tell_running
+        self.schedulers.report_running = self.acquirer.tell_running
 
     def _make_apis(self) -> None:
         settings, tls = self.settings, self.settings.tls
@@ -254,7 +254,7 @@
         self._start_loops()
         self.events.add(EventKind.STARTED, process=self.process)
         log.info("{} serves callers on {}", self.process, self.settings.listen.callers)
-        stopping = asyncio.create_task(self._stop_on_plan())
+        stopping = asyncio.create_task(self._run_planned_stop())
         await self._supervisor.ended.wait()
         stopping.cancel()
         await self._close()
@@ -263,15 +263,15 @@
             self.events.add(EventKind.STOPPED, fault=repr(failure))
             raise failure
 
-    async def _stop_on_plan(self) -> None:
+    async def _run_planned_stop(self) -> None:
         """Take no new callers, give pools up, finish what is in progress, then end."""
         await self._stopping.wait()
         log.notice("planned stop: {} requests in progress", len(self.entry.in_progress()))
         self.events.add(EventKind.STOPPING, in_progress=len(self.entry.in_progress()))
         self.entry.stopping = True
         self.view.update_self(leaving=True)
-        self._beat()
-        await asyncio.sleep(LEAVING_INTERVALS * self.view.interval_s)
+        self._send_heartbeats()
+        await asyncio.sleep(LEAVE_NOTICE_HEARTBEATS * self.view.interval_s)
         await self.entry.drain()
         while any(pool.waiting or pool.running for pool in self.schedulers.pools.values()):
             if len(self.view.live()) == 1:
@@ -294,10 +294,10 @@
     def _start_loops(self) -> None:
         timing = self.settings.timing
         loops = self._supervisor
-        loops.repeat(self.view.interval_s, self._beat)
+        loops.repeat(self.view.interval_s, self._send_heartbeats)
         loops.repeat(TICK_S, self._tick)
         loops.repeat(KEEP_S, self._keep_links)
-        loops.repeat(HOUSEKEEPING_S, self._keep_house)
+        loops.repeat(HOUSEKEEPING_S, self._run_housekeeping)
         loops.start(self._probe(timing.load_interval_s))
         loops.start(self.configuration.watch_root())
         loops.start(self.configuration.watch_hosts())
@@ -307,7 +307,7 @@
             await probe_once(self.schedulers, self.upstreams, self.metrics, self.now())
             await asyncio.sleep(interval_s)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for send in self.view.beat(self.now()):
             self.links.send(send.address, send.message)
 
@@ -315,10 +315,10 @@
         self.links.keep_alive(confirm_every_s(self.view.spacing_s))
 
     def _tick(self) -> None:
-        self._apply(self.view.tick(self.now()))
+        self._apply_member_changes(self.view.tick(self.now()))
         self.schedulers.tick()
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         self.acquirer.check_owners()
         self.acquirer.send_progress()
         self.entry.runs.expire(self.now())
@@ -341,17 +341,17 @@
             return self._serve_forward(connection, message)
         if isinstance(message, MEMBERSHIP_MESSAGES):
             changes, sends = self.view.receive(connection.peer_address, message, self.now())
-            self._apply(changes)
+            self._apply_member_changes(changes)
             for send in sends:
                 self.links.send(send.address, send.message)
             if isinstance(message, Heartbeat):
-                self.configuration.heard(connection.peer_address, message.record)
+                self.configuration.receive_heartbeat(connection.peer_address, message.record)
         elif isinstance(message, Grant | Queued | Shed):
             self.acquirer.receive(connection.peer, message)
         elif isinstance(message, AdoptRequest):
             self.acquirer.tell_running(message.pool, connection.peer)
         elif isinstance(message, Acquire | Adopt | Progress | Release | Withdraw):
-            self.schedulers.note_address(connection.peer, connection.peer_address)
+            self.schedulers.remember_address(connection.peer, connection.peer_address)
             self.schedulers.receive(connection.peer, connection.peer_domain, message)
         elif isinstance(message, RevisionRequest | RevisionAnswer | HostsRequest | HostsAnswer):
             self.configuration.receive(connection, message)
@@ -364,7 +364,7 @@
 
     # Changes.
 
-    def _apply(self, changes: list[Change]) -> None:
+    def _apply_member_changes(self, changes: list[Change]) -> None:
         for change in changes:
             if isinstance(change, Joined):
                 self.events.add(EventKind.MEMBER_JOINED, process=change.record.process)
--- a/packages/chalkyoke/src/chalkyoke/node/registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/registration.py
@@ -17,10 +17,10 @@
 
 # Pause after a failed call, in seconds: doubled with each, up to the longest. A store that comes
 # back must not meet all nodes at once, and each call is priced.
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 2.0
+FIRST_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 # A lease is renewed so often within its time, so that one lost renewal does not end it.
-RENEWALS = 3
+RENEWALS_PER_LEASE = 3
 # Over how long the nodes spread their calls after the store was restored, in seconds: all learn of
 # it at the same moment.
 RESTORED_SPREAD_S = 2.0
@@ -28,7 +28,7 @@
 log = logger("registration")
 
 
-class Listed(msgspec.Struct, frozen=True, array_like=True):
+class NodeEntry(msgspec.Struct, frozen=True, array_like=True):
     """What is listed of a node.
 
     :param address: ``ip:port`` of its link listener.
@@ -49,7 +49,7 @@
     found: list[Candidate] = []
     for key, value in registered.items():
         try:
-            listed = msgspec.msgpack.decode(value, type=Listed)
+            listed = msgspec.msgpack.decode(value, type=NodeEntry)
         except (msgspec.MsgspecError, ValueError) as error:
             log.info("node_unreadable", key=key, why=str(error))
             continue
@@ -83,7 +83,7 @@
         self._random = random
         self._now = now
         self._lease: LeaseGranted | None = None
-        self._listed_at = 0.0
+        self._registered_at = 0.0
         self._epoch = 0
         self._restored = asyncio.Event()
 
@@ -99,20 +99,20 @@
         """Register, and renew the lease for as long as the process lives."""
         await self._register()
         while True:
-            if await self._was_restored():
+            if await self._wait_for_renewal():
                 await asyncio.sleep(RESTORED_SPREAD_S * self._random())
             if not await self._renew():
                 await self._register()
 
-    async def end(self) -> None:
+    async def deregister(self) -> None:
         """Take this node off the list."""
-        if self._lease is not None and not self._may_be_lost(self._lease, self._epoch):
+        if self._lease is not None and not self._lease_may_be_lost(self._lease, self._epoch):
             await self._store.end_lease(self._lease.lease)
 
-    async def _was_restored(self) -> bool:
+    async def _wait_for_renewal(self) -> bool:
         """Wait until the lease is due, or until the store was restored."""
         try:
-            async with asyncio.timeout(self._lease_s / RENEWALS):
+            async with asyncio.timeout(self._lease_s / RENEWALS_PER_LEASE):
                 await self._restored.wait()
         except TimeoutError:
             return False
@@ -125,27 +125,27 @@
         :return: whether this node is still listed, as far as it knows.
         """
         lease = self._lease
-        if lease is None or self._may_be_lost(lease, self._epoch):
+        if lease is None or self._lease_may_be_lost(lease, self._epoch):
             return False
         renewed = await self._store.renew_lease(lease.lease)
         if isinstance(renewed, Unavailable):
             return True
-        if isinstance(renewed, LeaseGone) or self._may_be_lost(lease, renewed.epoch):
+        if isinstance(renewed, LeaseGone) or self._lease_may_be_lost(lease, renewed.epoch):
             return False
         self._lease = renewed
         return True
 
-    def _may_be_lost(self, lease: LeaseGranted, epoch: int) -> bool:
+    def _lease_may_be_lost(self, lease: LeaseGranted, epoch: int) -> bool:
         """Tell whether a restored store may have lost a lease, or given it to another writer."""
-        return epoch > lease.epoch and self._now() - self._listed_at < MOST_COPY_AGE_S
+        return epoch > lease.epoch and self._now() - self._registered_at < MOST_COPY_AGE_S
 
     async def _register(self) -> None:
         for failures in itertools.count():
-            if await self._write():
+            if await self._write_entry():
                 return
-            await asyncio.sleep(min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(failures, 6)))
+            await asyncio.sleep(min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(failures, 6)))
 
-    async def _write(self) -> bool:
+    async def _write_entry(self) -> bool:
         granted = await self._store.grant_lease(self._lease_s)
         if isinstance(granted, Unavailable):
             return False
@@ -153,6 +153,6 @@
         if not isinstance(written, Written) or written.epoch != granted.epoch:
             log.info("not_registered", outcome=type(written).__name__, epoch=granted.epoch)
             return False
-        self._lease, self._listed_at = granted, self._now()
+        self._lease, self._registered_at = granted, self._now()
         log.info("registered", lease=granted.lease, epoch=granted.epoch)
         return True
--- a/packages/chalkyoke/src/chalkyoke/node/requestlog.py
+++ b/packages/chalkyoke/src/chalkyoke/node/requestlog.py
@@ -15,9 +15,9 @@
 from chalkyoke.logs import logger
 
 # Of a request's target, so many characters are logged.
-MOST_TARGET = 200
-REFUSALS = frozenset(("refused", "given_up", "over_quota"))
-FAILURES = frozenset(("held_back", "refused", "given_up", "expired", "over_quota"))
+MAX_TARGET_CHARS = 200
+REFUSAL_EVENTS = frozenset(("refused", "given_up", "over_quota"))
+FAILURE_EVENTS = frozenset(("held_back", "refused", "given_up", "expired", "over_quota"))
 
 log = logger("request")
 
@@ -32,7 +32,7 @@
         self._metrics = metrics
         self._now = now
 
-    def reject(self, request: Request, fields: RequestFields, rejection: Rejection) -> None:
+    def log_rejection(self, request: Request, fields: RequestFields, rejection: Rejection) -> None:
         """Write that a request is refused as it stands."""
         self._metrics.count("rejected", status=str(rejection.status))
         log.notice(
@@ -40,10 +40,10 @@
             request=fields.request_id,
             status=rejection.status,
             reason=rejection.reason,
-            target=request.target.decode("latin-1")[:MOST_TARGET],
+            target=request.target.decode("latin-1")[:MAX_TARGET_CHARS],
         )
 
-    def record(self, event: str, admission: Admission, **facts: object) -> None:
+    def log_decision(self, event: str, admission: Admission, **facts: object) -> None:
         """Write one decision.
 
         :param event: what was decided.
@@ -51,10 +51,10 @@
         """
         tier = str(admission.rank)
         self._metrics.count("requests", event=event, route=admission.service.name, tier=tier)
-        if event in REFUSALS:
+        if event in REFUSAL_EVENTS:
             cause = facts.get("reason") or f"over quota, by {facts.get('decided_by')}"
             self._metrics.count("refusals", cause=str(cause), route=admission.service.name)
-        failed = event in FAILURES or facts.get("follows") in ("fail", "break_off", "pass_on")
+        failed = event in FAILURE_EVENTS or facts.get("follows") in ("fail", "break_off", "pass_on")
         level = logbook.NOTICE if failed else logbook.INFO
         log.log(
             level,
--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -18,7 +18,7 @@
 from chalkyoke.membership.messages import MemberRecord
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.node.parts import WriteStatus
-from chalkyoke.node.peers import KNOWN_SHARE
+from chalkyoke.node.peers import MIN_VISIBLE_FLEET_SHARE
 from chalkyoke.quotas.owner import Presence
 from chalkyoke.rollouts.lead import Decision, Phase, RolloutLead
 from chalkyoke.rollouts.messages import RolloutReport, RolloutTold
@@ -36,33 +36,33 @@
 from chalkyoke.storage.port import Store
 
 # How often the leader repeats its word, in seconds.
-TELL_AGAIN_S = 1.0
+ANNOUNCE_INTERVAL_S = 1.0
 # Pause after a write, in seconds: a failed one is tried again, a done one is seen in the catalog.
-WRITE_AGAIN_S = 0.3
-DONE_WRITE_AGAIN_S = 1.3
+WRITE_RETRY_S = 0.3
+CONFIRMED_WRITE_RETRY_S = 1.3
 
 STATE_OF_PHASE = {Phase.DONE: RolloutState.COMPLETED, Phase.UNDONE: RolloutState.ROLLED_BACK}
 
 log = logger("rollouts")
 
 
-def stored_end(state: CatalogState, order: RolloutOrder) -> RolloutStatus | None:
+def stored_outcome(state: CatalogState, order: RolloutOrder) -> RolloutStatus | None:
     """Give the end of an order as it stands in the store; nothing while it runs."""
     stored = answer_to(order, state.statuses.get(order.service))
     return None if stored is None or stored.state is RolloutState.RUNNING else stored
 
 
-def order_of(state: CatalogState, share: RolloutShare, now: float) -> Order:
+def current_order(state: CatalogState, share: RolloutShare, now: float) -> Order:
     """Put an order and its answer together, as the store or the leader tells it."""
     order = share.order
-    status = stored_end(state, order)
+    status = stored_outcome(state, order)
     if status is None and share.ended is not None:
         ended = STATE_OF_PHASE[share.ended]
         status = RolloutStatus(order.service, order.version, ended, order.revision)
     return Order(order, now - share.passed(now).most_s, status)
 
 
-class _Leading(msgspec.Struct):
+class _LedOrder(msgspec.Struct):
     """An order that this node leads.
 
     :ivar phase: as last decided.
@@ -72,7 +72,7 @@
     lead: RolloutLead
     order: OrderName
     phase: Phase | None = None
-    told_at: float = float("-inf")
+    announced_at: float = float("-inf")
     written: RolloutState | None = None
     written_at: float = float("-inf")
 
@@ -108,54 +108,54 @@
         self._presence = presence
         self._standing = standing
         self._send = send
-        self._hear = hear
+        self._apply_locally = hear
         self._now = now
-        self._leading: dict[str, _Leading] = {}
+        self._leading: dict[str, _LedOrder] = {}
         self._writes: set[asyncio.Task[None]] = set()
 
     def leader(self, service: str) -> MemberRecord:
         """Name the node that leads a service's order."""
         return next(iter(self._view.ranked(f"rollout/{service}")), self._view.record)
 
-    def take(self, process: str, share: RolloutShare, report: RolloutReport) -> None:
+    def receive_report(self, process: str, share: RolloutShare, report: RolloutReport) -> None:
         """Take a node's report.
 
         :param process: id of the node's process.
         """
-        self._led(share).lead.take(process, report)
+        self._led_order(share).lead.take(process, report)
 
-    def forget(self, service: str) -> None:
+    def drop_order(self, service: str) -> None:
         """Drop an order that was withdrawn."""
         self._leading.pop(service, None)
 
-    def lead(self, share: RolloutShare) -> None:
+    def advance(self, share: RolloutShare) -> None:
         """Decide how far an order has come, and tell it; only where this node leads it."""
         service = share.order.service
         if self.leader(service).host != self._view.record.host:
             return
-        order = order_of(self._state, share, self._now())
-        leading = self._led(share)
+        order = current_order(self._state, share, self._now())
+        leading = self._led_order(share)
         decision = self._decide(share, order, leading)
-        self._note(order, leading, decision)
-        ended = stored_end(self._state, share.order)
+        self._log_decision(order, leading, decision)
+        ended = stored_outcome(self._state, share.order)
         stored = answer_to(share.order, self._state.statuses.get(service))
         state = STATE_OF_PHASE.get(decision.phase, RolloutState.RUNNING)
         if ended is None and (stored is None or stored.state is not state):
-            self._answer(order, leading, state)
+            self._start_status_write(order, leading, state)
         # A version is left at once; that it is the only one holds from the answer in the store on.
         phase = decision.phase
         if phase is Phase.DONE and ended is None:
             phase = Phase.CLOSING
-        self._tell(share, leading, phase)
+        self._announce(share, leading, phase)
 
-    def _led(self, share: RolloutShare) -> _Leading:
+    def _led_order(self, share: RolloutShare) -> _LedOrder:
         service, name = share.order.service, share.order.name
         found = self._leading.get(service)
         if found is None or found.order != name:
-            found = self._leading[service] = _Leading(RolloutLead(), name)
+            found = self._leading[service] = _LedOrder(RolloutLead(), name)
         return found
 
-    def _decide(self, share: RolloutShare, order: Order, leading: _Leading) -> Decision:
+    def _decide(self, share: RolloutShare, order: Order, leading: _LedOrder) -> Decision:
         if share.ended is Phase.UNDONE and not order.ended:
             return Decision(Phase.UNDONE)
         wanted = order.order
@@ -172,10 +172,10 @@
             new_replicas=len(new),
             tried=any(self._standing(each) is Standing.TRIAL for each in new),
             live=[each.process for each in self._view.live()],
-            sees_fleet=self._presence().share >= KNOWN_SHARE,
+            sees_fleet=self._presence().share >= MIN_VISIBLE_FLEET_SHARE,
         )
 
-    def _note(self, order: Order, leading: _Leading, decision: Decision) -> None:
+    def _log_decision(self, order: Order, leading: _LedOrder, decision: Decision) -> None:
         if leading.phase is decision.phase:
             return
         finding = decision.finding
@@ -197,12 +197,12 @@
         self._metrics.count("rollout_phases", service=order.order.service, phase=decision.phase)
         leading.phase = decision.phase
 
-    def _tell(self, share: RolloutShare, leading: _Leading, phase: Phase) -> None:
+    def _announce(self, share: RolloutShare, leading: _LedOrder, phase: Phase) -> None:
         now = self._now()
         changed = share.phase(now) is not phase
-        if not changed and now - leading.told_at < TELL_AGAIN_S:
+        if not changed and now - leading.announced_at < ANNOUNCE_INTERVAL_S:
             return
-        leading.told_at = now
+        leading.announced_at = now
         order = share.order
         name = order.name
         message = RolloutTold(
@@ -214,19 +214,19 @@
             digest=name.digest,
         )
         tell_all(self._view, self._send, message)
-        self._hear(share, message)
+        self._apply_locally(share, message)
 
-    def _answer(self, order: Order, leading: _Leading, state: RolloutState) -> None:
+    def _start_status_write(self, order: Order, leading: _LedOrder, state: RolloutState) -> None:
         """Write how an order stands, unless that is being done."""
-        pause_s = DONE_WRITE_AGAIN_S if leading.written is state else WRITE_AGAIN_S
+        pause_s = CONFIRMED_WRITE_RETRY_S if leading.written is state else WRITE_RETRY_S
         if self._now() - leading.written_at < pause_s:
             return
         leading.written_at = self._now()
-        task = asyncio.get_running_loop().create_task(self._write(order, leading, state))
+        task = asyncio.get_running_loop().create_task(self._write_answer(order, leading, state))
         self._writes.add(task)
         task.add_done_callback(self._writes.discard)
 
-    async def _write(self, order: Order, leading: _Leading, state: RolloutState) -> None:
+    async def _write_answer(self, order: Order, leading: _LedOrder, state: RolloutState) -> None:
         """Write under the condition that nobody has answered meanwhile: an end never changes."""
         key, document = self._write_status(order.order, state)
         held = self._state.statuses.get(order.order.service)
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -22,7 +22,7 @@
 from chalkyoke.logs import logger
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.node.parts import WriteStatus
-from chalkyoke.node.rolloutleads import RolloutLeads, order_of, stored_end
+from chalkyoke.node.rolloutleads import RolloutLeads, current_order, stored_outcome
 from chalkyoke.quotas.owner import Presence
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
 from chalkyoke.rollouts.lead import Phase
@@ -38,27 +38,27 @@
 # one look and one telling, a sixth of what operators allow.
 TICK_S = 0.25
 # How often a node reports, in seconds; failures of the new version are told at once.
-REPORT_S = 0.25
+REPORT_INTERVAL_S = 0.25
 # How often it reports all that it has met and not only what is new, in seconds: a report may be
 # lost, or come before the leader knows of the order. 35 counts, some 2 kB.
-WHOLE_REPORT_S = 2.0
+FULL_REPORT_INTERVAL_S = 2.0
 # Replicas of a pool of engines that a trial uses, at the least, and as a part of all new ones: so
 # few that they are as busy as the old ones, since some versions fail under load only.
-TRIED_AT_LEAST = 6
-TRIED_SHARE = 0.1
+MIN_TRIAL_REPLICAS = 6
+TRIAL_REPLICA_SHARE = 0.1
 # A request is taken to last up to so many times its expected time: callers' own estimates are right
 # at the median and spread by about that.
-LASTS_FACTOR = 2.5
+DURATION_FACTOR = 2.5
 
 log = logger("rollouts")
 
 
-class _Reported(msgspec.Struct):
+class _ReportTimes(msgspec.Struct):
     """When a node reported last, and when it last reported all, to which leader."""
 
     leader: str = ""
     at: float = float("-inf")
-    whole_at: float = float("-inf")
+    full_at: float = float("-inf")
 
 
 class Rollouts:
@@ -90,7 +90,7 @@
         self._view = view
         self._state = state
         self._bounds = bounds
-        self._guess = guess
+        self._engine_defaults = guess
         self._send = send
         self._presence = presence
         self._random = random
@@ -98,7 +98,7 @@
         self._now = now
         self._versions = Versions()
         self._shares: dict[str, RolloutShare] = {}
-        self._reported: dict[str, _Reported] = {}
+        self._report_times: dict[str, _ReportTimes] = {}
         self._running: Counter[tuple[str, str]] = Counter()
         self._leads = RolloutLeads(
             view,
@@ -109,7 +109,7 @@
             presence,
             self.standing,
             send,
-            self._hear,
+            self._apply_announcement,
             now,
         )
 
@@ -134,11 +134,12 @@
         for service in [each for each in self._shares if each not in self._state.orders]:
             log.notice("withdrawn", service=service, to=self._shares[service].order.version)
             del self._shares[service]
-            self._leads.forget(service)
-            self._reported.pop(service, None)
+            self._leads.drop_order(service)
+            self._report_times.pop(service, None)
         now = self._now()
         orders = {
-            service: order_of(self._state, share, now) for service, share in self._shares.items()
+            service: current_order(self._state, share, now)
+            for service, share in self._shares.items()
         }
         self._versions.rebuild(orders, self._state.replicas.values())
 
@@ -152,12 +153,12 @@
         """Tell what a replica takes."""
         return self._versions.standing(replica.service, replica.version)
 
-    def tried(self, service: str, replicas: list[Replica]) -> list[Replica]:
+    def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
         """Choose, of the replicas of a version under trial, those that the trial uses."""
         share = self._shares.get(service)
         if share is not None and share.phase(self._now()) is Phase.CLOSING:
             return replicas
-        most = max(TRIED_AT_LEAST, math.ceil(TRIED_SHARE * len(replicas)))
+        most = max(MIN_TRIAL_REPLICAS, math.ceil(TRIAL_REPLICA_SHARE * len(replicas)))
         return sorted(replicas, key=lambda each: xxhash.xxh64_intdigest(each.id.encode()))[:most]
 
     # Requests.
@@ -167,7 +168,7 @@
         share = self._shares.get(admission.service.name)
         if share is None or share.ended is not None:
             return False
-        return share.takes_new(self._lasts_s(admission), self._now(), again=again)
+        return share.takes_new(self._expected_duration_s(admission), self._now(), again=again)
 
     def give_back(self, admission: Admission) -> None:
         """Take back that a request goes to the version under trial."""
@@ -223,7 +224,7 @@
         is_new = self._is_new(share, replica)
         work_s = 1.0
         if admission.route.streams:
-            work_s = self._work_s(admission.fields.prompt_tokens, output_tokens)
+            work_s = self._estimated_work_s(admission.fields.prompt_tokens, output_tokens)
         share.note_end(
             admission.route.name,
             replica.id if is_new else "",
@@ -231,17 +232,17 @@
             ratio=took_s / work_s,
         )
         if failed and is_new:
-            self._report(share)
+            self._send_report(share)
 
     def _is_new(self, share: RolloutShare, replica: Replica) -> bool:
         return replica.version == share.order.version
 
-    def _work_s(self, prompt_tokens: float, output_tokens: float) -> float:
-        guess = self._guess
+    def _estimated_work_s(self, prompt_tokens: float, output_tokens: float) -> float:
+        guess = self._engine_defaults
         read_s = prompt_tokens / guess.prefill_tokens_per_s
         return guess.setup_s + read_s + output_tokens * guess.token_s
 
-    def _lasts_s(self, admission: Admission) -> float:
+    def _expected_duration_s(self, admission: Admission) -> float:
         """Tell how long a request may last, in seconds."""
         left = admission.ends - self._now()
         if not admission.route.streams:
@@ -249,16 +250,19 @@
         fields = admission.fields
         likely = fields.likely_output_tokens
         likely = likely or (fields.most_output_tokens or DEFAULT_OUTPUT_TOKENS) // 4
-        return min(left, LASTS_FACTOR * self._work_s(fields.prompt_tokens, likely))
+        return min(left, DURATION_FACTOR * self._estimated_work_s(fields.prompt_tokens, likely))
 
     # Reports and the leader's word.
 
     def tick(self) -> None:
         """Report, and lead the orders that this node is to lead."""
         for service, share in list(self._shares.items()):
-            if self._now() - self._reported.setdefault(service, _Reported()).at >= REPORT_S:
-                self._report(share)
-            self._leads.lead(share)
+            if (
+                self._now() - self._report_times.setdefault(service, _ReportTimes()).at
+                >= REPORT_INTERVAL_S
+            ):
+                self._send_report(share)
+            self._leads.advance(share)
 
     def receive(self, process: str, message: RolloutMessage) -> None:
         """Take a report, or the leader's word.
@@ -270,28 +274,28 @@
             return
         if isinstance(message, RolloutReport):
             share.learn_passed(message.least_s, self._now())
-            self._leads.take(process, share, message)
+            self._leads.receive_report(process, share, message)
             return
-        self._hear(share, message)
+        self._apply_announcement(share, message)
         relay_on(self._view, self._send, message)
 
-    def _report(self, share: RolloutShare) -> None:
-        if stored_end(self._state, share.order) is not None:
+    def _send_report(self, share: RolloutShare) -> None:
+        if stored_outcome(self._state, share.order) is not None:
             return
         service, now = share.order.service, self._now()
         leader = self._leads.leader(service)
-        last = self._reported.setdefault(service, _Reported())
-        whole = last.leader != leader.process or now - last.whole_at >= WHOLE_REPORT_S
+        last = self._report_times.setdefault(service, _ReportTimes())
+        whole = last.leader != leader.process or now - last.full_at >= FULL_REPORT_INTERVAL_S
         last.leader, last.at = leader.process, now
         if whole:
-            last.whole_at = now
+            last.full_at = now
         report = share.report(now, self._old_running(share.order), whole=whole)
         if leader.host == self._view.record.host:
-            self._leads.take(self._view.record.process, share, report)
+            self._leads.receive_report(self._view.record.process, share, report)
         else:
             self._send(leader.address, report)
 
-    def _hear(self, share: RolloutShare, message: RolloutTold) -> None:
+    def _apply_announcement(self, share: RolloutShare, message: RolloutTold) -> None:
         if not share.hear(message, self._now()):
             return
         log.info(
--- a/packages/chalkyoke/src/chalkyoke/node/routing.py
+++ b/packages/chalkyoke/src/chalkyoke/node/routing.py
@@ -96,7 +96,7 @@
 
 # What nodes understand whose version does not tell its kinds when a link is opened. Any other kind
 # tears the link on which it comes to such a node.
-KINDS_OF_OLD_NODES = frozenset(
+LEGACY_KINDS = frozenset(
     (
         "acquire",
         "adopt",
@@ -134,7 +134,7 @@
 
 # Of the nodes that do not tell, the later ones understand these too; they tell them to all at the
 # first end of a replica under their runs.
-KINDS_WITH_QUARANTINE = frozenset(str(each.__struct_config__.tag) for each in QUARANTINE_MESSAGES)
+LEGACY_QUARANTINE_KINDS = frozenset(str(each.__struct_config__.tag) for each in QUARANTINE_MESSAGES)
 
 
 class RoutedParts(msgspec.Struct, frozen=True):
@@ -144,7 +144,7 @@
     links: Links
     catalog: CatalogKeeper
     grants: Grants
-    hosted: SchedulerHost
+    scheduler_host: SchedulerHost
     quotas: QuotaClient
     suspicions: Suspicions
     rollouts: Rollouts
@@ -168,7 +168,7 @@
         now: Callable[[], float],
     ) -> None:
         self._parts = parts
-        self._changed = changed
+        self._apply_changes = changed
         self._now = now
 
     def route(self, connection: Connection, message: msgspec.Struct) -> None:
@@ -178,15 +178,15 @@
         """
         parts, address = self._parts, connection.peer_address
         if isinstance(message, MEMBERSHIP_MESSAGES):
-            self._take_membership(address, message)
+            self._receive_membership(address, message)
         elif isinstance(message, ENTRY_MESSAGES):
             parts.grants.receive(connection.peer, message)
         elif isinstance(message, AdoptRequest):
             parts.grants.tell_running(message.pool, connection.peer)
-            parts.hosted.tell_learned(message.pool, connection.peer)
+            parts.scheduler_host.send_learned(message.pool, connection.peer)
         elif isinstance(message, SCHEDULER_MESSAGES):
-            parts.hosted.note_address(connection.peer, address)
-            parts.hosted.receive(connection.peer, connection.peer_domain, message)
+            parts.scheduler_host.remember_address(connection.peer, address)
+            parts.scheduler_host.receive(connection.peer, connection.peer_domain, message)
         elif isinstance(message, QUOTA_MESSAGES):
             parts.quotas.receive(address, message)
         elif isinstance(message, SUSPICION_MESSAGES):
@@ -204,9 +204,9 @@
         elif isinstance(message, CATALOG_MESSAGES):
             parts.catalog.receive(address, message)
 
-    def _take_membership(self, address: str, message: MembershipMessage) -> None:
+    def _receive_membership(self, address: str, message: MembershipMessage) -> None:
         changes, sends = self._parts.view.receive(address, message, self._now())
-        self._changed(changes)
+        self._apply_changes(changes)
         for send in sends:
             self._parts.links.send(send.address, send.message)
         if isinstance(message, Heartbeat):
--- a/packages/chalkyoke/src/chalkyoke/node/schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/schedulers.py
@@ -35,12 +35,12 @@
 from chalkyoke.scheduling.state import PoolSpec
 
 # How long the scheduler of a pool that has moved is kept, in seconds: it may come back at once.
-KEEP_S = 5.0
+MOVED_POOL_RETENTION_S = 5.0
 # How often a pool's scheduler tells those that may succeed it what it has learned, in seconds. An
 # engine's speed is known after some first outputs, which takes about as long.
-TELL_LEARNED_S = 1.0
+LEARNED_SEND_INTERVAL_S = 1.0
 # How many processes are told: the next in line of another failure domain and of the own one.
-SUCCESSORS = 2
+SUCCESSOR_COUNT = 2
 
 log = logger("schedulers")
 
@@ -67,7 +67,7 @@
     :param features: parts of the policy that are on; all where nothing is given.
     :param keeper: counts what upstreams get that name a limit; nothing where none can.
     :param acknowledge: whether entry processes are told at once that a request waits here.
-    :ivar holds_pools: set while there is a scheduler here, so that nobody ticks for nothing.
+    :ivar has_pools: set while there is a scheduler here, so that nobody ticks for nothing.
     """
 
     def __init__(
@@ -86,9 +86,9 @@
         acknowledge: bool = False,
     ) -> None:
         self.pools: dict[str, PoolScheduler] = {}
-        self.holds_pools = asyncio.Event()
+        self.has_pools = asyncio.Event()
         self.deliver: Deliver | None = None
-        self.tell_running: Callable[[str, str], None] | None = None
+        self.report_running: Callable[[str, str], None] | None = None
         self._process = process
         self._view = view
         self._fleet = fleet
@@ -96,17 +96,17 @@
         self._events = events
         self._metrics = metrics
         self._now = now
-        self._addresses: dict[str, str] = {}
+        self._sender_addresses: dict[str, str] = {}
         self._generation = -1
         self._owners: dict[str, str] = {}
-        self._live: dict[str, str] = {}
-        self._disowned: dict[str, float] = {}
+        self._live_addresses: dict[str, str] = {}
+        self._moved_since: dict[str, float] = {}
         self._random = source
         self._features = features
         self._keeper = keeper
         self._acknowledge = acknowledge
-        self._learned: dict[str, Learned] = {}
-        self._tell_learned_at = 0.0
+        self._received_learned: dict[str, Learned] = {}
+        self._next_learned_send_at = 0.0
 
     # The port that the entry slice uses.
 
@@ -115,7 +115,7 @@
 
         :rtype: str
         """
-        self._refresh()
+        self._refresh_on_view_change()
         found = self._owners.get(pool)
         if found is None:
             found = self._owners[pool] = self._view.pool_owner(pool).process
@@ -126,8 +126,8 @@
 
         :rtype: bool
         """
-        self._refresh()
-        return process in self._live
+        self._refresh_on_view_change()
+        return process in self._live_addresses
 
     def send(self, process: str, message: EntryMessage) -> None:
         """Send a message to the scheduler in a process, this one included."""
@@ -140,9 +140,9 @@
 
     # Messages.
 
-    def note_address(self, process: str, address: str) -> None:
+    def remember_address(self, process: str, address: str) -> None:
         """Remember where a process that wrote to us listens."""
-        self._addresses[process] = address
+        self._sender_addresses[process] = address
 
     def receive(self, entry: str, domain: str, message: EntryMessage) -> None:
         """Take a message of an entry process.
@@ -151,9 +151,9 @@
         :param domain: its failure domain.
         """
         if isinstance(message, Learned) and message.pool not in self.pools:
-            self._learned[message.pool] = message
+            self._received_learned[message.pool] = message
             return
-        scheduler = self._scheduler(message.pool)
+        scheduler = self._find_or_create_scheduler(message.pool)
         if scheduler is None:
             if isinstance(message, Acquire):
                 self._refuse_unknown(entry, message)
@@ -165,10 +165,10 @@
                 self._deliver(entry, Queued(message.request, message.attempt, message.pool))
         elif isinstance(message, Release):
             self.dispatch(scheduler.release(domain, message, now))
-            self._tell_closings(scheduler)
+            self._log_upstream_transitions(scheduler)
         elif isinstance(message, FirstOutput):
             scheduler.first_output(message, now)
-            self._tell_closings(scheduler)
+            self._log_upstream_transitions(scheduler)
         elif isinstance(message, Progress):
             self.dispatch(scheduler.progress(entry, message, now))
         elif isinstance(message, Adopt):
@@ -178,7 +178,7 @@
         else:
             scheduler.withdraw(message)
 
-    def tell_learned(self, pool: str, process: str) -> None:
+    def send_learned(self, pool: str, process: str) -> None:
         """Tell a pool's new scheduler what this process has learned as its earlier one."""
         scheduler = self.pools.get(pool)
         if scheduler is not None and process != self._process:
@@ -189,21 +189,21 @@
         now = self._now()
         for name, scheduler in list(self.pools.items()):
             self.dispatch(scheduler.tick(now))
-            self._drop_disowned(name, now)
+            self._drop_moved_pool(name, now)
         if not self.pools:
-            self.holds_pools.clear()
-        if now >= self._tell_learned_at:
-            self._tell_learned_at = now + TELL_LEARNED_S
-            self._tell_successors()
+            self.has_pools.clear()
+        if now >= self._next_learned_send_at:
+            self._next_learned_send_at = now + LEARNED_SEND_INTERVAL_S
+            self._send_learned_to_successors()
 
-    def _tell_successors(self) -> None:
+    def _send_learned_to_successors(self) -> None:
         """Tell what is learned to those that schedule the pools when this process is lost."""
         for name, scheduler in self.pools.items():
             owners = [each.process for each in self._view.pool_owners(name)]
             if owners[:1] != [self._process]:
                 continue
             learned = scheduler.learned()
-            for process in owners[1 : 1 + SUCCESSORS]:
+            for process in owners[1 : 1 + SUCCESSOR_COUNT]:
                 if learned.speeds:
                     self.send(process, learned)
 
@@ -215,17 +215,17 @@
             if spec is None:
                 spec = PoolSpec(name)
             if spec != scheduler.spec:
-                self._limit(scheduler)
+                self._apply_limits(scheduler)
                 self.dispatch(scheduler.configure(spec, self._now()))
 
     def limits_changed(self) -> None:
         """Tell each scheduler what upstreams may get that name a limit."""
         for scheduler in self.pools.values():
-            self._limit(scheduler)
+            self._apply_limits(scheduler)
 
     def member_left(self, process: str) -> None:
         """Drop what a dead entry process had here."""
-        self._addresses.pop(process, None)
+        self._sender_addresses.pop(process, None)
         for scheduler in self.pools.values():
             self.dispatch(scheduler.member_gone(process, self._now()))
 
@@ -244,7 +244,7 @@
 
     # Private.
 
-    def _limit(self, scheduler: PoolScheduler) -> None:
+    def _apply_limits(self, scheduler: PoolScheduler) -> None:
         if self._keeper is None:
             return
         now, pool = self._now(), scheduler.spec.name
@@ -253,7 +253,7 @@
         allowances = {name: each for name, each in found.items() if each is not None}
         self.dispatch(scheduler.limit(allowances, now))
 
-    def _tell_closings(self, scheduler: PoolScheduler) -> None:
+    def _log_upstream_transitions(self, scheduler: PoolScheduler) -> None:
         for each in scheduler.take_closings():
             event = "upstream_closed" if each.refuses else "upstream_opened"
             log.info(event, pool=scheduler.spec.name, upstream=each.upstream)
@@ -268,7 +268,7 @@
         if address is not None:
             self._send(address, message)
 
-    def _scheduler(self, pool: str) -> PoolScheduler | None:
+    def _find_or_create_scheduler(self, pool: str) -> PoolScheduler | None:
         found = self.pools.get(pool)
         if found is not None:
             return found
@@ -278,33 +278,33 @@
         expected = [record.process for record in self._view.live()]
         scheduler = PoolScheduler(spec, self._random, self._now(), expected, self._features)
         self.pools[pool] = scheduler
-        self._limit(scheduler)
-        self.holds_pools.set()
-        learned = self._learned.pop(pool, None)
+        self._apply_limits(scheduler)
+        self.has_pools.set()
+        learned = self._received_learned.pop(pool, None)
         if learned is not None:
             scheduler.take_over(learned)
-        self._ask_running(pool)
+        self._request_running(pool)
         self._events.add(EventKind.POOL_TAKEN, pool=pool)
         log.info("pool_taken", pool=pool)
         return scheduler
 
-    def _ask_running(self, pool: str) -> None:
+    def _request_running(self, pool: str) -> None:
         """Ask all entry processes what they have running, whether or not they saw a change."""
         for record in self._view.live():
             if record.process == self._process:
-                assert self.tell_running is not None
-                self.tell_running(pool, self._process)
+                assert self.report_running is not None
+                self.report_running(pool, self._process)
             else:
                 self._send(record.address, AdoptRequest(pool))
 
-    def _drop_disowned(self, name: str, now: float) -> None:
+    def _drop_moved_pool(self, name: str, now: float) -> None:
         if self.owner(name) == self._process:
-            self._disowned.pop(name, None)
+            self._moved_since.pop(name, None)
             return
-        since = self._disowned.setdefault(name, now)
-        if now - since > KEEP_S:
+        since = self._moved_since.setdefault(name, now)
+        if now - since > MOVED_POOL_RETENTION_S:
             del self.pools[name]
-            del self._disowned[name]
+            del self._moved_since[name]
             self._events.add(EventKind.POOL_GIVEN_UP, pool=name)
             log.info("pool_given_up", pool=name)
 
@@ -316,13 +316,13 @@
 
     def address(self, process: str) -> str | None:
         """Give the link address of a process; nothing where it is not known."""
-        self._refresh()
-        return self._live.get(process) or self._addresses.get(process)
+        self._refresh_on_view_change()
+        return self._live_addresses.get(process) or self._sender_addresses.get(process)
 
-    def _refresh(self) -> None:
+    def _refresh_on_view_change(self) -> None:
         """Forget owners and addresses when the view has changed; both are asked on each message."""
         if self._generation == self._view.generation:
             return
         self._generation = self._view.generation
         self._owners.clear()
-        self._live = {record.process: record.address for record in self._view.live()}
+        self._live_addresses = {record.process: record.address for record in self._view.live()}
--- a/packages/chalkyoke/src/chalkyoke/node/servers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/servers.py
@@ -13,7 +13,7 @@
 import uvicorn
 
 # New connections that may wait to be taken, in number.
-BACKLOG = 1024
+BACKLOG_CONNECTIONS = 1024
 KEEP_ALIVE_S = 30
 
 
@@ -39,7 +39,7 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind((ip, int(port)))
-        self._socket.listen(BACKLOG)
+        self._socket.listen(BACKLOG_CONNECTIONS)
         config = uvicorn.Config(
             app,
             loop="asyncio",
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
@@ -2,7 +2,7 @@
 
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import CatalogState
-from chalkyoke.node.pools import LAST_RESORT_S, DeclaredReplicas
+from chalkyoke.node.pools import DEPARTED_FALLBACK_S, DeclaredReplicas
 from chalkyoke.storage.messages import Item, Removed
 from result import Ok
 
@@ -56,22 +56,22 @@
     state, replicas, clock = declared("m1 ready", "m2 ready")
     change(state, replicas, clock, 2, Removed("m1", 2))
     assert [each.id for each in replicas.of("model")] == ["m2"]
-    clock.now = LAST_RESORT_S * 1.01
+    clock.now = DEPARTED_FALLBACK_S * 1.01
     assert replicas.find("m1") is None
-    assert LAST_RESORT_S < 2.0, "well within the time that a leaving replica serves on"
+    assert DEPARTED_FALLBACK_S < 2.0, "well within the time that a leaving replica serves on"
 
 
 def test_entries_that_all_lapsed_serve_on_for_a_moment_and_not_for_longer():
     state, replicas, clock = declared("m1 ready")
     change(state, replicas, clock, 2, Removed("m1", 2))
-    clock.now = LAST_RESORT_S / 2
+    clock.now = DEPARTED_FALLBACK_S / 2
     assert replicas.find("m1") is not None
-    clock.now = LAST_RESORT_S * 2
+    clock.now = DEPARTED_FALLBACK_S * 2
     assert replicas.find("m1") is None and replicas.of("model") == []
 
 
 def test_a_last_resort_counts_from_when_a_replica_went_not_from_when_that_was_heard():
-    for heard_after_s, found in ((0.0, ["m1"]), (LAST_RESORT_S + 0.1, [])):
+    for heard_after_s, found in ((0.0, ["m1"]), (DEPARTED_FALLBACK_S + 0.1, [])):
         state, replicas, clock = declared("m1 ready")
         clock.now = 10.0
         state.change_replicas([Removed("m1", 2)], 2, clock.now - heard_after_s)
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 from chalkyoke.node.registration import (
-    RENEWALS,
+    RENEWALS_PER_LEASE,
     RESTORED_SPREAD_S,
-    Listed,
+    NodeEntry,
     Registration,
     read_candidates,
 )
@@ -23,7 +23,7 @@
 
 @given(st.dictionaries(st.text(min_size=1, max_size=4), st.binary(max_size=20), max_size=5))
 def test_entries_that_can_t_be_read_name_no_node_and_the_others_hold(others):
-    good = msgspec.msgpack.encode(Listed("10.1.0.1:82", "a"))
+    good = msgspec.msgpack.encode(NodeEntry("10.1.0.1:82", "a"))
     registered = {PREFIX + name: value for name, value in others.items()}
     registered[PREFIX + "good-host"] = good
     found = {each.host: each for each in read_candidates(registered, PREFIX)}
@@ -92,7 +92,7 @@
         store.leases[1] = "another"
         if is_told:
             registration.store_restored(store.epoch)
-        await asyncio.sleep(RESTORED_SPREAD_S if is_told else LEASE_S / RENEWALS)
+        await asyncio.sleep(RESTORED_SPREAD_S if is_told else LEASE_S / RENEWALS_PER_LEASE)
         assert store.keys == {"nodes/n": 2}
 
     registered(check)
@@ -104,7 +104,7 @@
         store.restore(copy)
         store.leases[1] = "another"
         registration.store_restored(store.epoch)
-        await registration.end()
+        await registration.deregister()
         assert not store.ended
 
     registered(check)
@@ -118,7 +118,7 @@
         registration.store_restored(store.epoch)
         await asyncio.sleep(RESTORED_SPREAD_S)
         assert store.keys == {"nodes/n": 1}
-        await registration.end()
+        await registration.deregister()
         assert store.ended == [1]
 
     registered(check)
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_schedulers.py
@@ -44,7 +44,7 @@
         lambda: 0.5,
     )
     made.deliver = lambda process, message: None
-    made.tell_running = lambda pool, process: None
+    made.report_running = lambda pool, process: None
     return made, sent, clock
 
 
--- a/scripts/record_version.py
+++ b/scripts/record_version.py
@@ -26,7 +26,7 @@
 from chalkyoke.clock import Stamp  # noqa: E402
 from chalkyoke.links.codec import FrameCodec  # noqa: E402
 from chalkyoke.links.messages import Challenge, Hello, Received, Welcome  # noqa: E402
-from chalkyoke.node.registration import Listed  # noqa: E402
+from chalkyoke.node.registration import NodeEntry  # noqa: E402
 from chalkyoke.node.routing import LINK_MESSAGES  # noqa: E402
 from chalkyoke.platform.documents import write_status  # noqa: E402
 from chalkyoke.rollouts.resources import RolloutOrder, RolloutState  # noqa: E402
@@ -104,7 +104,7 @@
     order = RolloutOrder("model", "2", 2, 30.0, 7)
     key, status = write_status(order, RolloutState.RUNNING)
     records = {
-        "registration": msgspec.msgpack.encode(Listed("10.0.0.1:80", "a", 2.0)).hex(),
+        "registration": msgspec.msgpack.encode(NodeEntry("10.0.0.1:80", "a", 2.0)).hex(),
         "status": [key, status.hex()],
     }
     json.dump({"messages": messages, "records": records}, sys.stdout, indent=0, sort_keys=True)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -18,7 +18,7 @@
 from chalkyoke.links.codec import FrameCodec, FrameReader
 from chalkyoke.links.messages import Challenge, Hello, Received, Welcome
 from chalkyoke.node.registration import read_candidates
-from chalkyoke.node.routing import KINDS_OF_OLD_NODES, KINDS_WITH_QUARANTINE, LINK_MESSAGES
+from chalkyoke.node.routing import LEGACY_KINDS, LEGACY_QUARANTINE_KINDS, LINK_MESSAGES
 from chalkyoke.platform.documents import read_record
 from chalkyoke.storage.messages import Item
 
@@ -144,9 +144,9 @@
 
 def test_a_node_that_does_not_tell_its_kinds_is_told_those_of_its_version_only():
     kinds = set(RECORDED[SILENT_VERSION]["messages"])
-    assert {*KINDS_OF_OLD_NODES, *(str(each.__struct_config__.tag) for each in HANDSHAKE)} == kinds
+    assert {*LEGACY_KINDS, *(str(each.__struct_config__.tag) for each in HANDSHAKE)} == kinds
     later = set(RECORDED[LATER_SILENT_VERSION]["messages"])
-    assert later - kinds == KINDS_WITH_QUARANTINE
+    assert later - kinds == LEGACY_QUARANTINE_KINDS
 
 
 @pytest.mark.parametrize("version", RECORDED)
--- a/tests/world.py
+++ b/tests/world.py
@@ -132,7 +132,7 @@
             self.runs, self.acquirer, ends, dispatcher, port, self.events, self.metrics, self.now
         )
         self.schedulers.deliver = self.acquirer.receive
-        self.schedulers.tell_running = self.acquirer.tell_running
+        self.schedulers.report_running = self.acquirer.tell_running
         self.every(self.view.interval_s, self.beat)
         self.every(0.05, self.tick)
         self.every(1.0, self.keep_house)
@@ -198,7 +198,7 @@
         elif isinstance(message, AdoptRequest):
             self.acquirer.tell_running(message.pool, sender.process)
         else:
-            self.schedulers.note_address(sender.process, sender.address)
+            self.schedulers.remember_address(sender.process, sender.address)
             self.schedulers.receive(sender.process, sender.domain, message)
 
     def wake(self):
