--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -216,7 +216,9 @@
         send_to_all(self._view, self._send, message)
         self._apply_locally(share, message)
 
-    def _start_status_write(self, order: TrackedOrder, leading: _LedOrder, state: RolloutState) -> None:
+    def _start_status_write(
+        self, order: TrackedOrder, leading: _LedOrder, state: RolloutState
+    ) -> None:
         """Write how an order stands, unless that is being done."""
         pause_s = CONFIRMED_WRITE_RETRY_S if leading.written is state else WRITE_RETRY_S
         if self._now() - leading.written_at < pause_s:
@@ -226,7 +228,9 @@
         self._writes.add(task)
         task.add_done_callback(self._writes.discard)
 
-    async def _write_answer(self, order: TrackedOrder, leading: _LedOrder, state: RolloutState) -> None:
+    async def _write_answer(
+        self, order: TrackedOrder, leading: _LedOrder, state: RolloutState
+    ) -> None:
         """Write under the condition that nobody has answered meanwhile: an end never changes."""
         key, document = self._write_status(order.order, state)
         held = self._state.statuses.get(order.order.service)
