--- a/packages/chalkyoke/src/chalkyoke/quotas/bucket.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/bucket.py
@@ -8,9 +8,12 @@
 
 
 class Bucket(msgspec.Struct):
-    """Cost that may be spent now, refilled at a rate up to a capacity; it may go into debt.
+    """A token bucket of cost, whose level may become negative.
 
-    :param at: when ``level`` was true, in seconds on the node's clock.
+    :param rate_per_s: cost added per second.
+    :param capacity: highest level.
+    :param level: cost available at the time ``at``.
+    :param at: time of the last refill, in seconds on the node's clock.
     """
 
     rate_per_s: float
@@ -19,21 +22,21 @@
     at: float
 
     def refill(self, now: float) -> None:
-        """Add what has come since the last look."""
+        """Add the cost for the time since the last refill."""
         earned = max(0.0, now - self.at) * self.rate_per_s
         self.level = min(self.capacity, self.level + earned)
         self.at = max(self.at, now)
 
     def reconfigure(self, rate_per_s: float, capacity: float, now: float) -> None:
-        """Take another rate and capacity."""
+        """Set another rate and capacity, and cap the level at the new capacity."""
         self.refill(now)
         self.rate_per_s, self.capacity = rate_per_s, capacity
         self.level = min(self.level, capacity)
 
     def try_consume(self, need: float, now: float) -> bool:
-        """Take cost for a request; one that is larger than the bucket takes a full one.
+        """Consume the cost of a request. A cost above the capacity needs a full bucket.
 
-        :return: whether there was enough.
+        :return: whether the level was high enough.
         """
         self.refill(now)
         if self.level < min(need, self.capacity):
--- a/packages/chalkyoke/src/chalkyoke/quotas/client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/client.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.quotas.client
 
-Ask for quota: from this node's lease, from the team's owner, and from this node's own share when
-the owner is silent.
+Charge requests to team quotas: to this node's lease, to a new lease of the team's owner, or to this
+node's own share while the owner doesn't answer.
 """
 
 import asyncio
@@ -29,33 +29,38 @@
 
 log = logger("quotas")
 
-# How long an owner's answer is waited for before a node spends its own share, in seconds: ten
-# round trips between failure domains.
-ANSWER_S = 0.03
-# How long it is waited for where the own share is too small: a refusal costs the caller more.
-LAST_ANSWER_S = 0.12
-# How long an owner that did not answer is not waited for again, in seconds.
-AVOID_S = 0.3
-# How long a node that has just started does not know yet who owns what, in seconds: two heartbeats.
-NEW_MEMBER_S = 0.5
-# How often it looks whether it knows meanwhile, in seconds.
-NEW_MEMBER_POLL_S = 0.02
-# From when on a node owns teams before it is asked, in seconds since its start.
-OPEN_AHEAD_S = 1.0
-# When a caller comes back that a node alone refused, in seconds: owners are found again by then.
-ALONE_RETRY_S = 0.3
-# A copy of a window is behind by so much, in seconds: a tenth of what a cut goes unnoticed.
+# Timeout for the owner's answer before a node spends its own share, in seconds: ten round trips
+# between failure domains.
+ANSWER_TIMEOUT_S = 0.03
+# Timeout for the owner's answer if the own share is too small, in seconds: a refusal delays the
+# caller for longer.
+LAST_ANSWER_TIMEOUT_S = 0.12
+# Time for which requests don't wait for an owner that did not answer, in seconds.
+OWNER_BACKOFF_S = 0.3
+# Time after its start in which a node may not know the quota owners yet, in seconds: two
+# heartbeats.
+NEW_NODE_S = 0.5
+# Interval at which a new node checks whether it knows the owners, in seconds.
+NEW_NODE_POLL_S = 0.02
+# Time after its start from which a node opens the windows of its teams before the first request,
+# in seconds.
+OWNERSHIP_DELAY_S = 1.0
+# Retry delay for a request that is refused without an owner's answer, in seconds: the owner is
+# reachable again by then.
+OWN_SHARE_RETRY_AFTER_S = 0.3
+# Interval between updates to the copies of a window, in seconds: a tenth of the time until a
+# partition is detected.
 WINDOW_REPLICATION_INTERVAL_S = 0.25
 
 
 class QuotaDecision(msgspec.Struct, frozen=True):
     """Whether a request is within its team's quota.
 
-    :param retry_after_s: when to come back, where it is not.
-    :param decided_by: ``lease``, ``owner``, ``alone`` or ``no quota``.
-    :param spent: what the owner that refused it counts in the window.
-    :param most: what that owner leases in a window at most.
-    :param lease_window: the window that the cost was leased of; 0 where it was of none.
+    :param retry_after_s: retry delay of a refused request, in seconds.
+    :param decided_by: ``lease``, ``owner``, ``alone`` (this node's own share) or ``no quota``.
+    :param spent: cost in the window of the owner that refused the request.
+    :param window_limit: highest cost that this owner leases in a window.
+    :param lease_window: number of the window that the cost was leased from; 0 without a lease.
     """
 
     allowed: bool
@@ -67,55 +72,55 @@
 
 
 class Charged(Protocol):
-    """What is charged to a team: a request with its cost."""
+    """A request whose cost is charged to a team."""
 
     @property
     def team(self) -> Team | None:
-        """The team, if the request has one."""
+        """The team; None if the request has none."""
 
     @property
     def cost(self) -> float:
-        """What the request counts."""
+        """The cost of the request, in the units of the team's quota."""
 
     @property
     def urgency(self) -> int:
-        """How urgent the request is among those of its team; 0 is the most."""
+        """The rank of the request among those of its team; 0 is the most urgent."""
 
     @property
     def version(self) -> int:
-        """The version of the catalog that judged it."""
+        """The version of the catalog by which the request was admitted."""
 
 
 class OwnerPort(Protocol):
-    """Who is a team's owner, and the way there."""
+    """The lookup of quota owners and the links to them."""
 
     def owner(self, team: str) -> str | None:
-        """Give the link address of a team's owner; nothing where it is this node."""
+        """Return the link address of a team's owner; None if this node is the owner."""
 
     def knows_owners(self) -> bool:
-        """Tell whether this node knows the fleet well enough to find owners."""
+        """Return whether this node knows enough members to find the owners."""
 
     def presence(self) -> Presence:
-        """Tell how much of the fleet this node sees."""
+        """Return the part of the fleet that this node sees."""
 
     def host(self) -> str:
-        """Give this node's host id."""
+        """Return this node's host id."""
 
     def others(self) -> list[str]:
         """List the link addresses of the other live nodes."""
 
     def successors(self, team: str) -> list[str]:
-        """List the link addresses of the nodes that may own a team's quota after this one."""
+        """List the link addresses of the nodes that would own a team's quota after this node."""
 
     def send(self, address: str, message: QuotaMessage) -> None:
         """Send a message to a node."""
 
 
 class QuotaClient:
-    """Take cost for requests.
+    """Charge requests to team quotas, and lease quota to other nodes for the teams owned here.
 
     :param now: the node's clock, in seconds.
-    :param teams: gives all teams by their names.
+    :param teams: returns all teams by name.
     :param first_start: whether the whole fleet starts for the first time.
     """
 
@@ -137,10 +142,10 @@
         self._now = now
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[QuotaGrant]] = {}
-        self._avoid: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
 
     async def charge(self, charged: Charged) -> QuotaDecision:
-        """Take the cost of a request from its team's quota.
+        """Charge the cost of a request to its team's quota.
 
         :rtype: QuotaDecision
         """
@@ -150,55 +155,59 @@
         if self._leases.spend(team, charged.cost, charged.version, self._now()):
             lease_window = self._leases.lease_window(team.name)
             return QuotaDecision(True, decided_by="lease", lease_window=lease_window)
-        if self._is_new_member():
+        if self._is_new_node():
             if self._leases.spend_own_share(team, charged.cost, self._now()):
                 return QuotaDecision(True, decided_by="alone")
-            await self._until_owners_are_known()
+            await self._wait_for_known_owners()
         return await self._ask_owner(team, charged)
 
     async def _ask_owner(self, team: Team, charged: Charged) -> QuotaDecision:
-        """Ask the owner; while it is silent, spend this node's own share, and wait on where that
-        is too small: a refusal costs the caller more than a moment.
+        """Request cost from the owner, and spend this node's own share while the owner is silent.
+
+        If the own share is too small, the request waits up to :data:`LAST_ANSWER_TIMEOUT_S` for the
+        owner, since a refusal delays the caller for longer.
         """
-        message = self._question(team, charged)
+        message = self._build_request(team, charged)
         address = self._port.owner(team.name)
         if address is None:
-            return self._granted(charged, self._answer(team, message))
-        silent = self._avoid.get(address, 0.0) > self._now()
+            return self._apply_grant(charged, self._answer(team, message))
+        silent = self._backoff_until.get(address, 0.0) > self._now()
         if silent and self._leases.spend_own_share(team, charged.cost, self._now()):
-            self._leases.note_alone(team.name, message.alone)
+            self._leases.add_unreported(team.name, message.alone)
             return QuotaDecision(True, decided_by="alone")
         answer: asyncio.Future[QuotaGrant] = asyncio.get_running_loop().create_future()
         self._waiting[message.number] = answer
         try:
             self._port.send(address, message)
-            await asyncio.wait([answer], timeout=LAST_ANSWER_S if silent else ANSWER_S)
+            await asyncio.wait(
+                [answer], timeout=LAST_ANSWER_TIMEOUT_S if silent else ANSWER_TIMEOUT_S
+            )
             if not answer.done():
-                self._avoid[address] = self._now() + AVOID_S
+                self._backoff_until[address] = self._now() + OWNER_BACKOFF_S
             if not answer.done() and not silent:
                 if self._leases.spend_own_share(team, charged.cost, self._now()):
-                    self._leases.note_alone(team.name, message.alone)
+                    self._leases.add_unreported(team.name, message.alone)
                     return QuotaDecision(True, decided_by="alone")
-                await asyncio.wait([answer], timeout=LAST_ANSWER_S)
+                await asyncio.wait([answer], timeout=LAST_ANSWER_TIMEOUT_S)
         finally:
             del self._waiting[message.number]
         if answer.done():
-            self._avoid.pop(address, None)
-            return self._granted(charged, answer.result())
-        self._leases.note_alone(team.name, message.alone)
-        return QuotaDecision(False, ALONE_RETRY_S, "alone")
+            self._backoff_until.pop(address, None)
+            return self._apply_grant(charged, answer.result())
+        self._leases.add_unreported(team.name, message.alone)
+        return QuotaDecision(False, OWN_SHARE_RETRY_AFTER_S, "alone")
 
-    def _granted(self, charged: Charged, grant: QuotaGrant) -> QuotaDecision:
+    def _apply_grant(self, charged: Charged, grant: QuotaGrant) -> QuotaDecision:
         passed = self._leases.accept_grant(grant, charged.cost, self._now())
         retry_s, lease_window = grant.retry_after_s, grant.lease_window
         return QuotaDecision(passed, retry_s, "owner", grant.spent, grant.most, lease_window)
 
     def refund(self, charged: Charged, passed: QuotaDecision) -> bool:
-        """Give the cost of a request back that has not run and never will.
+        """Refund the cost of a request that has not run and never will.
 
-        Call once for a charge. What was spent alone is not given back.
+        Call at most once for a charge. Cost from this node's own share is not refunded.
 
-        :return: whether it could be given back.
+        :return: whether the cost was refunded.
         """
         if charged.team is None or not passed.lease_window:
             return False
@@ -206,23 +215,24 @@
             charged.team.name, charged.cost, passed.lease_window, self._now()
         )
 
-    def _is_new_member(self) -> bool:
-        """Tell whether this node may not know yet who is the owner."""
-        is_new = not self._first_start and self._now() < NEW_MEMBER_S
+    def _is_new_node(self) -> bool:
+        """Return whether this node has just started and may not know the owners yet."""
+        is_new = not self._first_start and self._now() < NEW_NODE_S
         return is_new and not self._port.knows_owners()
 
-    async def _until_owners_are_known(self) -> None:
-        """Wait where this node's own share is below one prompt, as it is among 80 nodes.
+    async def _wait_for_known_owners(self) -> None:
+        """Wait until this node knows the owners, for at most :data:`NEW_NODE_S`.
 
-        A wait of one or two heartbeats is in time for most goals; a refusal brings the caller back
-        after as long, and costs it its first try.
+        Among 80 nodes a node's own share is below the cost of one prompt. A wait of one or two
+        heartbeats meets most goals, while a refused caller returns after the same time and has used
+        its first attempt.
         """
-        for _ in range(math.ceil(NEW_MEMBER_S / NEW_MEMBER_POLL_S)):
-            if not self._is_new_member():
+        for _ in range(math.ceil(NEW_NODE_S / NEW_NODE_POLL_S)):
+            if not self._is_new_node():
                 return
-            await asyncio.sleep(NEW_MEMBER_POLL_S)
+            await asyncio.sleep(NEW_NODE_POLL_S)
 
-    def _question(self, team: Team, charged: Charged) -> QuotaRequest:
+    def _build_request(self, team: Team, charged: Charged) -> QuotaRequest:
         return QuotaRequest(
             team.name,
             next(self._numbers),
@@ -235,14 +245,14 @@
         )
 
     def receive(self, sender: str, message: QuotaMessage) -> None:
-        """Take a question or an answer of another node.
+        """Handle a quota message of another node.
 
-        :param sender: its link address.
+        :param sender: link address of that node.
         """
         if isinstance(message, QuotaGrant):
             future = self._waiting.get(message.number)
             if future is None:
-                # The request went its way without it; the next one may spend the lease.
+                # The request was decided without this answer; later requests may spend the lease.
                 self._leases.add_grant(message, self._now())
             elif not future.done():
                 future.set_result(message)
@@ -253,7 +263,7 @@
         if isinstance(message, QuotaReturned):
             before = self._owner.spent(message.team, self._now())
             self._owner.apply_returned(message, self._now())
-            self._note_window(message.team, "returned", before, told_by=sender)
+            self._log_window(message.team, "returned", before, told_by=sender)
             return
         if isinstance(message, QuotaWindows):
             self._owner.apply_window_updates(message, self._now())
@@ -266,28 +276,36 @@
             self._owner.apply_spending_report(team, message, self._port.presence(), self._now())
             if message.window:
                 how = "copied" if message.copied else "handed over"
-                self._note_window(message.team, how, before, told_by=sender)
+                self._log_window(message.team, how, before, told_by=sender)
             return
         self._port.send(sender, self._answer(team, message))
 
     def _answer(self, team: Team, message: QuotaRequest) -> QuotaGrant:
-        """Answer as the owner."""
-        self._open(team)
+        """Answer a request for cost as the team's owner."""
+        self._start_owning(team)
         return self._owner.answer_request(team, message, self._port.presence(), self._now())
 
-    def _open(self, team: Team) -> None:
-        """Be a team's owner; a new one asks all others what was spent before."""
+    def _start_owning(self, team: Team) -> None:
+        """Open the window of a team that this node owns and survey the spending at all nodes.
+
+        Nothing happens if the window is open already.
+        """
         if not self._owner.is_new(team.name):
             return
         mine = self._spent(team.name)
         self._owner.start_owning(team, self._port.presence(), self._now())
         self._owner.apply_spending_report(team, mine, self._port.presence(), self._now())
-        self._note_window(team.name, "opened", -1.0)
+        self._log_window(team.name, "opened", -1.0)
         for address in self._port.others():
             self._port.send(address, QuotaSurvey(team.name))
 
-    def _note_window(self, team: str, how: str, before: float, told_by: str = "") -> None:
-        """Log that this node believes something else of what a team has spent."""
+    def _log_window(self, team: str, how: str, before: float, told_by: str = "") -> None:
+        """Log a change of the cost in a team's window.
+
+        :param how: the cause of the change.
+        :param before: cost in the window before the change.
+        :param told_by: link address of the node that sent the information.
+        """
         spent = self._owner.spent(team, self._now())
         if spent != before:
             log.info(
@@ -316,27 +334,27 @@
         )
 
     def replicate_windows(self) -> None:
-        """Tell what this node has leased to those that would succeed it.
+        """Send updates of this node's windows to the nodes that would own the teams after it.
 
         Call every :data:`WINDOW_REPLICATION_INTERVAL_S`.
         """
-        for telling in self._owner.window_updates(self._port.successors, self._now()):
-            self._port.send(telling.address, telling.message)
+        for update in self._owner.window_updates(self._port.successors, self._now()):
+            self._port.send(update.address, update.message)
 
     def refresh_ownership(self) -> None:
-        """Give up the teams whose owner is elsewhere, and begin to be the owner of others.
+        """Stop owning teams that another node owns now, and start owning the teams of this node.
 
-        Call after each change of the membership and about once a second: then an owner knows
-        what was spent before it is asked.
+        Call after each change of the membership and about once a second, so that an owner knows the
+        earlier spending before the first request.
         """
         mine = self._port.owner
         for returned in self._owner.release_unowned(lambda team: mine(team) is None, self._now()):
             address = mine(returned.team)
             if address is not None:
                 self._port.send(address, returned)
-        if self._now() < OPEN_AHEAD_S:
-            # Nobody is known yet, and this node would believe itself the owner of all.
+        if self._now() < OWNERSHIP_DELAY_S:
+            # No other member is known yet, so this node would consider itself the owner of all.
             return
         for team in self._teams().values():
             if team.rate_per_s > 0 and self._port.owner(team.name) is None:
-                self._open(team)
+                self._start_owning(team)
--- a/packages/chalkyoke/src/chalkyoke/quotas/copies.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/copies.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.quotas.copies
 
-Copies of owners' windows at the nodes that would succeed them. An owner tells what it has leased a
-few times a second; a successor then knows what was spent but for the last moment.
+Replication of owners' windows to the nodes that would own the teams next. An owner sends updates a
+few times a second, so a successor lacks only the spending of the last moment.
 """
 
 from collections.abc import Iterable
@@ -13,17 +13,23 @@
 from chalkyoke.quotas.messages import WindowUpdate
 from chalkyoke.quotas.window import SpendingWindow
 
-# A window in which nothing changes is told so often, in seconds: a silent copy is then a lost one.
-TELL_UNCHANGED_S = 1.0
-# A whole window is told so often, in seconds, in case a message was lost with its connection.
-TELL_WHOLE_S = 4.0
-# How old a copy may be for a successor to go on from it, in seconds: an owner in another failure
-# domain is missed after 2.5 s (membership.view), and a heartbeat may be late.
-FRESH_S = 4.0
+# Interval between updates of an unchanged window, in seconds: a copy without updates for longer has
+# lost its owner.
+UNCHANGED_UPDATE_INTERVAL_S = 1.0
+# Interval between updates that contain the whole window, in seconds; they repair updates that were
+# lost with a connection.
+FULL_UPDATE_INTERVAL_S = 4.0
+# Highest age of a copy that a successor resumes, in seconds: the loss of an owner in another
+# failure domain is detected after 2.5 s (membership.view), and a heartbeat may be late.
+MAX_COPY_AGE_S = 4.0
 
 
-class _Told(msgspec.Struct):
-    """What a successor was told of one team's window."""
+class _LastUpdate(msgspec.Struct):
+    """The last update of one team's window that a successor was sent.
+
+    :param at: time of the last update, in seconds.
+    :param whole_at: time of the last update with the whole window, in seconds.
+    """
 
     number: int
     total: float
@@ -32,41 +38,43 @@
 
 
 class WindowReplicator(msgspec.Struct):
-    """The owner's side: words what has changed since a successor was told last."""
+    """The owner's side: build the updates for successors."""
 
-    _told: dict[tuple[str, str], _Told] = msgspec.field(default_factory=dict)
+    _last_updates: dict[tuple[str, str], _LastUpdate] = msgspec.field(default_factory=dict)
 
     def next_update(
         self, address: str, team: str, ledger: Ledger, now: float
     ) -> WindowUpdate | None:
-        """Word a team's window for a successor; nothing where it need not be told now.
+        """Return the update of a team's window for a successor; None if none is due now.
 
-        :param address: the successor's link address.
+        :param address: link address of the successor.
         """
         number = ledger.window.number
-        told = self._told.get((address, team))
-        if told is None or told.number != number or now - told.whole_at >= TELL_WHOLE_S:
-            self._told[address, team] = _Told(number, ledger.leased, now, now)
+        last = self._last_updates.get((address, team))
+        if last is None or last.number != number or now - last.whole_at >= FULL_UPDATE_INTERVAL_S:
+            self._last_updates[address, team] = _LastUpdate(number, ledger.leased, now, now)
             parts = ledger.window.parts(now)
             return WindowUpdate(team, number, ledger.leased, ledger.share, parts)
-        if told.total == ledger.leased and now - told.at < TELL_UNCHANGED_S:
+        if last.total == ledger.leased and now - last.at < UNCHANGED_UPDATE_INTERVAL_S:
             return None
-        told.total, told.at = ledger.leased, now
+        last.total, last.at = ledger.leased, now
         return WindowUpdate(team, number, ledger.leased, ledger.share)
 
     def forget(self, kept: Iterable[tuple[str, str]]) -> None:
-        """Forget successors that are none any more, so that they are told whole windows again.
+        """Drop the state of former successors, which get a whole window if they become one again.
 
-        :param kept: pairs of address and team that stay.
+        :param kept: pairs of address and team of the present successors.
         """
-        for key in self._told.keys() - set(kept):
-            del self._told[key]
+        for key in self._last_updates.keys() - set(kept):
+            del self._last_updates[key]
 
 
-class Copy(msgspec.Struct):
-    """One team's window as its owner has told it.
+class WindowCopy(msgspec.Struct):
+    """The copy of one team's window.
 
-    :param at: when it was told last, on this node's clock, in seconds.
+    :param total: cost leased since the owner's window began, by the last update.
+    :param share: the share of the limit that the owner uses.
+    :param at: time of the last update, on this node's clock, in seconds.
     """
 
     window: SpendingWindow
@@ -74,48 +82,50 @@
     share: float
     at: float
 
-    def with_unreported(self, untold: float, now: float) -> tuple[float, ...]:
-        """Give the window with what the owner may have leased just after it told last.
+    def with_unreported(self, unreported: float, now: float) -> tuple[float, ...]:
+        """Return the window with the cost that the owner may have leased after its last update.
 
-        :return: parts of the window that ends now, oldest first.
+        :param unreported: this cost; it is added at the time of the last update.
+        :return: cost in each part of the window that ends now, oldest first.
         """
         parts = list(self.window.parts(now))
         back = min(len(parts), 1 + int((now - self.at) / self.window.window_s * len(parts)))
-        parts[-back] += untold
+        parts[-back] += unreported
         return tuple(parts)
 
 
 class WindowCopies:
-    """The successor's side.
+    """The successor's side: keep copies of owners' windows.
 
     :param window_s: length of the window, in seconds.
     """
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._copies: dict[str, Copy] = {}
-
-    def apply(self, told: WindowUpdate, now: float) -> None:
-        """Take what an owner tells of its window."""
-        copy = self._copies.get(told.team)
-        if told.parts:
-            window = SpendingWindow(self._window_s, told.number)
-            window.resume(told.parts, now)
-            self._copies[told.team] = Copy(window, told.total, told.share, now)
+        self._copies: dict[str, WindowCopy] = {}
+
+    def apply(self, update: WindowUpdate, now: float) -> None:
+        """Apply an update of an owner's window."""
+        copy = self._copies.get(update.team)
+        if update.parts:
+            window = SpendingWindow(self._window_s, update.number)
+            window.resume(update.parts, now)
+            self._copies[update.team] = WindowCopy(window, update.total, update.share, now)
             return
-        if copy is None or copy.window.number != told.number:
-            # The whole window comes within seconds; until then nothing is known of it.
+        if copy is None or copy.window.number != update.number:
+            # The update belongs to an unknown window. The owner sends the whole window within
+            # seconds; until then there is no usable copy.
             return
-        copy.window.add(told.total - copy.total, now)
-        copy.total, copy.share, copy.at = told.total, told.share, now
+        copy.window.add(update.total - copy.total, now)
+        copy.total, copy.share, copy.at = update.total, update.share, now
 
-    def find(self, team: str, now: float) -> Copy | None:
-        """Find the copy of a team's window, if it is fresh enough to go on from."""
+    def find(self, team: str, now: float) -> WindowCopy | None:
+        """Return the copy of a team's window; None if it is too old to resume."""
         copy = self._copies.get(team)
-        if copy is None or now - copy.at > FRESH_S:
+        if copy is None or now - copy.at > MAX_COPY_AGE_S:
             return None
         return copy
 
     def drop(self, team: str) -> None:
-        """Drop a copy that this node has gone on from."""
+        """Drop the copy of a team's window, which this node has resumed."""
         self._copies.pop(team, None)
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.quotas.leases
 
-A node's side of quotas: what it has leased and not spent, and a small share of its own for when
-no owner answers.
+A node's side of quotas: the unspent rest of its leases, and a small share of its own for the time
+when no owner answers.
 """
 
 from collections.abc import Callable
@@ -14,17 +14,19 @@
 from chalkyoke.quotas.messages import QuotaGrant
 from chalkyoke.quotas.window import QuotaLimits, SpendingWindow
 
-# Cost is leased ahead for the demand of so many seconds, a little less than a lease is valid.
-AHEAD_S = 0.4
-# How far back a node's demand is remembered, in seconds: a quarter of the usual window.
+# Cost is leased ahead for the demand of this many seconds, a little less than the lifetime of a
+# lease.
+LEASE_AHEAD_S = 0.4
+# Time over which a node's demand is averaged, in seconds: a quarter of the usual window.
 DEMAND_MEMORY_S = 2.0
-# What all nodes together may spend without an owner: a burst, as a part of what a window may see,
-# and a rate, as a part of the team's. Both lie in what owners leave unused (owner.USED_SHARE).
-ALONE_SHARE = 0.12
-ALONE_RATE_SHARE = 0.7
+# Limits on the spending of all nodes together without an owner: a burst, as a fraction of the
+# window limit, and a rate, as a fraction of the team's rate. Both fit into the part of the limit
+# that owners don't lease (owner.LEASABLE_SHARE).
+OWN_SHARE_BURST = 0.12
+OWN_SHARE_RATE = 0.7
 
 
-class _Held(msgspec.Struct):
+class _HeldLease(msgspec.Struct):
     balance: float = 0.0
     until: float = 0.0
     demand_per_s: float = 0.0
@@ -34,74 +36,75 @@
 
 
 class HeldLeases:
-    """Spend leased cost.
+    """Spend leased cost, and this node's own share without an owner.
 
-    :param limits: the strictness of quotas.
-    :param nodes: gives the number of nodes that there may be.
+    :param limits: limits on the cost in any window.
+    :param nodes: returns the number of nodes that may exist.
     """
 
     def __init__(self, limits: QuotaLimits, nodes: Callable[[], int]) -> None:
         self.limits = limits
         self._nodes = nodes
-        self._held: dict[str, _Held] = {}
-        self._alone: dict[str, Bucket] = {}
+        self._held: dict[str, _HeldLease] = {}
+        self._own_shares: dict[str, Bucket] = {}
         self._spent: dict[str, SpendingWindow] = {}
-        self._spent_alone: dict[str, float] = {}
+        self._unreported: dict[str, float] = {}
 
     def spend(self, team: Team, cost: float, version: int, now: float) -> bool:
-        """Spend cost from the lease, if it is enough.
+        """Spend cost from the lease.
 
-        :param version: configuration version; a lease of an older one is dropped.
-        :rtype: bool
+        :param version: configuration version; a lease under another version is dropped.
+        :return: whether the lease was valid and large enough.
         """
-        held = self._of(team.name)
-        self._note_demand(held, cost, now)
+        held = self._lease_of_team(team.name)
+        self._record_demand(held, cost, now)
         if held.version != version:
             held.balance, held.version = 0.0, version
         if now >= held.until or held.balance < cost:
             return False
         held.balance -= cost
-        self._note_spent(team.name, cost, now)
+        self._record_spent(team.name, cost, now)
         return True
 
     def lease_window(self, team: str) -> int:
-        """Name the window that the present lease of a team is of."""
-        return self._of(team).lease_window
+        """Return the number of the window that the present lease of a team is from; 0 if none."""
+        return self._lease_of_team(team).lease_window
 
     def refund(self, team: str, cost: float, lease_window: int, now: float) -> bool:
-        """Put cost back into the lease that it was spent from, for work that never ran.
+        """Return cost to the lease that it was spent from, for a request that never ran.
 
-        It serves the next request, or goes back to the owner with the next question.
+        The cost serves the next request, or returns to the owner with the next request for cost.
 
-        :param lease_window: the window that the lease was of; another owner does not know of it.
-        :return: whether it could be put back.
+        :param lease_window: number of the window that the cost was leased from; only its owner has
+            counted the cost.
+        :return: whether the present lease is from that window.
         """
-        held = self._of(team)
+        held = self._lease_of_team(team)
         if held.lease_window != lease_window:
             return False
         held.balance += cost
-        self._spent_by(team).give_back(cost, now)
+        self._spending_window(team).give_back(cost, now)
         return True
 
     def cost_ahead(self, team: Team) -> float:
-        """Tell how much cost is worth leasing ahead.
+        """Return the cost to lease ahead, by the recent demand of this node.
 
         :rtype: float
         """
-        return self._of(team.name).demand_per_s * AHEAD_S
+        return self._lease_of_team(team.name).demand_per_s * LEASE_AHEAD_S
 
     def take_remainder(self, team: str) -> tuple[float, int]:
-        """Empty a lease that is not enough or over, to return what is left of it.
+        """Empty a lease that is too small or expired, to return the rest to the owner.
 
-        :return: what is left, and the window that it is of.
+        :return: the unspent cost, and the number of the window that it was leased from.
         """
-        held = self._of(team)
+        held = self._lease_of_team(team)
         left, held.balance = held.balance, 0.0
         return left, held.lease_window
 
     def add_grant(self, grant: QuotaGrant, now: float) -> None:
-        """Add a lease to what may be spent."""
-        held = self._of(grant.team)
+        """Add a granted lease; a rest from another window is dropped."""
+        held = self._lease_of_team(grant.team)
         if grant.amount <= 0:
             return
         if held.lease_window != grant.lease_window:
@@ -110,67 +113,67 @@
         held.until = now + grant.valid_s
 
     def accept_grant(self, grant: QuotaGrant, cost: float, now: float) -> bool:
-        """Take a lease, and spend the cost of the request that asked for it.
+        """Add a granted lease and spend the cost of the request that it was requested for.
 
-        :return: whether the request may pass.
+        :return: whether the request is within the quota.
         """
         self.add_grant(grant, now)
-        held = self._of(grant.team)
+        held = self._lease_of_team(grant.team)
         if grant.amount <= 0 or held.balance < cost:
             return False
         held.balance -= cost
-        self._note_spent(grant.team, cost, now)
+        self._record_spent(grant.team, cost, now)
         return True
 
     def spend_own_share(self, team: Team, cost: float, now: float) -> bool:
-        """Spend from this node's own share, while no owner answers.
+        """Spend cost from this node's own share, while no owner answers.
 
-        :rtype: bool
+        :return: whether the share was large enough.
         """
         nodes = max(1, self._nodes())
-        rate = ALONE_RATE_SHARE * team.rate_per_s / nodes
+        rate = OWN_SHARE_RATE * team.rate_per_s / nodes
         most = self.limits.window_limit(team.rate_per_s, team.burst)
-        capacity = ALONE_SHARE * most / nodes
-        bucket = self._alone.get(team.name)
+        capacity = OWN_SHARE_BURST * most / nodes
+        bucket = self._own_shares.get(team.name)
         if bucket is None:
-            bucket = self._alone[team.name] = Bucket(rate, capacity, capacity, now)
+            bucket = self._own_shares[team.name] = Bucket(rate, capacity, capacity, now)
         elif (bucket.rate_per_s, bucket.capacity) != (rate, capacity):
             bucket.reconfigure(rate, capacity, now)
         passed = bucket.try_consume(cost, now)
         if passed:
-            self._note_spent(team.name, cost, now)
-            self.note_alone(team.name, cost)
+            self._record_spent(team.name, cost, now)
+            self.add_unreported(team.name, cost)
         return passed
 
-    def note_alone(self, team: str, cost: float) -> None:
-        """Note cost that was spent alone and that no owner knows of yet."""
-        self._spent_alone[team] = self._spent_alone.get(team, 0.0) + cost
+    def add_unreported(self, team: str, cost: float) -> None:
+        """Add cost from the own share that has to be reported to the owner."""
+        self._unreported[team] = self._unreported.get(team, 0.0) + cost
 
     def pop_unreported(self, team: str) -> float:
-        """Give what was spent alone since an owner was told last; it is told now."""
-        return self._spent_alone.pop(team, 0.0)
+        """Return the cost from the own share since the last report, and reset it to 0."""
+        return self._unreported.pop(team, 0.0)
 
     def spent(self, team: str, now: float) -> float:
-        """Give what this node has spent of a team's quota in the window that ends now.
+        """Return the cost that this node has spent of a team's quota in the window that ends now.
 
         :rtype: float
         """
         window = self._spent.get(team)
         return 0.0 if window is None else window.spent(now)
 
-    def _note_spent(self, team: str, cost: float, now: float) -> None:
-        self._spent_by(team).add(cost, now)
+    def _record_spent(self, team: str, cost: float, now: float) -> None:
+        self._spending_window(team).add(cost, now)
 
-    def _spent_by(self, team: str) -> SpendingWindow:
+    def _spending_window(self, team: str) -> SpendingWindow:
         window = self._spent.get(team)
         if window is None:
             window = self._spent[team] = SpendingWindow(self.limits.window_s)
         return window
 
-    def _of(self, name: str) -> _Held:
-        return self._held.setdefault(name, _Held())
+    def _lease_of_team(self, name: str) -> _HeldLease:
+        return self._held.setdefault(name, _HeldLease())
 
-    def _note_demand(self, held: _Held, cost: float, now: float) -> None:
+    def _record_demand(self, held: _HeldLease, cost: float, now: float) -> None:
         elapsed = now - held.demand_at
         decay = max(0.0, 1.0 - elapsed / DEMAND_MEMORY_S)
         held.demand_per_s = held.demand_per_s * decay + cost / DEMAND_MEMORY_S
--- a/packages/chalkyoke/src/chalkyoke/quotas/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/messages.py
@@ -1,23 +1,24 @@
 """
 chalkyoke.quotas.messages
 
-What nodes and the owner of a team's quota say to each other.
+Messages between nodes and the owners of team quotas.
 """
 
 import msgspec
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="quota_request"):
-    """Ask the owner of a team for some cost.
-
-    :param number: names the question; the answer has the same.
-    :param need: cost of the request that waits for it.
-    :param ahead: cost that is welcome on top, for the next requests.
-    :param lease_window: the window that those leases were of; an owner takes back only its own.
-    :param returned: what is left of earlier leases and comes back with this question.
-    :param rank: how urgent the request's route is; the less urgent are refused first.
-    :param version: configuration version by which the asking node judges.
-    :param alone: cost that the node has spent from its own share, while no owner answered.
+    """A node requests a lease from the owner of a team.
+
+    :param number: number of the request, repeated in the answer.
+    :param need: cost of the request that waits for the lease.
+    :param ahead: additional cost for later requests.
+    :param version: configuration version at the requesting node.
+    :param rank: rank of the request's route; 0 is the most urgent, higher ranks are refused first.
+    :param returned: unspent cost of earlier leases, which the node returns.
+    :param lease_window: number of the window that the returned cost was leased from; an owner
+        accepts only cost of its own window.
+    :param alone: cost that the node spent from its own share while no owner answered.
     """
 
     team: str
@@ -32,13 +33,14 @@
 
 
 class QuotaGrant(msgspec.Struct, frozen=True, array_like=True, tag="quota_grant"):
-    """Lease some cost; 0 is a refusal.
-
-    :param retry_after_s: when to come back after a refusal.
-    :param lease_window: names the window that the lease is of.
-    :param valid_s: how long what is left of the lease may be spent.
-    :param spent: what the owner counts in the window.
-    :param most: what it leases in a window at most.
+    """An owner leases cost to a node, or refuses.
+
+    :param amount: leased cost; 0 is a refusal.
+    :param retry_after_s: retry delay after a refusal, in seconds.
+    :param valid_s: lifetime of the lease, in seconds.
+    :param lease_window: number of the window that the cost is leased from.
+    :param spent: after a refusal, the cost in the owner's window.
+    :param most: after a refusal, the highest cost that the owner leases in a window.
     """
 
     team: str
@@ -52,21 +54,22 @@
 
 
 class QuotaSurvey(msgspec.Struct, frozen=True, array_like=True, tag="quota_survey"):
-    """A node that has become the owner of a team asks what has been spent lately."""
+    """A new owner of a team asks a node for its spending in the present window."""
 
     team: str
 
 
 class QuotaSpent(msgspec.Struct, frozen=True, array_like=True, tag="quota_spent"):
-    """Tell a new owner what one node has spent in the window that ends now.
-
-    :param known_s: for how long before now this node can tell; less than the window where it
-        started only then.
-    :param window: where this node was the owner until now, all that was leased in the window, in
-        equal parts, oldest first.
-    :param own: the part of ``window`` that no other node tells of.
-    :param copied: whether ``window`` is this node's copy of an earlier owner's.
-    :param share: the share of the team's limit that the owner of a copy used.
+    """A node's answer to the survey of a new owner.
+
+    :param cost: cost that the node spent in the window that ends now.
+    :param known_s: time since the node started, in seconds; if it is less than the window, earlier
+        spending is unknown.
+    :param window: if the node was the owner until now, the cost leased in each of the equal parts
+        of the window, oldest first.
+    :param own: the part of ``window`` that no other node reports.
+    :param copied: whether ``window`` is this node's copy of an earlier owner's window.
+    :param share: for a copy, the share of the team's limit that its owner used.
     """
 
     team: str
@@ -80,12 +83,13 @@
 
 
 class WindowUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What one team's owner has leased, for the nodes that would succeed it.
+    """An update of one team's window for the nodes that would own the team next.
 
-    :param number: names the window.
-    :param total: cost leased since the window began, what came back taken off.
+    :param number: number of the window.
+    :param total: cost leased since the window began, without the returned cost.
     :param share: the share of the team's limit that the owner uses.
-    :param parts: the whole window in equal parts, oldest first; empty where only ``total`` is told.
+    :param parts: cost in each of the equal parts of the window, oldest first; empty if the update
+        has only ``total``.
     """
 
     team: str
@@ -96,16 +100,16 @@
 
 
 class QuotaWindows(msgspec.Struct, frozen=True, array_like=True, tag="quota_windows"):
-    """An owner tells a node that would succeed it what it has leased lately."""
+    """Updates of an owner's windows for one successor."""
 
     windows: tuple[WindowUpdate, ...]
 
 
 class QuotaReturned(msgspec.Struct, frozen=True, array_like=True, tag="quota_returned"):
-    """After a cut, what one side leased on its own, for the owner of the whole fleet.
+    """Cost that one side of a healed partition leased, for the owner of the whole fleet.
 
-    :param share: the share of the team's limit that the side used; it comes back with this.
-    :param parts: what it leased, in equal parts of the window, oldest first.
+    :param share: the share of the team's limit that this side used and now returns.
+    :param parts: cost leased in each of the equal parts of the window, oldest first.
     """
 
     team: str
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
@@ -6,7 +6,7 @@
 from chalkyoke.catalog.resources import Team
 from chalkyoke.quotas.client import WINDOW_REPLICATION_INTERVAL_S
 from chalkyoke.quotas.leases import HeldLeases
-from chalkyoke.quotas.ledger import Handed
+from chalkyoke.quotas.ledger import HandedOffWindow
 from chalkyoke.quotas.messages import QuotaRequest, QuotaSpent
 from chalkyoke.quotas.owner import Presence, QuotaOwner
 from chalkyoke.quotas.window import QuotaLimits
@@ -118,7 +118,7 @@
                 owner.owner.apply_returned(message, owner.local(self.now))
         for side in self.sides:
             owner = self.nodes[self.owner_of(next(iter(side)))]
-            self._open(owner, Presence(len(side), len(self.nodes)))
+            self._start_owning(owner, Presence(len(side), len(self.nodes)))
 
     def ask(self, name, cost, rank=0):
         self.tick()
@@ -145,17 +145,17 @@
             *node.leases.take_remainder("t"),
             node.leases.pop_unreported("t"),
         )
-        self._open(owner, presence)
+        self._start_owning(owner, presence)
         return owner.owner.answer_request(self.team, message, presence, owner.local(self.now))
 
-    def _open(self, owner, presence):
+    def _start_owning(self, owner, presence):
         if not owner.owner.is_new("t"):
             return
         owner.owner.start_owning(self.team, presence, owner.local(self.now))
         for other in self.side(owner.name):
             each = self.nodes[other]
             known = each.local(self.now)
-            handed = each.owner.hand_off("t", known) if each is not owner else Handed()
+            handed = each.owner.hand_off("t", known) if each is not owner else HandedOffWindow()
             spent = QuotaSpent(
                 "t",
                 str(other),
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
@@ -2,10 +2,10 @@
 
 import msgspec
 import pytest
-from chalkyoke.quotas.ledger import Handed, new_ledger
+from chalkyoke.quotas.ledger import HandedOffWindow, new_ledger
 from chalkyoke.quotas.messages import QuotaRequest, QuotaSpent
 from chalkyoke.quotas.owner import Presence, QuotaOwner
-from chalkyoke.quotas.window import BUCKETS
+from chalkyoke.quotas.window import WINDOW_PARTS
 
 from .fleet import LIMITS, TEAM, Fleet
 
@@ -282,8 +282,8 @@
 def test_the_same_spending_seen_by_two_clocks_counts_once(copied):
     """Two nodes tell one window, the edges of its parts a little apart."""
     ledger = new_ledger(LIMITS, 1, MOST, 1.0, 10.0)
-    spikes = tuple(9000.0 if part % 4 == 0 else 0.0 for part in range(BUCKETS))
+    spikes = tuple(9000.0 if part % 4 == 0 else 0.0 for part in range(WINDOW_PARTS))
     shifted = (*spikes[1:], 0.0)
-    ledger.resume(Handed(spikes, copied=copied), 10.0)
-    ledger.resume(Handed(shifted, copied=copied), 10.0)
+    ledger.resume(HandedOffWindow(spikes, copied=copied), 10.0)
+    ledger.resume(HandedOffWindow(shifted, copied=copied), 10.0)
     assert ledger.window.spent(10.0) == sum(spikes)
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
@@ -1,5 +1,5 @@
 from chalkyoke.quotas.bucket import Bucket
-from chalkyoke.quotas.window import BUCKETS, SpendingWindow
+from chalkyoke.quotas.window import WINDOW_PARTS, SpendingWindow
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -14,7 +14,7 @@
         window.add(cost, now)
         spent.append((now, cost))
         exact = sum(each for at, each in spent if at > now - 8.0)
-        loose = sum(each for at, each in spent if at > now - 8.0 - 2 * 8.0 / BUCKETS)
+        loose = sum(each for at, each in spent if at > now - 8.0 - 2 * 8.0 / WINDOW_PARTS)
         assert exact - 1e-6 <= window.spent(now) <= loose + 1e-6
 
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/window.py
@@ -1,28 +1,32 @@
 """
 chalkyoke.quotas.window
 
-What a team has spent in the last seconds, against what a window of that length may see. A sliding
-window in buckets; the oldest bucket counts whole until it is out.
+A sliding window over a team's spending, divided into buckets. The oldest bucket counts in full
+until all of it has left the window.
 """
 
 from collections import deque
 
 import msgspec
 
-# Parts of a window: at 8 s one is 0.2 s long, and 2.5 in 100 of the window is counted too long.
-BUCKETS = 40
-# What each quarter of an unknown window is assumed to hold, the oldest first. A owner leases three
-# tenths of the window in a quarter at most, so all of it may lie in the newest three quarters and
-# a little: then hardly anything may be leased anew before it is out.
+# Number of parts of a window. With a window of 8 s a part has 0.2 s, so spending may count for too
+# long by 2.5 in 100 of the window.
+WINDOW_PARTS = 40
+# Assumed fraction of the spending in each quarter of an unknown window, oldest first. An owner
+# leases at most three tenths of the window in a quarter, so all spending may lie in little more
+# than the newest three quarters. Hardly anything may be leased then before this spending has left
+# the window.
 ASSUMED_SPREAD = (0.18, 0.11, 0.33, 0.38)
 
 
 class QuotaLimits(msgspec.Struct, frozen=True):
-    """How quotas are kept over all nodes.
+    """The tolerance of quotas over all nodes.
 
-    A window may see ``(rate * window + burst) * (1 + over) + slack``.
+    A window may hold a cost of ``(rate * window + burst) * (1 + over) + slack``.
 
     :param window_s: length of the window, in seconds.
+    :param over: tolerated excess over the quota, as a fraction.
+    :param slack: tolerated excess over the quota, as a cost.
     """
 
     window_s: float = 8.0
@@ -30,7 +34,7 @@
     slack: float = 0.0
 
     def window_limit(self, rate_per_s: float, burst: float) -> float:
-        """Give the cost that any window may see.
+        """Return the highest cost that any window may hold.
 
         :rtype: float
         """
@@ -38,9 +42,9 @@
 
 
 class SpendingWindow(msgspec.Struct):
-    """Sum what was spent in the last ``window_s`` seconds.
+    """Sum the cost spent in the last ``window_s`` seconds.
 
-    :param number: names the window among all of the fleet.
+    :param number: number of the window, unique in the fleet.
 
     Usage::
 
@@ -55,7 +59,7 @@
     _sum: float = 0.0
 
     def add(self, cost: float, now: float) -> None:
-        """Note that cost was spent."""
+        """Add cost that is spent now."""
         index = self._index(now)
         if self._buckets and self._buckets[-1][0] >= index:
             last, before = self._buckets.pop()
@@ -65,9 +69,9 @@
         self._sum += cost
 
     def give_back(self, cost: float, now: float) -> float:
-        """Take back what was noted as spent and was not, as far as it is still in the window.
+        """Subtract unspent cost, as far as it is still in the window.
 
-        :return: how much that was.
+        :return: the cost that was subtracted.
         """
         if cost <= 0 or not self._buckets:
             return 0.0
@@ -76,34 +80,34 @@
         return taken
 
     def scale(self, factor: float) -> None:
-        """Multiply all that was spent."""
+        """Multiply the cost in the window by a factor."""
         self._buckets = deque((index, cost * factor) for index, cost in self._buckets)
         self._sum *= factor
 
     def assume(self, cost: float, now: float) -> None:
-        """Assume cost spent in the window that ends now, by :data:`ASSUMED_SPREAD`.
+        """Replace the window by an assumed cost, distributed by :data:`ASSUMED_SPREAD`.
 
-        For when somebody else kept the window until now and what was spent is not known.
+        Used if another node kept the window until now and the spending is not known.
         """
         last = self._index(now)
         self._buckets.clear()
-        for back in range(BUCKETS, 0, -1):
-            share = ASSUMED_SPREAD[(BUCKETS - back) * len(ASSUMED_SPREAD) // BUCKETS]
-            part = cost * share * len(ASSUMED_SPREAD) / BUCKETS
+        for back in range(WINDOW_PARTS, 0, -1):
+            share = ASSUMED_SPREAD[(WINDOW_PARTS - back) * len(ASSUMED_SPREAD) // WINDOW_PARTS]
+            part = cost * share * len(ASSUMED_SPREAD) / WINDOW_PARTS
             self._buckets.append((last - back, part))
         self._sum = cost
 
     def parts(self, now: float) -> tuple[float, ...]:
-        """Give what was spent in each of :data:`BUCKETS` equal parts of the window, oldest first.
+        """Return the cost in each of :data:`WINDOW_PARTS` equal parts, oldest first.
 
         :rtype: tuple[float, ...]
         """
         last = self._index(now)
         by_index = dict(self._buckets)
-        return tuple(by_index.get(last - back, 0.0) for back in range(BUCKETS - 1, -1, -1))
+        return tuple(by_index.get(last - back, 0.0) for back in range(WINDOW_PARTS - 1, -1, -1))
 
     def resume(self, parts: tuple[float, ...], now: float) -> None:
-        """Go on from the parts of another window that ends now."""
+        """Replace the content by the parts of another window that ends now, oldest first."""
         last = self._index(now)
         self._buckets.clear()
         for back, cost in zip(range(len(parts) - 1, -1, -1), parts, strict=True):
@@ -111,21 +115,21 @@
         self._sum = sum(parts)
 
     def spent(self, now: float, within_s: float | None = None) -> float:
-        """Give what was spent in the window that ends now.
+        """Return the cost in the window that ends now.
 
-        :param within_s: look only so far back, in seconds.
+        :param within_s: count only the last part of the window, of this length in seconds.
         :rtype: float
         """
         if within_s is not None:
             since = self._index(now - within_s)
             return sum(cost for index, cost in self._buckets if index > since)
-        oldest = self._index(now) - BUCKETS
+        oldest = self._index(now) - WINDOW_PARTS
         while self._buckets and self._buckets[0][0] < oldest:
             self._sum -= self._buckets.popleft()[1]
         return self._sum if self._buckets else 0.0
 
     def free_in_s(self, cost: float, now: float) -> float:
-        """Tell how long until so much of what was spent is out of the window, in seconds.
+        """Return the time until the given cost has left the window, in seconds.
 
         :rtype: float
         """
@@ -133,8 +137,8 @@
         for index, amount in self._buckets:
             left -= amount
             if left <= 0:
-                return max(0.0, (index + 1 + BUCKETS) * self.window_s / BUCKETS - now)
+                return max(0.0, (index + 1 + WINDOW_PARTS) * self.window_s / WINDOW_PARTS - now)
         return self.window_s
 
     def _index(self, now: float) -> int:
-        return int(now / self.window_s * BUCKETS)
+        return int(now / self.window_s * WINDOW_PARTS)
