--- a/packages/chalkyoke/src/chalkyoke/limits/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/__init__.py
@@ -1,6 +1,6 @@
 """
 chalkyoke.limits
 
-How many requests a second a replica takes from all nodes together, by its own word: who knows it,
-who counts, and how a node gets permission to send.
+Rate limits that replicas announce, in requests per second from all nodes together: their
+distribution to all nodes, the keepers that count requests, and the permits to send.
 """
--- a/packages/chalkyoke/src/chalkyoke/limits/allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/allowance.py
@@ -1,28 +1,31 @@
 """
 chalkyoke.limits.allowance
 
-The requests that one replica may get from all nodes, spent by one process for all of them.
+The request budget of one limited replica, kept by one process for all nodes.
 """
 
 from chalkyoke.quotas.bucket import Bucket
 
-# What a replica gets that takes less, in requests a second: an answer is the only word that a limit
-# has risen or is over, so that one request in five seconds goes to hear it.
-LEAST_PER_S = 0.2
-# What may be saved up for a burst, in requests and in seconds of the limit: some ticks of a pool's
-# scheduler, and a request that comes a little later. The rest of what operators allow beyond a
-# limit is kept for what no count sees at once: another keeper, requests on their way.
+# Lowest rate to a limited replica, in requests per second. Only an answer shows that a limit has
+# risen or is removed, so one request in five seconds is sent even under a lower limit.
+MIN_RATE_PER_S = 0.2
+# Capacity for a burst, in requests and additionally in seconds of the limit: some ticks of a pool's
+# scheduler, and a request that arrives a little later. The rest of the tolerance that operators
+# allow beyond a limit is left for requests that are not counted at once: those permitted by another
+# keeper, and those in flight.
 BURST_REQUESTS = 2.0
 BURST_S = 0.1
-# What may lack of a whole request, in requests: levels are sums of fractions.
+# Tolerance for a missing part of a request, in requests, since levels are sums of fractions.
 EPSILON = 1e-9
 
 
 class Allowance:
-    """Count for one start of a replica. It begins empty: what it got before nobody has counted.
+    """A token bucket for one start of a replica.
 
-    :param limit_per_s: requests a second that the replica takes from all nodes.
-    :param share: the part of them that this process gives out.
+    The bucket is empty at first, since requests sent before were not counted.
+
+    :param limit_per_s: requests per second that the replica takes from all nodes.
+    :param share: the fraction of the limit that this process allocates.
     """
 
     def __init__(self, limit_per_s: float, share: float, now: float) -> None:
@@ -31,9 +34,9 @@
         self._bucket = Bucket(self._rate(), self._capacity(), 0.0, now)
 
     def reconfigure(self, limit_per_s: float, share: float, now: float) -> bool:
-        """Take another limit or another part of it.
+        """Set the limit and the share.
 
-        :return: whether it is another one.
+        :return: whether one of them has changed.
         """
         if (limit_per_s, share) == (self.limit_per_s, self.share):
             return False
@@ -43,33 +46,33 @@
 
     @property
     def rate_per_s(self) -> float:
-        """What is given out here, in requests a second."""
+        """The rate that this process allocates, in requests per second."""
         return self._bucket.rate_per_s
 
     def opens_in_s(self, now: float) -> float:
-        """Tell how long it takes until one more request may go, in seconds."""
+        """Return the time until one more request may be sent, in seconds; 0 if it may be now."""
         self._bucket.refill(now)
         missing = 1.0 - self._bucket.level
         return max(0.0, missing / self._bucket.rate_per_s) if missing > EPSILON else 0.0
 
     def is_open(self, now: float) -> bool:
-        """Tell whether one more request may go now."""
+        """Return whether one more request may be sent now."""
         return self.opens_in_s(now) <= 0
 
     def set_level(self, requests: float) -> None:
-        """Begin with a part of a request in hand."""
+        """Set the level of the bucket, in requests; at most the capacity."""
         self._bucket.level = min(self._bucket.capacity, requests)
 
     def consume(self, now: float) -> None:
-        """Count a request, one that can't wait included: what follows waits for it."""
+        """Count a request even if the level is too low; later requests wait for longer then."""
         self._bucket.refill(now)
         self._bucket.level -= 1.0
 
     def reserve(self, most_wait_s: float, now: float) -> float | None:
-        """Count a request that goes as soon as it may.
+        """Reserve the earliest time for a request.
 
-        :param most_wait_s: how long it would wait.
-        :return: how long it waits, in seconds; nothing where that is too long.
+        :param most_wait_s: longest time that the request would wait, in seconds.
+        :return: the waiting time in seconds; None if it is too long, and nothing is reserved.
         """
         wait_s = self.opens_in_s(now)
         if wait_s > most_wait_s:
@@ -78,11 +81,11 @@
         return wait_s
 
     def give_back(self) -> None:
-        """Take a request back that never left its node."""
+        """Return the permit of a request that was never sent."""
         self._bucket.level = min(self._bucket.capacity, self._bucket.level + 1.0)
 
     def _rate(self) -> float:
-        return max(LEAST_PER_S, self.limit_per_s) * self.share
+        return max(MIN_RATE_PER_S, self.limit_per_s) * self.share
 
     def _capacity(self) -> float:
         return BURST_REQUESTS + BURST_S * self._rate()
--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.limits.announcements
 
-The limits that replicas name: heard in answers, told to all nodes, kept by those that count.
+Distribution of the rate limits that replicas announce: received in answers, broadcast to all nodes.
 """
 
 import math
@@ -16,19 +16,19 @@
 from chalkyoke.membership.messages import MemberRecord
 from chalkyoke.membership.view import MembershipView
 
-# The word of messages between nodes.
-LIMIT = "limit"
-# How soon after one change of a replica's limit the next one is told to all nodes, in seconds; what
-# has changed meanwhile is told once. A replica may name another limit in each answer.
-BROADCAST_S = 0.25
-# Changes of limits that one message tells at most, in number.
-MOST_BROADCAST = 500
+# Name of the limit among the replica attributes in messages between nodes.
+LIMIT_ATTRIBUTE = "limit"
+# Shortest time between two broadcasts of a replica's limit, in seconds; changes in between are
+# combined into one broadcast. A replica may announce another limit in each answer.
+BROADCAST_INTERVAL_S = 0.25
+# Highest number of changed limits in one message.
+MAX_BROADCAST_CHANGES = 500
 
 log = logger("limits")
 
 
 class LimitAnnouncements:
-    """Take what replicas say of their limits, and what other nodes were told.
+    """Record the limits that replicas and other nodes report, and broadcast changes.
 
     :param send: sends a message to a node by its link address.
     :param changed: called after a limit has changed.
@@ -57,13 +57,13 @@
         metrics.gauge("replica_limits", lambda: len(known.limits()))
 
     def note_answer(self, replica: str, limit_per_s: float | None) -> None:
-        """Take a replica's own word, and tell all nodes what is new.
+        """Record the limit in a replica's answer, and broadcast a change.
 
-        :param replica: id of its start.
-        :param limit_per_s: requests a second from all nodes; nothing where it names no limit.
+        :param replica: id of the replica's start.
+        :param limit_per_s: requests per second from all nodes; None if the answer has no limit.
         """
         now = self._now()
-        if not self._take(replica, limit_per_s, now, "answer"):
+        if not self._update(replica, limit_per_s, now, "answer"):
             return
         self._changed()
         if now >= self._broadcast_from.get(replica, -math.inf):
@@ -72,46 +72,48 @@
             self._pending.add(replica)
 
     def apply_report(self, replica: str, limit_per_s: float | None, at: float) -> None:
-        """Take what another node believes that asks this one.
+        """Record the limit that another node sent in a request for a permit; it isn't broadcast.
 
-        :param at: when the replica said so, on this node's clock.
+        :param at: time of the replica's answer, in seconds on this node's clock.
         """
-        if self._take(replica, limit_per_s, at, "question"):
+        if self._update(replica, limit_per_s, at, "question"):
             self._changed()
 
     def receive(self, address: str, message: ReplicaAttributes) -> None:
-        """Take what another node was told.
+        """Record the limits in another node's broadcast, and relay it within the failure domain.
 
         :param address: link address of the node.
         """
         now = self._now()
-        limits = [each for each in message.items if each.word == LIMIT]
-        new = [self._take(each.replica, each.value, now - each.age_s, address) for each in limits]
+        limits = [each for each in message.items if each.word == LIMIT_ATTRIBUTE]
+        new = [self._update(each.replica, each.value, now - each.age_s, address) for each in limits]
         if any(new):
             self._changed()
         relay_on(self._view, self._send, message)
 
     def member_joined(self, member: MemberRecord) -> None:
-        """Tell a node that has started or was cut off the limits that were first heard here.
+        """Send the limits that this node broadcast to a node that has joined.
 
-        A node that misses this learns it by the first answer of the replica itself.
+        A node that misses this message learns a limit from the first answer of the replica.
         """
         limits = self._known.limits()
-        if first_here := [each for each in self._broadcast_from if each in limits][:MOST_BROADCAST]:
+        if first_here := [each for each in self._broadcast_from if each in limits][
+            :MAX_BROADCAST_CHANGES
+        ]:
             self._send(member.address, self._message(first_here))
 
     def broadcast_pending(self) -> None:
-        """Tell what has changed since it was told last, and drop what is over."""
+        """Broadcast changes that were delayed, and drop expired state."""
         now = self._now()
         self._known.forget(self._state.replicas.keys(), now)
         self._broadcast_from = {
             name: at for name, at in self._broadcast_from.items() if self._known.has_report(name)
         }
-        if late := sorted(self._pending & self._broadcast_from.keys())[:MOST_BROADCAST]:
+        if late := sorted(self._pending & self._broadcast_from.keys())[:MAX_BROADCAST_CHANGES]:
             self._broadcast(late)
         self._pending &= self._broadcast_from.keys()
 
-    def _take(self, replica: str, limit_per_s: float | None, at: float, source: str) -> bool:
+    def _update(self, replica: str, limit_per_s: float | None, at: float, source: str) -> bool:
         before = self._known.limit_of(replica)
         if not self._known.update(replica, limit_per_s, at):
             return False
@@ -123,13 +125,13 @@
             source=source,
             age_s=round(self._now() - at, 4),
         )
-        self._metrics.count("replica_limit_changes", source=_kind(source))
+        self._metrics.count("replica_limit_changes", source=_metric_source(source))
         return True
 
     def _broadcast(self, replicas: list[str]) -> None:
         now = self._now()
         for each in replicas:
-            self._broadcast_from[each] = now + BROADCAST_S
+            self._broadcast_from[each] = now + BROADCAST_INTERVAL_S
         self._pending.difference_update(replicas)
         tell_all(self._view, self._send, self._message(replicas))
 
@@ -138,12 +140,15 @@
         return ReplicaAttributes(
             tuple(
                 ReplicaAttribute(
-                    each, LIMIT, self._known.limit_of(each), now - self._known.reported_at(each)
+                    each,
+                    LIMIT_ATTRIBUTE,
+                    self._known.limit_of(each),
+                    now - self._known.reported_at(each),
                 )
                 for each in replicas
             )
         )
 
 
-def _kind(source: str) -> str:
+def _metric_source(source: str) -> str:
     return source if source in ("answer", "question") else "peer"
--- a/packages/chalkyoke/src/chalkyoke/limits/client.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/client.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.limits.client
 
-Ask for a permit to send a request to a replica that names a limit: the keeper, the next in line
-where that one is silent, and this node's own small part where nobody answers.
+Permits to send a request to a replica with a rate limit. A permit comes from the keeper, from the
+next keeper in line if the first is silent, or from this node's own small share if none answers.
 """
 
 import asyncio
@@ -18,16 +18,17 @@
 from chalkyoke.limits.messages import PermitAnswer, PermitMessage, PermitRequest, PermitReturned
 from chalkyoke.logs import logger
 
-# How long a keeper's answer is waited for, in seconds: ten round trips between failure domains.
-ANSWER_S = 0.03
-# How long a silent keeper is passed over, in seconds; one request finds out for all.
-AVOID_S = 0.4
-# The keeper, the next in another failure domain and the next in this node's own.
+# Timeout for a keeper's answer, in seconds: ten round trips between failure domains.
+ANSWER_TIMEOUT_S = 0.03
+# Time for which all requests skip a keeper that did not answer one of them, in seconds.
+KEEPER_BACKOFF_S = 0.4
+# Number of keepers that a request is sent to, one after the other: the keeper, the next in another
+# failure domain and the next in this node's own.
 KEEPERS_ASKED = 3
-# The part of a limit that all nodes together use that reach no keeper.
-ALONE_SHARE = 0.1
-# The process that stands in permits that this node has given itself.
-ALONE = ""
+# Fraction of a limit that all nodes without a reachable keeper use together.
+OWN_SHARE = 0.1
+# Keeper in permits from this node's own share.
+NO_KEEPER = ""
 
 log = logger("limits")
 
@@ -35,49 +36,51 @@
 class Permit(msgspec.Struct, frozen=True):
     """Permission to send one request.
 
-    :param limit_per_s: the limit under which it was given; nothing where there was none.
-    :param keeper: the process that gave it.
-    :param wait_s: how long to wait before the request is sent.
+    :param limit_per_s: the limit under which the permit was granted, in requests per second; None
+        if there was none.
+    :param keeper: the process that granted the permit.
+    :param wait_s: delay before the request may be sent, in seconds.
     """
 
     service: str
     replica: str
     limit_per_s: float | None = None
-    keeper: str = ALONE
+    keeper: str = NO_KEEPER
     wait_s: float = 0.0
 
 
 class PermitDenied(msgspec.Struct, frozen=True):
-    """No permit within the time for which the request would wait.
+    """No permit is available within the time for which the request would wait.
 
-    :param opens_in_s: when to ask again.
+    :param opens_in_s: time until a permit is available, in seconds.
     """
 
     opens_in_s: float
 
 
 class KeeperPort(Protocol):
-    """Who counts for a service, and the way there."""
+    """The lookup of a service's keepers and the links to them."""
 
     def keepers(self, service: str) -> list[str]:
-        """List the processes that may count for a service, the present keeper first."""
+        """List the processes that may be the keeper of a service, the present keeper first."""
 
     def is_here(self, process: str) -> bool:
-        """Tell whether a process is this one."""
+        """Return whether a process is this one."""
 
     def send(self, process: str, message: PermitMessage) -> None:
         """Send a message to a process."""
 
     def nodes(self) -> int:
-        """Count the nodes that there may be in the fleet."""
+        """Return the number of nodes that may exist in the fleet."""
 
 
 class PermitClient:
-    """Get permits for this node's requests, and answer other nodes where this process counts.
+    """Get permits for this node's requests, and grant permits to other nodes as a keeper.
 
-    :param report: takes what another node knows of a replica: its start, the limit and when it
-        was said, on this node's clock.
-    :param random: source of numbers in [0, 1): nodes that reach no keeper begin at different times.
+    :param report: receives a limit that another node knows: the start of the replica, the limit
+        and the time of the replica's answer, on this node's clock.
+    :param random: source of numbers in [0, 1), so that nodes without a keeper send their first
+        requests at different times.
     :param now: the node's clock, in seconds.
     """
 
@@ -98,53 +101,53 @@
         self._now = now
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
-        self._avoid: dict[str, float] = {}
-        self._alone: dict[str, Allowance] = {}
+        self._backoff_until: dict[str, float] = {}
+        self._own_allowances: dict[str, Allowance] = {}
 
     # For this node's requests.
 
     def is_limited(self, replica: str) -> bool:
-        """Tell whether a replica names a limit."""
+        """Return whether a replica has a limit."""
         return self._known.limit_of(replica) is not None
 
     def holds(self, permit: Permit) -> bool:
-        """Tell whether a permit still serves: the replica may have named a lower limit since."""
-        now_is = self._known.limit_of(permit.replica)
-        return now_is is None or (permit.limit_per_s is not None and now_is >= permit.limit_per_s)
+        """Return whether a permit is still valid; a lower limit of the replica invalidates it."""
+        limit = self._known.limit_of(permit.replica)
+        return limit is None or (permit.limit_per_s is not None and limit >= permit.limit_per_s)
 
     async def ask(self, service: str, replica: str, most_wait_s: float) -> Permit | PermitDenied:
-        """Ask for a permit to send one request.
+        """Get a permit to send one request.
 
-        :param most_wait_s: how long the request would wait.
+        :param most_wait_s: longest time that the request would wait, in seconds.
         """
         limit_per_s = self._known.limit_of(replica)
         if limit_per_s is None:
             return Permit(service, replica)
         for process in self._port.keepers(service)[:KEEPERS_ASKED]:
-            if self._avoid.get(process, 0.0) > self._now():
+            if self._backoff_until.get(process, 0.0) > self._now():
                 continue
-            answer = await self._ask_one(process, service, replica, limit_per_s, most_wait_s)
+            answer = await self._request_permit(process, service, replica, limit_per_s, most_wait_s)
             if answer is not None:
-                return _decided(answer, Permit(service, replica, limit_per_s, process))
-            self._avoid[process] = self._now() + AVOID_S
-            log.info("keeper_silent", service=service, keeper=process, avoided_s=AVOID_S)
-        return self._ask_alone(service, replica, limit_per_s, most_wait_s)
+                return _to_result(answer, Permit(service, replica, limit_per_s, process))
+            self._backoff_until[process] = self._now() + KEEPER_BACKOFF_S
+            log.info("keeper_silent", service=service, keeper=process, avoided_s=KEEPER_BACKOFF_S)
+        return self._use_own_share(service, replica, limit_per_s, most_wait_s)
 
     def give_back(self, permit: Permit) -> None:
-        """Give a permit back that was not used."""
+        """Return an unused permit to its keeper."""
         if permit.limit_per_s is None:
             return
-        if permit.keeper == ALONE:
-            if (alone := self._alone.get(permit.replica)) is not None:
+        if permit.keeper == NO_KEEPER:
+            if (alone := self._own_allowances.get(permit.replica)) is not None:
                 alone.give_back()
             return
         returned = PermitReturned(permit.service, permit.replica)
         if self._port.is_here(permit.keeper):
-            self._take_back(returned)
+            self._apply_returned(returned)
         else:
             self._port.send(permit.keeper, returned)
 
-    async def _ask_one(
+    async def _request_permit(
         self, process: str, service: str, replica: str, limit_per_s: float, most_wait_s: float
     ) -> PermitAnswer | None:
         age_s = max(0.0, self._now() - self._known.reported_at(replica))
@@ -156,62 +159,62 @@
         self._waiting[number] = waiting
         try:
             self._port.send(process, request)
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await waiting
         except TimeoutError:
             return None
         finally:
             del self._waiting[number]
 
-    def _ask_alone(
+    def _use_own_share(
         self, service: str, replica: str, limit_per_s: float, most_wait_s: float
     ) -> Permit | PermitDenied:
-        """Use this node's own part; the parts of all nodes stay far below what may be too much."""
+        """Grant a permit from this node's own share; all shares stay far below the limit."""
         now = self._now()
-        share = ALONE_SHARE / max(1, self._port.nodes())
-        alone = self._alone.get(replica)
+        share = OWN_SHARE / max(1, self._port.nodes())
+        alone = self._own_allowances.get(replica)
         if alone is None:
-            alone = self._alone[replica] = Allowance(limit_per_s, share, now)
+            alone = self._own_allowances[replica] = Allowance(limit_per_s, share, now)
             alone.set_level(self._random())
         alone.reconfigure(limit_per_s, share, now)
         wait_s = alone.reserve(most_wait_s, now)
         if wait_s is None:
-            return PermitDenied(min(AVOID_S, alone.opens_in_s(now)))
-        return Permit(service, replica, limit_per_s, ALONE, wait_s)
+            return PermitDenied(min(KEEPER_BACKOFF_S, alone.opens_in_s(now)))
+        return Permit(service, replica, limit_per_s, NO_KEEPER, wait_s)
 
     # For other nodes.
 
     def receive(self, process: str, message: PermitMessage) -> None:
-        """Take a message of another process."""
+        """Handle a permit message of another process."""
         if isinstance(message, PermitRequest):
             self._port.send(process, self._answer(message))
         elif isinstance(message, PermitReturned):
-            self._take_back(message)
+            self._apply_returned(message)
         else:
-            self._take_answer(process, message)
+            self._apply_answer(process, message)
 
-    def _take_answer(self, process: str, answer: PermitAnswer) -> None:
-        self._avoid.pop(process, None)
+    def _apply_answer(self, process: str, answer: PermitAnswer) -> None:
+        self._backoff_until.pop(process, None)
         waiting = self._waiting.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
         elif answer.granted:
-            # Nobody waits for it any more.
+            # The request has stopped waiting, so its permit goes back to the keeper.
             self._port.send(process, PermitReturned(answer.service, answer.replica))
 
     def _answer(self, request: PermitRequest) -> PermitAnswer:
-        """Answer by what is known here, or by what the asking node has learnt since."""
+        """Answer a request for a permit by the newer of this node's and the sender's limit."""
         now = self._now()
         self._report(request.replica, request.limit_per_s, now - request.age_s)
         allowance = self._keeper.allowance(request.service, request.replica, now)
         if allowance is None:
-            return _answer_to(request, given=True, wait_s=0.0)
+            return _build_answer(request, given=True, wait_s=0.0)
         wait_s = allowance.reserve(request.most_wait_s, now)
         if wait_s is None:
-            return _answer_to(request, given=False, wait_s=allowance.opens_in_s(now))
-        return _answer_to(request, given=True, wait_s=wait_s)
+            return _build_answer(request, given=False, wait_s=allowance.opens_in_s(now))
+        return _build_answer(request, given=True, wait_s=wait_s)
 
-    def _take_back(self, message: PermitReturned) -> None:
+    def _apply_returned(self, message: PermitReturned) -> None:
         allowance = self._keeper.allowance(message.service, message.replica, self._now())
         if allowance is not None:
             allowance.give_back()
@@ -219,19 +222,23 @@
     # Housekeeping.
 
     def drop_expired(self) -> None:
-        """Drop what is over."""
+        """Drop expired backoffs and own shares, and refresh the allowances."""
         now = self._now()
         self._keeper.refresh(now)
-        self._avoid = {name: until for name, until in self._avoid.items() if until > now}
-        for replica in [each for each in self._alone if self._known.limit_of(each) is None]:
-            del self._alone[replica]
+        self._backoff_until = {
+            name: until for name, until in self._backoff_until.items() if until > now
+        }
+        for replica in [
+            each for each in self._own_allowances if self._known.limit_of(each) is None
+        ]:
+            del self._own_allowances[replica]
 
 
-def _answer_to(request: PermitRequest, *, given: bool, wait_s: float) -> PermitAnswer:
+def _build_answer(request: PermitRequest, *, given: bool, wait_s: float) -> PermitAnswer:
     return PermitAnswer(request.number, request.service, request.replica, given, wait_s)
 
 
-def _decided(answer: PermitAnswer, permit: Permit) -> Permit | PermitDenied:
+def _to_result(answer: PermitAnswer, permit: Permit) -> Permit | PermitDenied:
     if not answer.granted:
         return PermitDenied(answer.wait_s)
     return msgspec.structs.replace(permit, wait_s=answer.wait_s)
--- a/packages/chalkyoke/src/chalkyoke/limits/keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/keeper.py
@@ -1,9 +1,9 @@
 """
 chalkyoke.limits.keeper
 
-The process that counts what replicas of a service get from all nodes: the one that schedules the
-service's pool, or would if it were one. What its scheduler grants and what it permits other nodes
-comes from the same allowance.
+The keeper of a service's limits: the process that counts the requests of all nodes to the service's
+replicas. It is the process that schedules the service's pool, or would schedule it if the service
+had one. Grants of its scheduler and permits for other nodes use the same allowance.
 """
 
 from collections.abc import Callable
@@ -13,19 +13,21 @@
 from chalkyoke.limits.allowance import Allowance
 from chalkyoke.limits.known import KnownLimits
 
-# The part of a limit that a process gives out that is asked and does not think itself the keeper:
-# for a moment two processes may be asked, and the sum must stay below what operators allow.
+# Fraction of a limit that a process allocates when it is asked without being the keeper. Two
+# processes may be asked at the same time for a moment, and the sum must stay below the tolerance of
+# the operators.
 STANDBY_SHARE = 0.3
-# A side of a cut that sees this part of the fleet gives out the whole limit, a smaller one what
-# corresponds to what it sees: two sides together stay below one and a half times the limit.
+# Fraction of the fleet in sight from which a side of a partition allocates the whole limit. A
+# smaller side allocates the fraction of the fleet that it sees, so two sides together stay below
+# one and a half times the limit.
 MAJOR_SHARE = 0.5
 
 
 class AllocatedLimit(msgspec.Struct, frozen=True):
-    """What this process gives out of one replica's limit from now on.
+    """The part of one replica's limit that this process allocates from now on.
 
-    :param limit_per_s: requests a second that the replica takes from all nodes.
-    :param share: the part of them that is given out here.
+    :param limit_per_s: requests per second that the replica takes from all nodes.
+    :param share: the fraction of the limit that is allocated here.
     """
 
     service: str
@@ -37,10 +39,10 @@
 class LimitKeeper:
     """Keep the allowances of limited replicas.
 
-    :param known: what replicas have said.
-    :param keeps: tells whether this process is the keeper of a service.
-    :param fleet_share: tells which part of the fleet this process sees.
-    :param changed: told what is given out here whenever that changes.
+    :param known: the limits that replicas have announced.
+    :param keeps: returns whether this process is the keeper of a service.
+    :param fleet_share: returns the fraction of the fleet that this process sees.
+    :param changed: called with the new allocation whenever it changes.
     """
 
     def __init__(
@@ -54,26 +56,26 @@
         self._keeps = keeps
         self._fleet_share = fleet_share
         self._changed = changed
-        self._kept: dict[str, tuple[str, Allowance]] = {}
+        self._allowances: dict[str, tuple[str, Allowance]] = {}
 
     def allowance(self, service: str, replica: str, now: float) -> Allowance | None:
-        """Give the allowance of a replica; nothing where it names no limit."""
+        """Return the up-to-date allowance of a replica; None if the replica has no limit."""
         limit_per_s = self._known.limit_of(replica)
         if limit_per_s is None:
-            self._kept.pop(replica, None)
+            self._allowances.pop(replica, None)
             return None
         share = self._share(service)
-        found = self._kept.get(replica)
+        found = self._allowances.get(replica)
         if found is None:
-            found = self._kept[replica] = (service, Allowance(limit_per_s, share, now))
+            found = self._allowances[replica] = (service, Allowance(limit_per_s, share, now))
         elif not found[1].reconfigure(limit_per_s, share, now):
             return found[1]
         self._changed(AllocatedLimit(service, replica, limit_per_s, share))
         return found[1]
 
     def refresh(self, now: float) -> None:
-        """Follow what is known of limits, the fleet and its keepers, for all allowances kept."""
-        for replica, (service, _) in list(self._kept.items()):
+        """Update all allowances to the present limits, members and keepers."""
+        for replica, (service, _) in list(self._allowances.items()):
             self.allowance(service, replica, now)
 
     def _share(self, service: str) -> float:
--- a/packages/chalkyoke/src/chalkyoke/limits/known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/known.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.limits.known
 
-The limits that replicas have named, as one node believes them.
+The limits that replicas have announced, as one node knows them.
 """
 
 import math
@@ -11,18 +11,19 @@
 
 from chalkyoke.catalog.starts import StartMemory
 
-# A limit from which on it is none, in requests a second: hundreds of times what a replica of the
-# largest fleets gets, and each request to one that is kept to a limit costs a question.
-MOST_PER_S = 1000.0
-# How long it is remembered that a limit is over, in seconds: older reports of it may still come.
-ENDED_KEPT_S = 10.0
+# Limit from which a replica counts as unlimited, in requests per second: hundreds of times the rate
+# to a replica in the largest fleets. Each request to a limited replica costs a permit request.
+MAX_LIMIT_PER_S = 1000.0
+# Time for which the removal of a limit is kept, in seconds, since older reports of the limit may
+# still arrive.
+ENDED_RETENTION_S = 10.0
 
 
 class _Report(msgspec.Struct):
-    """The last report on one start.
+    """The last report on one start of a replica.
 
-    :ivar limit_per_s: nothing where it names no limit any more.
-    :ivar at: when it was said, as far as is known, on the node's clock.
+    :ivar limit_per_s: requests per second; None after the limit was removed.
+    :ivar at: estimated time of the replica's answer, in seconds on the node's clock.
     """
 
     limit_per_s: float | None
@@ -30,19 +31,19 @@
 
 
 class KnownLimits:
-    """Remember what replicas say, by the id of a start. Of two reports the later one holds."""
+    """Keep the latest reported limit of each replica, by the id of the replica's start."""
 
     def __init__(self) -> None:
         self._reports: StartMemory[_Report] = StartMemory()
 
     def update(self, start: str, limit_per_s: float | None, at: float) -> bool:
-        """Take a report.
+        """Apply a report, unless a later one is known.
 
-        :param limit_per_s: requests a second from all nodes; nothing where it names no limit.
-        :param at: when it was said, in seconds on the node's clock.
-        :return: whether another limit is believed now than before.
+        :param limit_per_s: requests per second from all nodes; None if there is no limit.
+        :param at: time of the replica's answer, in seconds on the node's clock.
+        :return: whether the known limit has changed.
         """
-        if limit_per_s is not None and not 0 <= limit_per_s < MOST_PER_S:
+        if limit_per_s is not None and not 0 <= limit_per_s < MAX_LIMIT_PER_S:
             limit_per_s = None
         report = self._reports.get(start)
         if report is None:
@@ -57,27 +58,30 @@
         return changed
 
     def limit_of(self, start: str) -> float | None:
-        """Give the limit of a replica, in requests a second; nothing where it names none."""
+        """Return the limit of a replica, in requests per second; None if it has none."""
         report = self._reports.get(start)
         return None if report is None else report.limit_per_s
 
     def has_report(self, start: str) -> bool:
-        """Tell whether anything is known of a replica, that its limit is over included."""
+        """Return whether there is a report on a replica, the removal of its limit included."""
         return start in self._reports
 
     def reported_at(self, start: str) -> float:
-        """Tell when what is believed was said, on the node's clock."""
+        """Return the time of the last report, on the node's clock; minus infinity if none."""
         report = self._reports.get(start)
         return -math.inf if report is None else report.at
 
     def limits(self) -> dict[str, float]:
-        """Give the limits that are in force, by start, in requests a second."""
+        """Return the limits in force by start, in requests per second."""
         found = ((start, self.limit_of(start)) for start in self._reports)
         return {start: limit_per_s for start, limit_per_s in found if limit_per_s is not None}
 
     def forget(self, listed: Container[str], now: float) -> None:
-        """Drop what is over."""
+        """Drop the reports on starts that are gone and on limits that were removed long ago.
+
+        :param listed: the starts that the catalog lists.
+        """
         self._reports.forget(listed, now)
         for start in self._reports:
-            if self.limit_of(start) is None and now - self.reported_at(start) > ENDED_KEPT_S:
+            if self.limit_of(start) is None and now - self.reported_at(start) > ENDED_RETENTION_S:
                 self._reports.drop(start)
--- a/packages/chalkyoke/src/chalkyoke/limits/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/messages.py
@@ -1,20 +1,20 @@
 """
 chalkyoke.limits.messages
 
-What nodes say to the process that counts what a limited replica gets. All times are relative, so
-that no two clocks are ever compared.
+Messages between nodes and the keepers of replicas' limits. All times are relative, so that clocks
+of two nodes are never compared.
 """
 
 import msgspec
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag="permit_request"):
-    """Ask for a permit to send one request to a replica that names a limit.
+    """A node requests a permit to send one request to a limited replica.
 
-    :param number: names the question; the answer has the same.
-    :param limit_per_s: as the asking node believes it, in requests a second.
-    :param age_s: how long ago the replica said so.
-    :param most_wait_s: how long the request would wait.
+    :param number: number of the request, repeated in the answer.
+    :param limit_per_s: the limit that the requesting node knows, in requests per second.
+    :param age_s: time since the replica announced this limit, in seconds.
+    :param most_wait_s: longest time that the request would wait, in seconds.
     """
 
     number: int
@@ -26,10 +26,11 @@
 
 
 class PermitAnswer(msgspec.Struct, frozen=True, array_like=True, tag="permit_answer"):
-    """Give a permit, or not.
+    """A keeper grants or refuses a permit.
 
-    :param given: whether the request may be sent after ``wait_s``; or else, how long it takes until
-        one may.
+    :param granted: whether the request may be sent after ``wait_s``.
+    :param wait_s: delay before the request may be sent, or, after a refusal, the time until a
+        permit is available; in seconds.
     """
 
     number: int
@@ -40,7 +41,7 @@
 
 
 class PermitReturned(msgspec.Struct, frozen=True, array_like=True, tag="permit_returned"):
-    """Give a permit back that was not used: nothing has left the node."""
+    """A node returns an unused permit: the request was never sent."""
 
     service: str
     replica: str
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
@@ -1,7 +1,7 @@
 import math
 
 import pytest
-from chalkyoke.limits.allowance import BURST_REQUESTS, BURST_S, LEAST_PER_S, Allowance
+from chalkyoke.limits.allowance import BURST_REQUESTS, BURST_S, MIN_RATE_PER_S, Allowance
 from chalkyoke_fakes.soak.limits import WINDOW_S, most_allowed
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("limit_per_s", [0.0, 0.1])
 def test_a_replica_that_takes_nothing_gets_one_request_in_five_seconds(limit_per_s):
     allowance = Allowance(limit_per_s, 1.0, 0.0)
-    assert allowance.opens_in_s(0.0) == pytest.approx(1 / LEAST_PER_S)
+    assert allowance.opens_in_s(0.0) == pytest.approx(1 / MIN_RATE_PER_S)
 
 
 class Spending(RuleBasedStateMachine):
@@ -87,7 +87,7 @@
 
     @invariant()
     def no_more_is_saved_up_than_a_moment_s_worth(self):
-        rate = max(LEAST_PER_S, self.allowance.limit_per_s)
+        rate = max(MIN_RATE_PER_S, self.allowance.limit_per_s)
         probe = Allowance(self.allowance.limit_per_s, 1.0, self.now)
         assert math.isclose(probe.rate_per_s, rate)
         saved = Allowance(rate, 1.0, self.now - 1000.0)
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
@@ -5,8 +5,8 @@
 import pytest
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.catalog.messages import ReplicaAttribute, ReplicaAttributes
-from chalkyoke.limits.announcements import BROADCAST_S, LimitAnnouncements
-from chalkyoke.limits.known import ENDED_KEPT_S, KnownLimits
+from chalkyoke.limits.announcements import BROADCAST_INTERVAL_S, LimitAnnouncements
+from chalkyoke.limits.known import ENDED_RETENTION_S, KnownLimits
 
 
 class View:
@@ -63,7 +63,7 @@
     for number in range(100):
         made._now.now = number * 0.01
         made.note_answer("p1", 3.0 + number / 100)
-    assert len(made.sent) / 3 <= 1.0 / BROADCAST_S
+    assert len(made.sent) / 3 <= 1.0 / BROADCAST_INTERVAL_S
     made.sent.clear()
     made._now.now = 1.1
     made.broadcast_pending()
@@ -105,7 +105,7 @@
     made.sent.clear()
     made.note_answer("p1", None)
     assert words(made)[0] == ("n2", "p1", None)
-    made._now.now = 2.0 + ENDED_KEPT_S
+    made._now.now = 2.0 + ENDED_RETENTION_S
     made.broadcast_pending()
     made.sent.clear()
     made.member_joined(SimpleNamespace(address="n9"))
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
@@ -1,5 +1,5 @@
 from chalkyoke.catalog.starts import KEPT_S, MOST_KEPT
-from chalkyoke.limits.known import ENDED_KEPT_S, MOST_PER_S, KnownLimits
+from chalkyoke.limits.known import ENDED_RETENTION_S, MAX_LIMIT_PER_S, KnownLimits
 
 
 def test_the_later_of_two_words_is_believed():
@@ -26,7 +26,7 @@
 
 def test_what_is_no_limit_is_taken_for_none():
     known = KnownLimits()
-    for value in (MOST_PER_S, 1e300, float("inf"), float("nan"), -1.0):
+    for value in (MAX_LIMIT_PER_S, 1e300, float("inf"), float("nan"), -1.0):
         assert not known.update("a", value, 1.0), value
         assert known.limit_of("a") is None
     known.update("a", 2.0, 2.0)
@@ -40,9 +40,9 @@
     known.update("gone", 2.0, 0.0)
     known.update("ended", 2.0, 0.0)
     known.update("ended", None, 1.0)
-    known.forget({"listed"}, ENDED_KEPT_S)
+    known.forget({"listed"}, ENDED_RETENTION_S)
     assert known.has_report("ended")
-    known.forget({"listed"}, ENDED_KEPT_S + 2.0)
+    known.forget({"listed"}, ENDED_RETENTION_S + 2.0)
     assert not known.has_report("ended")
     assert known.limit_of("gone") == 2.0
     known.forget({"listed"}, KEPT_S + 1.0)
--- a/packages/chalkyoke/src/chalkyoke/quarantine/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/__init__.py
@@ -1,6 +1,6 @@
 """
 chalkyoke.quarantine
 
-Requests that end the replicas that run them: found by what ran under the ends of several replicas,
-and held back by all nodes.
+Quarantine of requests that end the replicas that run them. Such a request was running at the ends
+of several replicas; all nodes hold it back.
 """
--- a/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
@@ -1,8 +1,9 @@
 """
 chalkyoke.quarantine.evidence
 
-What speaks for and against a request being the one that ends replicas. Each node keeps all of it
-and decides alone, so that no owner of the decision can be lost; what one decides is told to all.
+Evidence for and against a request ending the replicas that run it. Each node keeps all evidence and
+decides on its own, so there is no central decision maker that can fail. Decisions are broadcast to
+all nodes.
 """
 
 import heapq
@@ -14,31 +15,34 @@
 from chalkyoke.quarantine.messages import HeldRequest
 from chalkyoke.quarantine.served import ServedRequests
 
-# A request is held back from so many ends under it on, none of its runs having been served whole
-# since the first. Operators allow three more sends after the third end.
+# Number of replica ends after which a request is held back, if none of its runs was served in full
+# since the first end. Operators allow three more sends after the third end.
 ENDS_TO_HOLD = 3.0
-# It has to lie under this part of all ends since its first one: where replicas end by themselves,
-# one after the other, who asks again meets three in a row by chance.
-LEAST_SHARE = 0.75
-# From so many ends on it is held back in any case: many such requests may come at once. One that is
-# innocent is sent four times at most, two by its caller and two by us each time.
-ENDS_IN_ANY_CASE = 5
-# How long an end is remembered for that comparison, in seconds.
-COMPARED_S = 60.0
-# Two ends of one replica that are told this close together, in seconds, are one end, told by nodes
-# that know different starts of it: a replica is back after some seconds.
+# Fraction of all replica ends since its first one at which a request must have been running. If
+# replicas end by themselves one after another, a caller that retries meets three ends in a row by
+# chance.
+MIN_END_SHARE = 0.75
+# Number of ends after which a request is held back whatever its fraction of the ends is, since many
+# requests that end replicas may arrive at once. An innocent request is sent at most four times: two
+# attempts by its caller with two sends each.
+ENDS_TO_HOLD_ALWAYS = 5
+# Time for which ends count in the comparison with MIN_END_SHARE, in seconds.
+COMPARISON_WINDOW_S = 60.0
+# Two reported ends of one replica within this time, in seconds, are the same end, reported by nodes
+# that know different starts of the replica: a restart takes some seconds.
 SAME_END_S = 0.5
-# How long a request is held back at first and at most, in seconds. After that it is on probation:
-# one more end holds it back for twice as long. A request that ends replicas then costs one each ten
-# minutes, later one an hour; one that was held back by mistake is served again.
+# Duration of the first and of the longest hold, in seconds. After a hold the request is on
+# probation: one more end holds it back for twice as long. A request that ends replicas then ends
+# one every ten minutes, later one an hour. A request that was held back by mistake is served again.
 HOLD_S = 600.0
 MAX_HOLD_S = 3600.0
-# How long ends count without a further one, in seconds.
-REMEMBERED_S = 600.0
-# Requests that are remembered at most: some 400 bytes each, so 2 MB. The least suspected go first.
-MOST_REQUESTS = 5000
-# Requests held back that a node tells another at most, the newest: 30 kB.
-MOST_TOLD = 1000
+# Time after the last end for which the evidence on a request is kept, in seconds.
+EVIDENCE_RETENTION_S = 600.0
+# Highest number of requests with evidence: about 400 bytes each, so 2 MB. The least suspected
+# requests are evicted first.
+MAX_REQUESTS = 5000
+# Highest number of held requests in a message to another node, 30 kB; the newest are sent.
+MAX_ANNOUNCED = 1000
 
 
 class _End(msgspec.Struct, frozen=True):
@@ -47,13 +51,13 @@
 
 
 class Suspicion(msgspec.Struct):
-    """What is known of one request.
+    """The evidence on one request. All times are in seconds on this node's clock.
 
-    :ivar ends: the ends under it, by start of the replica.
-    :ivar served_at: when it was last known to be served whole, on this node's clock.
-    :ivar last_end: when a replica last ended under it.
-    :ivar held_until: when it is let go; 0 before it was ever held back.
-    :ivar holds: how often it has been held back.
+    :ivar ends: replica ends at which the request was running, by start of the replica.
+    :ivar served_at: time at which the request was last known to be served in full.
+    :ivar last_end: time of the last replica end at which the request was running.
+    :ivar held_until: end of the hold; 0 before the first hold.
+    :ivar holds: number of holds so far.
     """
 
     ends: dict[str, _End] = msgspec.field(default_factory=dict)
@@ -64,16 +68,16 @@
 
     @property
     def weight(self) -> float:
-        """How much speaks against it, in ends."""
+        """The weight of the evidence against the request, in replica ends."""
         return sum(each.weight for each in self.ends.values())
 
     @property
     def is_refuted(self) -> bool:
-        """Whether it is known to have been served whole."""
+        """Whether the request is known to have been served in full."""
         return self.served_at > float("-inf")
 
     def knows(self, start: str, at: float) -> bool:
-        """Tell whether an end is known already."""
+        """Return whether an end is counted already, possibly under another start of the replica."""
         if start in self.ends:
             return True
         replica = start.partition("/")[0]
@@ -84,7 +88,7 @@
 
 
 class EvidenceTracker:
-    """Count ends of replicas by the requests that ran under them."""
+    """Count replica ends by the requests that were running, and decide which requests to hold."""
 
     def __init__(self) -> None:
         self._known: dict[bytes, Suspicion] = {}
@@ -99,7 +103,7 @@
 
     @property
     def held(self) -> frozenset[bytes]:
-        """The requests that are held back."""
+        """The digests of the requests that are held back."""
         return frozenset(self._held)
 
     @property
@@ -108,24 +112,26 @@
         return bool(self._held)
 
     def find(self, request: bytes) -> Suspicion | None:
-        """Give what is known of a request."""
+        """Return the evidence on a request; None if there is none."""
         return self._known.get(request)
 
     def is_held(self, request: bytes) -> bool:
-        """Tell whether a request is held back."""
+        """Return whether a request is held back."""
         return request in self._held
 
     def checksum(self) -> int:
-        """Name the set of what is told to be held back; 0 is none."""
+        """Return a checksum of the announced held requests; 0 if there are none."""
         if self._checksum is None:
-            joined = b"".join(sorted(self._told()))
+            joined = b"".join(sorted(self._announced_holds()))
             self._checksum = xxhash.xxh64_intdigest(joined) if joined else 0
         return self._checksum
 
     def record_end(self, request: bytes, start: str, weight: float, at: float, now: float) -> bool:
-        """Count an end.
+        """Count a replica end against a request that was running there.
 
-        :param at: when the run broke, on this node's clock.
+        :param start: the start of the replica that ended.
+        :param weight: weight of the end as evidence.
+        :param at: time at which the run broke, in seconds on this node's clock.
         :return: whether the request is held back from now on.
         """
         self._ends.setdefault(start, at)
@@ -138,16 +144,16 @@
         known.ends[start] = _End(at, weight)
         known.last_end = max(known.last_end, at)
         if request in self._held or not (known.holds > 0 or self._is_enough(known)):
-            self._bound()
+            self._evict_excess()
             return False
         hold_s = min(MAX_HOLD_S, HOLD_S * 2**known.holds)
         self._hold(request, known, now + hold_s)
         return True
 
     def release_explained(self) -> list[bytes]:
-        """Let go what was held back for ends that a request found since explains.
+        """Release requests whose ends are explained by a request that was held back later.
 
-        :return: what is let go.
+        :return: the released requests.
         """
         acquitted = [
             each
@@ -159,17 +165,17 @@
         ]
         for request in acquitted:
             self._known[request].holds = 0
-            self._let_go(request)
+            self._release(request)
         return acquitted
 
     def record_delivered(self, request: bytes, at: float) -> None:
-        """Remember a whole answer, in case the request is suspected later."""
+        """Record a complete answer, in case the request is suspected later."""
         self._served.record(request, at)
 
     def record_served(self, request: bytes, at: float) -> bool:
-        """Take back what a whole answer refutes: who is served does not end its replica.
+        """Drop the evidence that a complete answer refutes: a served request ends no replica.
 
-        :return: whether the request was held back.
+        :return: whether the request is released by this.
         """
         known = self._known.setdefault(request, Suspicion())
         if at <= known.served_at:
@@ -177,86 +183,97 @@
         counted = bool(known.ends)
         known.served_at = at
         known.ends = {start: each for start, each in known.ends.items() if each.at > at}
-        self._bound()
+        self._evict_excess()
         if request not in self._held:
             return False
-        # What is left may be too little for a hold that was decided before this was heard.
+        # The hold may have been decided before this report arrived, and the remaining ends may not
+        # be enough for it.
         too_little = counted and known.holds == 1 and not self._is_enough(known)
         if known.last_end > at and not too_little:
             return False
         known.holds = 0
-        self._let_go(request)
+        self._release(request)
         return True
 
-    def merge_held(self, told: HeldRequest, now: float) -> bool:
-        """Take what another node holds back.
+    def merge_held(self, held: HeldRequest, now: float) -> bool:
+        """Apply the hold of another node, unless the evidence here refutes it.
 
         :return: whether the request is held back here from now on.
         """
-        known = self._known.setdefault(told.request, Suspicion())
-        last_end = now - told.last_end_age_s
-        if last_end <= known.served_at or told.request in self._held:
+        known = self._known.setdefault(held.request, Suspicion())
+        last_end = now - held.last_end_age_s
+        if last_end <= known.served_at or held.request in self._held:
             return False
         if known.is_refuted and known.ends and not self._unexplained(known):
             return False
         known.last_end = max(known.last_end, last_end)
-        self._hold(told.request, known, now + min(MAX_HOLD_S, told.left_s))
+        self._hold(held.request, known, now + min(MAX_HOLD_S, held.left_s))
         return True
 
     def held_requests(self, now: float) -> tuple[HeldRequest, ...]:
-        """Word what is held back for another node."""
+        """Build the list of held requests for another node."""
         return tuple(
             HeldRequest(each, now - self._known[each].last_end, self._known[each].held_until - now)
-            for each in self._told()
+            for each in self._announced_holds()
         )
 
-    def _told(self) -> list[bytes]:
-        if len(self._held) <= MOST_TOLD:
+    def _announced_holds(self) -> list[bytes]:
+        if len(self._held) <= MAX_ANNOUNCED:
             return list(self._held)
-        return heapq.nlargest(MOST_TOLD, self._held, key=lambda each: self._known[each].last_end)
+        return heapq.nlargest(
+            MAX_ANNOUNCED, self._held, key=lambda each: self._known[each].last_end
+        )
+
+    def refuted_holds(
+        self, announced: Iterable[HeldRequest], now: float
+    ) -> list[tuple[bytes, float]]:
+        """List the holds of another node that are refuted here.
 
-    def refuted(self, told: Iterable[HeldRequest], now: float) -> list[tuple[bytes, float]]:
-        """List what another node holds back though it was served since, with when that was."""
+        :return: the requests that were served in full after their last end, and when they were.
+        """
         return [
             (each.request, known.served_at)
-            for each in told
+            for each in announced
             if (known := self._known.get(each.request)) is not None
             and now - each.last_end_age_s <= known.served_at
         ]
 
     def expire(self, now: float) -> list[bytes]:
-        """Let go what was held back for long enough, and forget what is old.
+        """Release requests whose hold is over, and drop old evidence.
 
-        :return: what is let go.
+        :return: the released requests.
         """
         due = [each for each in self._held if self._known[each].held_until <= now]
         for request in due:
             self._known[request].ends.clear()
-            self._let_go(request)
-        self._ends = {start: at for start, at in self._ends.items() if now - at <= COMPARED_S}
+            self._release(request)
+        self._ends = {
+            start: at for start, at in self._ends.items() if now - at <= COMPARISON_WINDOW_S
+        }
         self._under = {start: each for start, each in self._under.items() if start in self._ends}
         for request, known in list(self._known.items()):
             newest = max(known.last_end, known.served_at, known.held_until)
-            if request not in self._held and now - newest > REMEMBERED_S:
+            if request not in self._held and now - newest > EVIDENCE_RETENTION_S:
                 del self._known[request]
         return due
 
     def _is_enough(self, known: Suspicion) -> bool:
-        """Tell whether what speaks against a request is enough to hold it back."""
+        """Return whether the evidence against a request is enough to hold it back."""
         ends = self._unexplained(known)
-        if len(ends) >= ENDS_IN_ANY_CASE:
+        if len(ends) >= ENDS_TO_HOLD_ALWAYS:
             return True
         if sum(each.weight for each in ends.values()) < ENDS_TO_HOLD:
             return False
         first = min(each.at for each in ends.values())
         since = sum(at >= first for at in self._ends.values())
-        return len(ends) >= LEAST_SHARE * since
+        return len(ends) >= MIN_END_SHARE * since
 
     def _unexplained(self, known: Suspicion) -> dict[str, _End]:
-        """List the ends that count against a request.
+        """Return the ends that count against a request.
 
-        Against one that was served whole before, an end does not count under which a request ran
-        that is held back and was never served: who asks often runs under most ends of others.
+        If the request was served in full before, an end doesn't count when a held request that was
+        never served was running there too: a request that is sent often runs at most of the ends
+        that others cause.
         """
         if not known.is_refuted:
             return known.ends
@@ -274,17 +291,17 @@
         self._held.add(request)
         self._checksum = None
 
-    def _let_go(self, request: bytes) -> None:
+    def _release(self, request: bytes) -> None:
         self._held.discard(request)
         self._checksum = None
 
-    def _bound(self) -> None:
-        """Forget the least suspected requests where there are too many."""
-        if len(self._known) <= MOST_REQUESTS:
+    def _evict_excess(self) -> None:
+        """Drop the evidence on the least suspected requests if there are too many requests."""
+        if len(self._known) <= MAX_REQUESTS:
             return
         ranked = sorted(
             (each for each in self._known if each not in self._held),
             key=lambda each: (self._known[each].weight, self._known[each].last_end),
         )
-        for request in ranked[: MOST_REQUESTS // 10]:
+        for request in ranked[: MAX_REQUESTS // 10]:
             del self._known[request]
--- a/packages/chalkyoke/src/chalkyoke/quarantine/identity.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/identity.py
@@ -1,26 +1,27 @@
 """
 chalkyoke.quarantine.identity
 
-Name a request by what its caller asks for, the same for each attempt at any node.
+Digests that identify a request by its content, the same for each attempt at any node.
 """
 
 import hashlib
 
-# Long enough that no two requests share a name, by chance or by a caller's intent.
+# Length of a digest in bytes: long enough that no two requests share a digest, by chance or by a
+# caller's intent.
 DIGEST_BYTES = 12
 
 
 def request_digest(method: bytes, host: str, target: bytes, caller: str, body: bytes) -> bytes:
-    """Name a request by its path, caller and body; ids and limits of time differ by attempt.
+    """Return the digest of a request's method, host, path, caller and body.
 
-    A caller who varies the body each time gets another name each time: what protects the replicas
-    from that is the caller's quota alone.
+    Request ids and deadlines are left out, since they differ by attempt. A caller that varies the
+    body gets another digest each time; only the caller's quota protects the replicas from that.
 
     :param target: path and query.
     :param caller: the team; empty for a public route.
     """
-    made = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, host.lower().encode(), target, caller.encode(), body):
-        made.update(len(part).to_bytes(8, "big"))
-        made.update(part)
-    return made.digest()
+        digest.update(len(part).to_bytes(8, "big"))
+        digest.update(part)
+    return digest.digest()
--- a/packages/chalkyoke/src/chalkyoke/quarantine/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/messages.py
@@ -1,19 +1,19 @@
 """
 chalkyoke.quarantine.messages
 
-What nodes tell each other of requests that ran under the ends of replicas. Nothing is sent while no
-replica ends: the cost of one end is a message from each node that had a run there to all others.
+Messages between nodes about requests that were running when replicas ended. No message is sent
+while no replica ends. For one end, each node that had a run there sends a message to all others.
 """
 
 import msgspec
 
 
 class SuspectRun(msgspec.Struct, frozen=True, array_like=True):
-    """A run that broke as its replica ended.
+    """A run that broke when its replica ended.
 
-    :param request: its name, as :func:`chalkyoke.quarantine.identity.request_digest` makes it.
-    :param weight: how much it counts against the request.
-    :param age_s: how long ago it broke, in seconds.
+    :param request: digest by :func:`chalkyoke.quarantine.identity.request_digest`.
+    :param weight: weight of the end as evidence against the request.
+    :param age_s: time since the run broke, in seconds.
     """
 
     request: bytes
@@ -22,10 +22,10 @@
 
 
 class ReplicaEnded(msgspec.Struct, frozen=True, array_like=True, tag="replica_ended"):
-    """A node tells what of its own ran at a replica when that ended.
+    """A node reports its runs at a replica that has ended.
 
     :param start: the start of the replica that has ended.
-    :param relay: whether the receiver tells the other nodes of its failure domain.
+    :param relay: whether the receiver forwards the message to its failure domain.
     """
 
     start: str
@@ -34,10 +34,11 @@
 
 
 class RequestsServed(msgspec.Struct, frozen=True, array_like=True, tag="requests_served"):
-    """Requests that are suspected, and were served whole; or that an operator has released.
+    """Suspected requests that were served in full, or that an operator has released.
 
-    :param age_s: how long ago, in seconds.
-    :param relay: whether the receiver tells the other nodes of its failure domain.
+    :param requests: digests of the requests.
+    :param age_s: time since they were served or released, in seconds.
+    :param relay: whether the receiver forwards the message to its failure domain.
     """
 
     requests: tuple[bytes, ...]
@@ -48,8 +49,9 @@
 class HeldRequest(msgspec.Struct, frozen=True, array_like=True):
     """A request that is held back.
 
-    :param last_end_age_s: how long ago the last replica ended under it, in seconds.
-    :param left_s: for how much longer it is held back, in seconds.
+    :param request: digest of the request.
+    :param last_end_age_s: time since a replica last ended while it ran the request, in seconds.
+    :param left_s: remaining time of the hold, in seconds.
     """
 
     request: bytes
@@ -58,15 +60,18 @@
 
 
 class HeldSummary(msgspec.Struct, frozen=True, array_like=True, tag="held_summary"):
-    """What a node holds back, as a checksum: who holds others back tells them."""
+    """A checksum of the requests that a node holds back.
+
+    A receiver with another checksum answers with its own held requests.
+    """
 
     checksum: int
 
 
 class HeldRequests(msgspec.Struct, frozen=True, array_like=True, tag="held"):
-    """All that a node holds back.
+    """The requests that a node holds back.
 
-    :param is_answer: whether it answers another one, and is not answered itself.
+    :param is_answer: whether the message answers another one and needs no answer itself.
     """
 
     requests: tuple[HeldRequest, ...]
@@ -74,9 +79,10 @@
 
 
 class HeldRecord(msgspec.Struct, frozen=True):
-    """A request whose record in the store says that it is held back.
+    """The record of a held request in the store.
 
-    :param is_released: whether an operator has released it.
+    :param request: digest of the request.
+    :param is_released: whether an operator has released the request.
     """
 
     request: bytes
--- a/packages/chalkyoke/src/chalkyoke/quarantine/records.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/records.py
@@ -1,9 +1,9 @@
 """
 chalkyoke.quarantine.records
 
-Read the records in the store that say which requests are held back: a key with the request's name
-in hexadecimal. Nodes write it without a value; an operator who writes ``released`` there lets the
-request go at all nodes.
+Parser for the records of held requests in the store. The key holds the digest of the request in
+hexadecimal. Nodes write records without a value; an operator who writes the value ``released``
+releases the request at all nodes.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 RELEASED = b"released"
 
 
-def read_held(name: str, value: bytes) -> Result[HeldRecord, str]:
-    """Read the record of a request.
+def parse_held_record(name: str, value: bytes) -> Result[HeldRecord, str]:
+    """Parse the record of a held request.
 
-    :param name: of the request, in hexadecimal.
-    :return: what it says, or why it can't be read.
+    :param name: digest of the request, in hexadecimal.
+    :return: the record, or the reason why the digest is invalid.
     """
     try:
         request = bytes.fromhex(name)
@@ -36,13 +36,16 @@
 
 
 def with_held_records(
-    read_others: Callable[[Item], Result[T, str]], prefix: str
+    parse_other: Callable[[Item], Result[T, str]], prefix: str
 ) -> Callable[[Item], Result[T | HeldRecord, str]]:
-    """Read records under a prefix as those of held requests, and all others as before."""
+    """Return a parser for records of held requests under a prefix and for all other records.
+
+    :param parse_other: parser for records without the prefix.
+    """
 
     def read(item: Item) -> Result[T | HeldRecord, str]:
         if not item.key.startswith(prefix):
-            return read_others(item)
-        return read_held(item.key.removeprefix(prefix), item.value)
+            return parse_other(item)
+        return parse_held_record(item.key.removeprefix(prefix), item.value)
 
     return read
--- a/packages/chalkyoke/src/chalkyoke/quarantine/runs.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/runs.py
@@ -1,24 +1,27 @@
 """
 chalkyoke.quarantine.runs
 
-Runs of this node that ended without an answer, by the start of the replica they were at, until it
-is known whether that replica has ended. A reset of a living replica, a lost answer, a cut link and
-a replica that ended look alike at that moment.
+Runs of this node that broke without an answer, by the start of the replica. They are kept until it
+is known whether the replica has ended: at first a reset by a live replica, a lost answer, a cut
+link and the end of the replica look the same.
 """
 
 import msgspec
 
 from chalkyoke.quarantine.messages import SuspectRun
 
-# How long a broken run waits for the news that its replica has ended, in seconds. A record goes
-# within three heartbeats of some 1.2 s; the rest is for the store and for peers.
-KEPT_S = 6.0
-# The same for a run that its caller or this node had left: a replica may end of it shortly after.
-LEFT_KEPT_S = 1.0
-# An output of so many seconds shows that the replica had survived the beginning of the run, so that
-# its end counts half: chats of many seconds lie under most ends, and would be suspected by that
-# alone.
+# Time for which a broken run is kept until the end of its replica is reported, in seconds. A
+# replica's record is removed within three heartbeats of some 1.2 s; the rest is for delays of the
+# store and of other nodes.
+BROKEN_RUN_RETENTION_S = 6.0
+# The same time for a run that its caller or this node abandoned, in seconds: the run may end the
+# replica shortly afterwards.
+LEFT_RUN_RETENTION_S = 1.0
+# Duration of output, in seconds, from which a run counts with LONG_RUN_WEIGHT: the replica survived
+# the beginning of the run. Chats of many seconds are running at most replica ends, and would be
+# suspected for that alone.
 LONG_OUTPUT_S = 0.25
+# Weight of an end as evidence against such a run; other runs have the weight 1.
 LONG_RUN_WEIGHT = 0.5
 
 
@@ -30,28 +33,28 @@
 
 
 class UnansweredRuns:
-    """Remember runs that ended without an answer."""
+    """Keep runs that broke without an answer until the fate of their replica is known."""
 
     def __init__(self) -> None:
         self._runs: dict[str, list[_Run]] = {}
 
     def add(self, start: str, request: bytes, now: float, *, output_s: float, broken: bool) -> None:
-        """Remember a run.
+        """Add a run that broke now.
 
-        :param start: of the replica.
-        :param output_s: how long the replica had been giving output, in seconds.
-        :param broken: whether the replica broke it off, rather than this side.
+        :param start: start of the replica.
+        :param output_s: duration of the output so far, in seconds.
+        :param broken: whether the replica broke off the run, rather than this side.
         """
         weight = LONG_RUN_WEIGHT if output_s >= LONG_OUTPUT_S else 1.0
-        until = now + (KEPT_S if broken else LEFT_KEPT_S)
+        until = now + (BROKEN_RUN_RETENTION_S if broken else LEFT_RUN_RETENTION_S)
         self._runs.setdefault(start, []).append(_Run(request, weight, now, until))
 
     def note_alive(self, start: str) -> None:
-        """Forget what broke off before at a replica that has answered since."""
+        """Drop the broken runs at a replica that has answered since."""
         self._runs.pop(start, None)
 
     def pop(self, start: str, now: float) -> tuple[SuspectRun, ...]:
-        """Take out the runs under the end of a replica."""
+        """Remove the runs at a replica that has ended, and return those not expired."""
         found = self._runs.pop(start, [])
         return tuple(
             SuspectRun(each.request, each.weight, now - each.at)
@@ -60,7 +63,7 @@
         )
 
     def starts(self, now: float) -> list[str]:
-        """List the starts of replicas at which runs still wait to be explained."""
+        """Drop expired runs and list the starts of replicas that have runs left."""
         for start, runs in list(self._runs.items()):
             if all(each.until < now for each in runs):
                 del self._runs[start]
--- a/packages/chalkyoke/src/chalkyoke/quarantine/served.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/served.py
@@ -1,31 +1,31 @@
 """
 chalkyoke.quarantine.served
 
-Which requests were served whole lately: those that callers send again and again run under most ends
-of replicas, whatever ends them.
+The requests that were served in full lately. Requests that callers send again and again are running
+at most replica ends, whatever the cause of the ends is.
 """
 
-# Requests that are remembered, in number: some 100 bytes each, so 0.5 MB. Those that were not
-# served for the longest go first.
-MOST_SERVED = 5_000
+# Highest number of requests that are kept: about 100 bytes each, so 0.5 MB. The least recently
+# served requests are evicted first.
+MAX_SERVED = 5_000
 
 
 class ServedRequests:
-    """Remember when requests were last served whole."""
+    """Record the times at which requests were last served in full."""
 
     def __init__(self) -> None:
         self._at: dict[bytes, float] = {}
 
     def record(self, request: bytes, at: float) -> None:
-        """Note that a request was served whole.
+        """Record that a request was served in full.
 
-        :param at: in seconds on the node's clock.
+        :param at: time in seconds on the node's clock.
         """
         self._at.pop(request, None)
         self._at[request] = at
-        if len(self._at) > MOST_SERVED:
+        if len(self._at) > MAX_SERVED:
             del self._at[next(iter(self._at))]
 
     def last_served_at(self, request: bytes) -> float:
-        """Tell when a request was last served whole; long ago where that is not known."""
+        """Return the time at which a request was last served in full; minus infinity if unknown."""
         return self._at.get(request, float("-inf"))
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.quarantine.spread
 
-Requests that end the replicas that run them: what this node's runs met is told to all nodes, and
-each holds back by itself what too many replicas have ended under.
+Quarantine of requests that end the replicas that run them. Each node broadcasts the replica ends
+that its runs met, and each node decides on its own which requests to hold back.
 """
 
 import asyncio
@@ -27,14 +27,16 @@
 )
 from chalkyoke.quarantine.runs import UnansweredRuns
 
-# How long the connection may take that tells whether a replica lives, in seconds: as for a send.
-PROBE_S = 0.12
-# Whom a node tells each second what it holds back while that is anything, and in its first seconds:
-# who was cut off, or has just started, then knows in some 2 s; operators allow 3.
-SUMMARIES = 2
-ASKS_FOR_S = 5.0
-# Requests that one line names at most.
-MOST_NAMED = 10
+# Timeout of the connection that probes whether a replica is alive, in seconds: as for a send.
+PROBE_TIMEOUT_S = 0.12
+# Number of nodes that get a summary of the held requests each second, while there are any.
+SUMMARY_PEERS = 2
+# Time after its start in which a node sends summaries without any held requests, in seconds. A node
+# that has just started or was cut off then learns the held requests within some 2 s; operators
+# allow 3 s.
+STARTUP_SUMMARY_S = 5.0
+# Highest number of request digests or replica starts in one log line.
+MAX_LOGGED_DIGESTS = 10
 
 log = logger("quarantine")
 
@@ -43,8 +45,8 @@
     """Find the requests that end replicas, and hold them back.
 
     :param send: sends a message to a node by its link address.
-    :param hold: ends what waits here of a request that is held back from now on.
-    :param remember: puts a request that is held back into the store.
+    :param hold: called with a request that is held back from now on; it ends the waiting attempts.
+    :param remember: writes a record of a held request to the store.
     :param random: source of numbers in [0, 1).
     :param now: the node's clock, in seconds.
     """
@@ -64,44 +66,45 @@
         self._connections = connections
         self._send = send
         self._metrics = metrics
-        self._hold = hold
-        self._remember = remember
+        self._on_hold = hold
+        self._queue_record = remember
         self._random = random
         self._now = now
-        self._book = EvidenceTracker()
+        self._evidence = EvidenceTracker()
         self._runs = UnansweredRuns()
         self._probes: dict[str, asyncio.Task[None]] = {}
-        metrics.gauge("requests_held_back", lambda: len(self._book.held))
-        metrics.gauge("requests_suspected", lambda: len(self._book))
+        metrics.gauge("requests_held_back", lambda: len(self._evidence.held))
+        metrics.gauge("requests_suspected", lambda: len(self._evidence))
 
-    # What exchanges ask and tell.
+    # Calls of exchanges.
 
     def holds(self, request: Identity) -> bool:
-        """Tell whether a request is held back."""
-        return self._book.holds_any and self._book.is_held(request())
+        """Return whether a request is held back."""
+        return self._evidence.holds_any and self._evidence.is_held(request())
 
     def delivered(self, replica: Replica, request: Identity) -> None:
-        """Note that a replica has served a request whole."""
+        """Record that a replica has served a request in full, and broadcast it for a suspect."""
         self.answered(replica)
         name = request()
-        self._book.record_delivered(name, self._now())
-        known = self._book.find(name)
+        self._evidence.record_delivered(name, self._now())
+        known = self._evidence.find(name)
         if known is None or not known.ends:
             return
         message = RequestsServed((name,))
-        self._take_served(message)
-        self._tell(message)
+        self._apply_served(message)
+        self._broadcast(message)
 
     def answered(self, replica: Replica) -> None:
-        """Note that a replica has answered, whatever it was."""
+        """Record that a replica has sent any answer, so its broken runs are no sign of its end."""
         self._runs.note_alive(replica.id)
 
     def broke_off(
         self, admission: Admission, replica: Replica, request: bytes, output_s: float
     ) -> None:
-        """Note that a replica broke a run off, and find out at once whether it has ended.
+        """Record that a replica broke off a run, and probe at once whether the replica has ended.
 
-        Its record goes only after three heartbeats, when the next replicas have met the request.
+        The record of a replica is removed only after three heartbeats. Until then further replicas
+        may have received the request.
         """
         now = self._now()
         self._runs.add(replica.id, request, now, output_s=output_s, broken=True)
@@ -111,17 +114,17 @@
             probe.add_done_callback(lambda _: self._probes.pop(replica.id, None))
 
     def left(self, replica: Replica, request: bytes, output_s: float) -> None:
-        """Note that this side has left a run."""
+        """Record that the caller or this node has abandoned a run."""
         now = self._now()
         self._runs.add(replica.id, request, now, output_s=output_s, broken=False)
 
     def unreachable(self, replica: Replica) -> None:
-        """Note that a replica can't be connected to: what broke there was its end."""
-        self._ended(replica.id, "unreachable")
+        """Record that a replica refuses connections: runs that broke there broke at its end."""
+        self._record_end(replica.id, "unreachable")
 
     async def _probe(self, replica: Replica, most: int) -> None:
         opened = await self._connections.open(
-            replica.ip, replica.port, limit=most, timeout_s=PROBE_S
+            replica.ip, replica.port, limit=most, timeout_s=PROBE_TIMEOUT_S
         )
         if isinstance(opened, ConnectFailure):
             if opened is not ConnectFailure.AT_LIMIT:
@@ -131,134 +134,146 @@
         self._connections.give_back(replica.ip, replica.port, opened)
 
     def replicas_changed(self, replicas: Mapping[str, Replica]) -> None:
-        """Take the replicas that there are; a start that is no longer among them has ended."""
+        """Apply the present list of replicas; a start that is no longer listed has ended."""
         there = {each.id for each in replicas.values()}
         for start in self._runs.starts(self._now()):
             if start not in there:
-                self._ended(start, "record")
+                self._record_end(start, "record")
 
     def apply_stored_holds(self, held: Iterable[bytes], released: Iterable[bytes]) -> None:
-        """Take what the store says is held back, and what operators have released there.
+        """Apply the holds in the store, and the releases that operators wrote there.
 
-        How long ago that was decided is not known, so it counts from now.
+        The times of these decisions are unknown, so they count from now.
         """
         now = self._now()
         for request in released:
-            if self._book.record_served(request, now):
-                log.notice("request_released", digest=_name(request), why="operator")
+            if self._evidence.record_served(request, now):
+                log.notice("request_released", digest=_hex_digest(request), why="operator")
         for request in held:
-            known = self._book.find(request)
+            known = self._evidence.find(request)
             if known is not None and (known.holds or known.is_refuted):
                 continue
-            if self._book.merge_held(HeldRequest(request, 0.0, HOLD_S), now):
+            if self._evidence.merge_held(HeldRequest(request, 0.0, HOLD_S), now):
                 self._begin_hold(request, source="store")
 
-    # Ends.
+    # Replica ends.
 
-    def _ended(self, start: str, source: str) -> None:
-        """Count the end of a replica against what ran there from here, and tell all nodes."""
+    def _record_end(self, start: str, source: str) -> None:
+        """Count the end of a replica against this node's runs there, and broadcast it."""
         now = self._now()
         runs = self._runs.pop(start, now)
         if not runs:
             return
         message = ReplicaEnded(start, runs)
-        names = [_name(each.request) for each in runs]
-        log.info("replica_ended", start=start, source=source, digests=names[:MOST_NAMED])
+        names = [_hex_digest(each.request) for each in runs]
+        log.info("replica_ended", start=start, source=source, digests=names[:MAX_LOGGED_DIGESTS])
         self._metrics.count("replica_ends", source=source)
-        for request in self._count(message):
-            self._remember(request)
-        self._tell(message)
+        for request in self._count_ends(message):
+            self._queue_record(request)
+        self._broadcast(message)
 
-    def _count(self, message: ReplicaEnded) -> list[bytes]:
-        """Count an end; give the requests that are held back for it."""
+    def _count_ends(self, message: ReplicaEnded) -> list[bytes]:
+        """Count a replica end against its runs.
+
+        :return: the requests that are held back because of it.
+        """
         now = self._now()
         decided: list[bytes] = []
         for run in message.runs:
-            book = self._book
+            book = self._evidence
             held = book.record_end(run.request, message.start, run.weight, now - run.age_s, now)
             known = book.find(run.request)
             if held and known is not None:
                 decided.append(run.request)
-                starts = sorted(known.ends)[:MOST_NAMED]
+                starts = sorted(known.ends)[:MAX_LOGGED_DIGESTS]
                 for_s = round(known.held_until - now)
                 self._begin_hold(run.request, starts=starts, for_s=for_s)
         if decided:
-            for request in self._book.release_explained():
-                log.notice("request_released", digest=_name(request), why="explained")
+            for request in self._evidence.release_explained():
+                log.notice("request_released", digest=_hex_digest(request), why="explained")
         return decided
 
     def _begin_hold(self, request: bytes, **evidence: object) -> None:
-        log.notice("request_held", digest=_name(request), **evidence)
-        self._hold(request)
+        log.notice("request_held", digest=_hex_digest(request), **evidence)
+        self._on_hold(request)
 
     # Messages.
 
     def receive(self, address: str, message: QuarantineMessage) -> None:
-        """Take what another node tells.
+        """Handle a message of another node.
 
-        :param address: link address of the node.
+        :param address: link address of that node.
         """
         if isinstance(message, HeldSummary):
-            if message.checksum != self._book.checksum():
-                self._send(address, HeldRequests(self._book.held_requests(self._now())))
+            if message.checksum != self._evidence.checksum():
+                self._send(address, HeldRequests(self._evidence.held_requests(self._now())))
         elif isinstance(message, HeldRequests):
             self._merge(address, message)
         else:
-            self._take_news(message)
+            self._apply_report(message)
 
-    def _take_news(self, message: ReplicaEnded | RequestsServed) -> None:
+    def _apply_report(self, message: ReplicaEnded | RequestsServed) -> None:
         if isinstance(message, ReplicaEnded):
-            self._count(message)
-            self._ended(message.start, "peer")
+            self._count_ends(message)
+            self._record_end(message.start, "peer")
         else:
-            self._take_served(message)
+            self._apply_served(message)
         relay_on(self._view, self._send, message)
 
-    def _take_served(self, message: RequestsServed) -> None:
+    def _apply_served(self, message: RequestsServed) -> None:
         at = self._now() - message.age_s
         for request in message.requests:
-            if self._book.record_served(request, at):
-                log.notice("request_released", digest=_name(request), why="served")
+            if self._evidence.record_served(request, at):
+                log.notice("request_released", digest=_hex_digest(request), why="served")
 
     def _merge(self, address: str, message: HeldRequests) -> None:
         now = self._now()
         for each in message.requests:
-            if self._book.merge_held(each, now):
+            if self._evidence.merge_held(each, now):
                 self._begin_hold(each.request, source=address)
-        for request, served_at in self._book.refuted(message.requests, now):
+        for request, served_at in self._evidence.refuted_holds(message.requests, now):
             self._send(address, RequestsServed((request,), now - served_at))
-        if not message.is_answer and len(message.requests) != len(self._book.held):
-            self._send(address, HeldRequests(self._book.held_requests(now), is_answer=True))
+        if not message.is_answer and len(message.requests) != len(self._evidence.held):
+            self._send(address, HeldRequests(self._evidence.held_requests(now), is_answer=True))
 
-    def _tell(self, message: ReplicaEnded | RequestsServed) -> None:
-        """Tell all nodes; what is lost with a node or a link is told again by what is held back."""
+    def _broadcast(self, message: ReplicaEnded | RequestsServed) -> None:
+        """Send a message to all nodes.
+
+        The summaries of held requests repair messages that are lost with a node or a link.
+        """
         tell_all(self._view, self._send, message)
 
-    # Time.
+    # Periodic work and shutdown.
 
     def close(self) -> None:
-        """Give up what is still being found out."""
+        """Cancel the running probes."""
         for probe in self._probes.values():
             probe.cancel()
 
     def tick(self) -> None:
-        """Let go what is due, and compare with some other nodes; call about once a second."""
+        """Release requests whose hold is over, and send summaries to some nodes.
+
+        Call about once a second.
+        """
         now = self._now()
-        for request in self._book.expire(now):
-            log.notice("request_released", digest=_name(request), why="on probation")
-        if not self._book.holds_any and now > ASKS_FOR_S:
+        for request in self._evidence.expire(now):
+            log.notice("request_released", digest=_hex_digest(request), why="on probation")
+        if not self._evidence.holds_any and now > STARTUP_SUMMARY_S:
             return
-        summary = HeldSummary(self._book.checksum())
-        for address in self._some_others():
+        summary = HeldSummary(self._evidence.checksum())
+        for address in self._sample_peers():
             self._send(address, summary)
 
-    def _some_others(self) -> Iterable[str]:
-        """Choose among those who are told news too: links to all others would grow as a square."""
+    def _sample_peers(self) -> Iterable[str]:
+        """Choose random nodes among the direct receivers of broadcasts.
+
+        Links to all other nodes would grow with the square of the number of nodes.
+        """
         direct, relays = self._view.audience()
         others = [*direct, *relays]
-        count = min(SUMMARIES, len(others))
+        count = min(SUMMARY_PEERS, len(others))
         return {others[int(self._random() * len(others))] for _ in range(count)}
 
 
-def _name(request: bytes) -> str:
+def _hex_digest(request: bytes) -> str:
     return request.hex()
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_evidence.py
@@ -1,10 +1,10 @@
 """What speaks for and against a request, in whatever order it is told."""
 
 from chalkyoke.quarantine.evidence import (
-    ENDS_IN_ANY_CASE,
+    ENDS_TO_HOLD_ALWAYS,
+    EVIDENCE_RETENTION_S,
     HOLD_S,
-    MOST_REQUESTS,
-    REMEMBERED_S,
+    MAX_REQUESTS,
     EvidenceTracker,
 )
 from chalkyoke.quarantine.messages import HeldRequest
@@ -92,7 +92,7 @@
     assert end(book, 9, again)
     assert book.expire(again + HOLD_S + 1.0) == []
     assert book.expire(again + 2 * HOLD_S) == [REQUEST]
-    assert book.expire(again + 2 * HOLD_S + REMEMBERED_S + 1.0) == []
+    assert book.expire(again + 2 * HOLD_S + EVIDENCE_RETENTION_S + 1.0) == []
     assert len(book) == 0
 
 
@@ -105,19 +105,19 @@
     assert other.merge_held(told[0], 105.0)
     assert other.checksum() == book.checksum() != 0
     other.record_served(REQUEST, 104.0)
-    assert other.refuted(told, 105.0) == [(REQUEST, 104.0)]
+    assert other.refuted_holds(told, 105.0) == [(REQUEST, 104.0)]
     assert not other.merge_held(told[0], 105.0)
 
 
 def test_a_thousand_requests_at_once_are_held_back_and_memory_has_a_bound():
     book = EvidenceTracker()
-    for number in range(ENDS_IN_ANY_CASE):
+    for number in range(ENDS_TO_HOLD_ALWAYS):
         for request in range(1000):
             end(book, 5 * request + number, float(number), request=b"%d" % request)
-    for victim in range(3 * MOST_REQUESTS):
+    for victim in range(3 * MAX_REQUESTS):
         end(book, victim, 5.0, request=b"victim-%d" % victim)
     assert len(book.held) == 1000
-    assert len(book) <= MOST_REQUESTS + 1
+    assert len(book) <= MAX_REQUESTS + 1
 
 
 # Guards against a popular request that is held back for ends that another one explains.
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from chalkyoke.quarantine.heldrecords import MOST_WAITING, SHARED_S, HeldRecords
+from chalkyoke.quarantine.heldrecords import LEASE_REUSE_S, MAX_WAITING, HeldRecords
 from chalkyoke.storage.messages import LeaseGone, LeaseGranted, Unavailable, Written
 from chalkyoke.storage.port import MOST_COPY_AGE_S
 
@@ -51,7 +51,7 @@
             records.queue_record(bytes([number]))
         await asyncio.sleep(1.0)
         assert (len(store.written), store.calls) == (10, 11)
-        await asyncio.sleep(SHARED_S)
+        await asyncio.sleep(LEASE_REUSE_S)
         records.queue_record(b"later")
         await asyncio.sleep(1.0)
         assert set(store.written.values()) == {1, 2}
@@ -62,13 +62,13 @@
 def test_a_store_that_is_away_is_asked_ever_less_and_gets_all_that_waits_when_it_is_back():
     async def check(store, records):
         store.away = True
-        for number in range(2 * MOST_WAITING):
+        for number in range(2 * MAX_WAITING):
             records.queue_record(b"%d" % number)
         await asyncio.sleep(60.0)
         assert store.calls < 15
         store.away = False
         await asyncio.sleep(10.0)
-        assert len(store.written) == MOST_WAITING
+        assert len(store.written) == MAX_WAITING
 
     play(check)
 
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_runs.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_runs.py
@@ -1,7 +1,12 @@
 """Runs that ended without an answer, until it is known whether their replica has ended."""
 
 from chalkyoke.quarantine.identity import request_digest
-from chalkyoke.quarantine.runs import KEPT_S, LEFT_KEPT_S, LONG_OUTPUT_S, UnansweredRuns
+from chalkyoke.quarantine.runs import (
+    BROKEN_RUN_RETENTION_S,
+    LEFT_RUN_RETENTION_S,
+    LONG_OUTPUT_S,
+    UnansweredRuns,
+)
 
 
 def weights(runs, start="m/1", now=1.0):
@@ -28,10 +33,10 @@
     runs.add("m/1", b"a", 0.0, output_s=0.9 * LONG_OUTPUT_S, broken=True)
     runs.add("m/1", b"b", 0.0, output_s=4.0, broken=True)
     runs.add("m/1", b"c", 0.0, output_s=0.0, broken=False)
-    assert runs.starts(LEFT_KEPT_S) == ["m/1"]
-    assert weights(runs, now=LEFT_KEPT_S + 0.1) == [1.0, 0.5]
+    assert runs.starts(LEFT_RUN_RETENTION_S) == ["m/1"]
+    assert weights(runs, now=LEFT_RUN_RETENTION_S + 0.1) == [1.0, 0.5]
     runs.add("m/1", b"a", 0.0, output_s=0.0, broken=True)
-    assert runs.starts(KEPT_S + 0.1) == []
+    assert runs.starts(BROKEN_RUN_RETENTION_S + 0.1) == []
 
 
 def test_a_request_has_one_name_at_all_attempts_and_no_other_request_has_it():
--- a/packages/chalkyoke/src/chalkyoke/retries/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/retries/__init__.py
@@ -1,5 +1,5 @@
 """
 chalkyoke.retries
 
-How often a request may be sent to a second replica, kept without a call between nodes.
+The fleet's budget for sending requests to a second replica, kept without messages between nodes.
 """
--- a/packages/chalkyoke/src/chalkyoke/retries/budget.py
+++ b/packages/chalkyoke/src/chalkyoke/retries/budget.py
@@ -1,26 +1,28 @@
 """
 chalkyoke.retries.budget
 
-This node's part of the fleet's retry budget: a share of its own first sends, and its part of the
-slack. The sum over all nodes keeps the fleet's limit, whichever nodes die or are cut off.
+This node's part of the fleet's retry budget: a fraction of its own first sends, and its part of the
+slack. The sum over all nodes stays within the fleet's limit, whichever nodes die or are cut off.
 """
 
 from collections import deque
 
 import msgspec
 
-# The part of the budget that is used: windows of operators and of nodes do not begin together.
-SAFETY = 0.8
-# The slack is divided by so many nodes at least: one that knows nobody yet is hardly alone.
-LEAST_NODES = 2
+# Fraction of the budget that is used, since the windows of operators and of nodes don't begin at
+# the same time.
+USED_SHARE = 0.8
+# Lowest number of nodes that share the slack: a node that knows no other node yet is hardly the
+# only one.
+MIN_NODES = 2
 
 
 class BudgetLimits(msgspec.Struct, frozen=True):
     """The fleet's limit on sends beyond the first of each request.
 
-    :param ratio: of the first sends in a window.
-    :param slack: sends allowed on top in any window, over all nodes.
-    :param window_s: length of the sliding window.
+    :param ratio: repeated sends allowed in a window, as a fraction of the first sends.
+    :param slack: additional repeated sends allowed in any window, over all nodes.
+    :param window_s: length of the sliding window, in seconds.
     """
 
     ratio: float = 0.2
@@ -34,7 +36,7 @@
 
 
 class RetryBudget:
-    """Count sends, by service.
+    """Count the sends in a sliding window, by service.
 
     :param limits: the fleet's limit.
 
@@ -51,32 +53,32 @@
 
     def record_first(self, service: str, now: float) -> None:
         """Count the first send of a request."""
-        window = self._expired(service, now)
+        window = self._current_window(service, now)
         window.firsts.append(now)
 
     def remaining(self, service: str, nodes: int, now: float) -> float:
-        """Tell how many repeats may be sent now.
+        """Return the number of repeats that may be sent now; negative after it has fallen.
 
-        :param nodes: nodes that there may be in the fleet, dead ones included.
+        :param nodes: number of nodes that may exist in the fleet, dead ones included.
         :rtype: float
         """
-        window = self._expired(service, now)
-        part = self.limits.slack / max(LEAST_NODES, nodes)
-        allowed = SAFETY * (self.limits.ratio * len(window.firsts) + part)
+        window = self._current_window(service, now)
+        part = self.limits.slack / max(MIN_NODES, nodes)
+        allowed = USED_SHARE * (self.limits.ratio * len(window.firsts) + part)
         return allowed - len(window.repeats)
 
     def try_spend(self, service: str, nodes: int, now: float) -> bool:
-        """Take one repeat, if there is one left.
+        """Count one repeat, if the budget allows it.
 
-        :param nodes: nodes that there may be in the fleet, dead ones included.
-        :rtype: bool
+        :param nodes: number of nodes that may exist in the fleet, dead ones included.
+        :return: whether the repeat may be sent.
         """
         if self.remaining(service, nodes, now) < 1:
             return False
         self._windows[service].repeats.append(now)
         return True
 
-    def _expired(self, service: str, now: float) -> _Window:
+    def _current_window(self, service: str, now: float) -> _Window:
         window = self._windows.setdefault(service, _Window())
         since = now - self.limits.window_s
         for times in (window.firsts, window.repeats):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -205,7 +205,7 @@
         await asyncio.gather(*asked)
         await ending
         assert len(ends(fleet.models)) >= 20
-        assert [len(node.quarantine._book.held) for node in fleet.nodes] == [0] * 6
+        assert [len(node.quarantine._evidence.held) for node in fleet.nodes] == [0] * 6
 
     play(check)
 
@@ -215,7 +215,7 @@
         for replica in fleet.models:
             replica.faults.break_streams = 1000
         await keep_asking(fleet, "/explain/1", b"{}", seconds=6.0)
-        assert [len(node.quarantine._book) for node in fleet.nodes] == [0] * 6
+        assert [len(node.quarantine._evidence) for node in fleet.nodes] == [0] * 6
 
     play(check)
 
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -135,7 +135,7 @@
         return runs
 
     def held(self):
-        return {name for node in self.nodes for name in node._book.held}
+        return {name for node in self.nodes for name in node._evidence.held}
 
     def tick(self):
         for node in self.nodes:
