--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -105,7 +105,7 @@
     def broadcast_pending(self) -> None:
         """Broadcast changes that were delayed, and drop expired state."""
         now = self._now()
-        self._known.forget(self._state.replicas.keys(), now)
+        self._known.drop_expired(self._state.replicas.keys(), now)
         self._broadcast_from = {
             name: at for name, at in self._broadcast_from.items() if self._known.has_report(name)
         }
--- a/packages/chalkyoke/src/chalkyoke/limits/known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/known.py
@@ -76,7 +76,7 @@
         found = ((start, self.limit_of(start)) for start in self._reports)
         return {start: limit_per_s for start, limit_per_s in found if limit_per_s is not None}
 
-    def forget(self, listed: Container[str], now: float) -> None:
+    def drop_expired(self, listed: Container[str], now: float) -> None:
         """Drop the reports on starts that are gone and on limits that were removed long ago.
 
         :param listed: the starts that the catalog lists.
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -1,9 +1,9 @@
-"""Nodes that send to replicas which name limits, in virtual time without a network.
+"""Simulation of nodes that send to limited replicas, in virtual time without a network.
 
-The pattern: open-loop callers at many hosts before a plain service, some replicas of which take
-few requests a second from all hosts together; hosts are killed and cut off meanwhile, and limits
-change. Limits of 0.2 to 40 a second are those of small engines and of busy plain services; hosts,
-domains and delays are those of the fleets that operators run, up to the size of two years from now.
+Open-loop callers at many hosts send to a plain service. Some of its replicas take few requests per
+second from all hosts together. Hosts are killed and cut off meanwhile, and limits change. Limits
+of 0.2 to 40 per second are those of small engines and of busy plain services. Hosts, domains and
+delays are those of operators' fleets, up to the size expected in two years.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 SERVICE = Service("plain")
 GOAL_S = 1.0
-# Two kinds of requests of one service, of which the first is the more urgent.
+# Two routes of one service; the first is the more urgent.
 ROUTES = tuple(
     Route(
         f"r{rank}",
@@ -45,17 +45,17 @@
     )
     for rank in range(2)
 )
-# One way, in seconds.
+# Delays of a message one way, within a failure domain and between two, in seconds.
 NEAR_S, FAR_S = 0.0005, 0.002
 CONNECT_S = 0.002
 WORK_S = 0.02
-# How long it takes until a loss or a cut is noticed, in seconds.
+# Time until a loss or a partition is detected, in seconds.
 NOTICED_S = 2.5
 DOMAINS = 4
 
 
 class View:
-    """What one node believes of the others."""
+    """The members that one node considers live."""
 
     def __init__(self, node, live):
         self.node, self.live_names = node, set(live)
@@ -69,7 +69,7 @@
 
 
 class Node:
-    """One host: what it knows of limits, and its way to send. Made anew when it starts."""
+    """One process of a host: the limits it knows and its grants; created anew at each start."""
 
     starts = itertools.count(1)
 
@@ -111,7 +111,7 @@
             pooled=False,
         )
 
-    # The port of the permits.
+    # The keeper port of the permit client.
 
     def keepers(self, service):
         names = sorted(self.view.live_names, key=lambda each: (each * 7919 + 13) % 9973)
@@ -141,11 +141,11 @@
 
 @dataclass
 class LimitedReplica:
-    """What one replica says and gets.
+    """The limit of one replica and the requests that reach it.
 
-    :ivar limit_per_s: negative where it names none.
-    :ivar arrivals: when requests reached it, and the processes that sent them.
-    :ivar told: when each process had passed on a first answer that names a limit.
+    :ivar limit_per_s: requests per second; negative if the replica announces no limit.
+    :ivar arrivals: times at which requests arrived, and the processes that sent them.
+    :ivar told: time at which each process processed its first answer with a limit.
     """
 
     resource: Replica
@@ -155,9 +155,9 @@
 
 
 class Fleet:
-    """All nodes, and the callers before them.
+    """All nodes and their callers.
 
-    :param weights: how many callers come to each node, beside others.
+    :param weights: relative number of callers of each node.
     """
 
     def __init__(self, hosts, replicas=6, seed=1, weights=None):
@@ -191,7 +191,7 @@
     def of(self, service, *, for_trial=False):
         return list(self.replicas.values())
 
-    # The way between nodes.
+    # Messages between nodes.
 
     def carry(self, sender, address, kind, message):
         self.messages[kind] += 1
@@ -210,12 +210,12 @@
     # Faults.
 
     def kill(self, *names):
-        """End hosts that start again at once; others notice the new processes at once."""
+        """Restart hosts without a delay; other nodes see the new processes at once."""
         for name in names:
             self.nodes[name] = Node(self, name, self.nodes[name].view.live_names)
 
     def cut(self, names, seconds):
-        """Cut hosts off from the others; replicas are reached by all."""
+        """Cut off hosts from the others; all hosts still reach the replicas."""
         self.cut_off = set(names)
         for process in (self.nodes[name].process for name in names):
             self.excused[process] = (self.now(), self.now() + seconds + NOTICED_S)
@@ -235,7 +235,7 @@
     # Callers.
 
     async def play(self, demand_per_s, seconds, events=()):
-        """Let callers come; ``events`` are (second, what)."""
+        """Send requests; ``events`` are pairs of a time in seconds and a function of the fleet."""
         began = self.now()
         for at, what in events:
             self.loop.call_later(at, what, self)
@@ -289,14 +289,14 @@
         if limit >= 0 and self.nodes[node.name] is node:
             replica.told.setdefault(node.process, self.now())
 
-    # What came of it.
+    # Results.
 
     def set_limits(self, limit_per_s, count=None):
         for replica in list(self.limited.values())[:count]:
             replica.limit_per_s = limit_per_s
 
     def worst(self, since=0.0):
-        """Give the most requests in a window that the users' bound looks at, over all replicas."""
+        """Return the highest number of requests in a window of the users' bound at any replica."""
         return max(self._worst_of(each, since) for each in self.limited.values())
 
     def _worst_of(self, replica, since):
@@ -312,7 +312,7 @@
         return began <= at <= ended
 
     def used(self, limit_per_s, began, seconds):
-        """Tell how much of the limits was used in a time, requests of all hosts."""
+        """Return the fraction of all limits that the requests of all hosts used in a period."""
         limited = [each for each in self.limited.values() if each.limit_per_s >= 0]
         sent = sum(began <= at < began + seconds for each in limited for at, _ in each.arrivals)
         return sent / (len(limited) * limit_per_s * seconds)
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
@@ -9,7 +9,7 @@
 LIMITS = st.sampled_from((0.0, 0.2, 0.4, 1.0, 3.8, 40.0))
 
 
-def test_it_begins_empty_and_fills_at_the_limit():
+def test_an_allowance_is_empty_at_first_and_fills_at_the_limit():
     allowance = Allowance(4.0, 1.0, 10.0)
     assert not allowance.is_open(10.0)
     assert allowance.opens_in_s(10.0) == 0.25
@@ -18,7 +18,7 @@
     assert allowance.opens_in_s(10.25) == 0.25
 
 
-def test_requests_that_wait_go_one_after_the_other():
+def test_waiting_requests_are_sent_one_after_the_other():
     allowance = Allowance(2.0, 1.0, 0.0)
     assert [allowance.reserve(1.2, 0.0) for _ in range(3)] == [0.5, 1.0, None]
     allowance.give_back()
@@ -26,13 +26,13 @@
 
 
 @pytest.mark.parametrize("limit_per_s", [0.0, 0.1])
-def test_a_replica_that_takes_nothing_gets_one_request_in_five_seconds(limit_per_s):
+def test_a_replica_with_a_limit_near_zero_gets_one_request_in_five_seconds(limit_per_s):
     allowance = Allowance(limit_per_s, 1.0, 0.0)
     assert allowance.opens_in_s(0.0) == pytest.approx(1 / MIN_RATE_PER_S)
 
 
 class Spending(RuleBasedStateMachine):
-    """Whatever is taken, reserved, given back or changed, no window sees more than is allowed."""
+    """No sequence of requests, returned permits and new limits exceeds the limit in a window."""
 
     @initialize(limit_per_s=LIMITS)
     def begin(self, limit_per_s):
@@ -67,7 +67,7 @@
 
     @rule(limit_per_s=LIMITS)
     def change(self, limit_per_s):
-        # What waits for its time under an earlier limit asks anew.
+        # Requests that wait under an earlier limit return their permits and request new ones.
         for _ in [each for each in self.sent if each > self.now]:
             self.allowance.give_back()
         self.sent = [each for each in self.sent if each <= self.now]
@@ -75,18 +75,18 @@
         self.limits.append((self.now, limit_per_s))
 
     @invariant()
-    def no_window_sees_more(self):
+    def no_window_exceeds_the_tolerance(self):
         sent = sorted(self.sent)
         for index, began in enumerate(sent):
             ended = began + WINDOW_S
             count = sum(1 for at in sent[index:] if at < ended)
-            # A limit that was named before counts until it was replaced.
+            # An earlier limit counts until it is replaced.
             before = [each for at, each in self.limits if at < began][-1:]
             most = max([*before, *(each for at, each in self.limits if began <= at < ended)])
             assert count <= most_allowed(most), (count, most)
 
     @invariant()
-    def no_more_is_saved_up_than_a_moment_s_worth(self):
+    def the_burst_is_bounded(self):
         rate = max(MIN_RATE_PER_S, self.allowance.limit_per_s)
         probe = Allowance(self.allowance.limit_per_s, 1.0, self.now)
         assert math.isclose(probe.rate_per_s, rate)
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""What one node tells all others of the limits that replicas name."""
+"""Broadcasts of the limits that replicas announce."""
 
 from types import SimpleNamespace
 
@@ -24,7 +24,7 @@
         return self.now
 
 
-def news():
+def make_announcements():
     sent, changes = [], []
     known = KnownLimits()
     made = LimitAnnouncements(
@@ -40,26 +40,26 @@
     return made
 
 
-def words(made):
+def sent_limits(made):
     return [
         (address, each.replica, each.value) for address, told in made.sent for each in told.items
     ]
 
 
 @pytest.mark.parametrize("at", [0.0, 0.1, 10.1, 10.3, 1234.567, 86400.1])
-def test_a_first_word_is_told_to_all_at_once(at):
-    made = news()
+def test_a_first_limit_is_broadcast_at_once(at):
+    made = make_announcements()
     made._now.now = at
     made.note_answer("p1", 3.8)
-    assert words(made) == [(address, "p1", 3.8) for address in ("n2", "n3", "far")]
+    assert sent_limits(made) == [(address, "p1", 3.8) for address in ("n2", "n3", "far")]
     assert [message.relay for _, message in made.sent] == [False, False, True]
     made.note_answer("p1", 3.8)
     assert len(made.sent) == 3
     assert made.changes == [{"p1": 3.8}]
 
 
-def test_a_replica_that_names_another_limit_in_each_answer_is_told_of_now_and_then():
-    made = news()
+def test_broadcasts_of_a_limit_that_changes_with_each_answer_are_rate_limited():
+    made = make_announcements()
     for number in range(100):
         made._now.now = number * 0.01
         made.note_answer("p1", 3.0 + number / 100)
@@ -67,14 +67,14 @@
     made.sent.clear()
     made._now.now = 1.1
     made.broadcast_pending()
-    assert words(made)[0] == ("n2", "p1", 3.99)
+    assert sent_limits(made)[0] == ("n2", "p1", 3.99)
     made.sent.clear()
     made.broadcast_pending()
     assert not made.sent
 
 
-def test_what_another_node_tells_is_told_on_only_where_it_asks_for_it():
-    made = news()
+def test_a_broadcast_of_another_node_is_relayed_only_if_it_asks_for_it():
+    made = make_announcements()
     made.note_answer("p1", 3.8)
     made.sent.clear()
     made._now.now = 2.0
@@ -87,8 +87,8 @@
     assert [(address, message.relay) for address, message in made.sent] == [("n4", False)]
 
 
-def test_a_node_that_joins_is_told_what_was_first_heard_here():
-    made = news()
+def test_a_joining_node_gets_the_limits_that_this_node_broadcast():
+    made = make_announcements()
     made.note_answer("p1", 3.8)
     made.apply_report("p2", 2.0, 0.0)
     made.sent.clear()
@@ -98,13 +98,13 @@
     assert (address, message.items) == ("n9", (ReplicaAttribute("p1", "limit", 3.8, 4.0),))
 
 
-def test_that_a_limit_is_over_is_told_and_then_forgotten():
-    made = news()
+def test_the_removal_of_a_limit_is_broadcast_and_later_dropped():
+    made = make_announcements()
     made.note_answer("p1", 3.8)
     made._now.now = 1.0
     made.sent.clear()
     made.note_answer("p1", None)
-    assert words(made)[0] == ("n2", "p1", None)
+    assert sent_limits(made)[0] == ("n2", "p1", None)
     made._now.now = 2.0 + ENDED_RETENTION_S
     made.broadcast_pending()
     made.sent.clear()
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Limits over a whole fleet in virtual time; fleet.py tells the pattern and the grounds."""
+"""Limits over a whole fleet in virtual time; fleet.py describes the simulated load."""
 
 import os
 import random
@@ -12,13 +12,16 @@
 from .fleet import Fleet
 
 REPLICAS = 6
-# By hand more: a hundred seeds and the larger fleets.
+# Number of seeds; with SEEDS in the environment the larger fleets are simulated too.
 SEEDS = range(int(os.environ.get("SEEDS", "3")))
 HOSTS = (7, 24, 80) if os.environ.get("SEEDS") is None else (7, 24, 80, 195, 340)
 
 
 def play(seed, hosts, limit_per_s, times, seconds, events=(), weights=None, limited=REPLICAS):
-    """Play a fleet whose callers ask for so many times of what all limits allow."""
+    """Simulate a fleet.
+
+    :param times: demand as a multiple of the sum of all limits.
+    """
 
     async def main():
         fleet = Fleet(hosts, REPLICAS, seed, weights)
@@ -30,7 +33,7 @@
 
 
 @pytest.mark.parametrize("hosts", HOSTS)
-def test_no_window_sees_more_than_operators_allow(hosts):
+def test_no_window_exceeds_the_tolerance_of_operators(hosts):
     for seed in SEEDS:
         source = random.Random(f"{hosts}/{seed}")
         limit_per_s = source.choice((0.2, 0.4, 1.0, 3.8, 10.0, 40.0))
@@ -41,7 +44,7 @@
 
 
 @pytest.mark.parametrize("hosts", HOSTS)
-def test_no_window_sees_more_while_hosts_are_killed_and_cut_off(hosts):
+def test_no_window_exceeds_the_tolerance_while_hosts_are_killed_and_cut_off(hosts):
     for seed in SEEDS:
         source = random.Random(f"{hosts}/{seed}/faults")
         limit_per_s = source.choice((0.4, 3.8, 10.0))
@@ -57,8 +60,8 @@
         assert fleet.worst() <= most_allowed(limit_per_s), (hosts, seed, limit_per_s)
 
 
-def assert_used(fleet, limit_per_s, began=4.0, seconds=10.0):
-    """Nine tenths of the limits are used, and no more than the limits and what was saved up."""
+def assert_nine_tenths_used(fleet, limit_per_s, began=4.0, seconds=10.0):
+    """Check that nine tenths of the limits are used, and at most the limits and a burst."""
     most = limit_per_s * seconds + BURST_REQUESTS + BURST_S * limit_per_s
     used = fleet.used(limit_per_s, began, seconds)
     assert 0.9 <= used <= most / (limit_per_s * seconds), (limit_per_s, used)
@@ -70,7 +73,7 @@
     for limit_per_s in (0.4, 3.8, 40.0):
         fleet = play(1, hosts, limit_per_s, 2.0, 14.0, weights=weights)
         assert fleet.worst() <= most_allowed(limit_per_s)
-        assert_used(fleet, limit_per_s)
+        assert_nine_tenths_used(fleet, limit_per_s)
 
 
 @pytest.mark.parametrize("hosts", HOSTS)
@@ -78,34 +81,34 @@
     for limit_per_s, times in ((0.4, 10.0), (3.8, 2.0), (10.0, 1.2)):
         fleet = play(2, hosts, limit_per_s, times, 14.0, weights=[1] * hosts)
         assert fleet.worst() <= most_allowed(limit_per_s)
-        assert_used(fleet, limit_per_s)
+        assert_nine_tenths_used(fleet, limit_per_s)
 
 
-def test_nothing_is_said_while_nobody_is_limited():
+def test_no_messages_are_sent_while_no_replica_is_limited():
     fleet = play(3, 24, -1.0, 1.0, 5.0)
     assert fleet.answers["served"] > 0
     assert not fleet.messages
 
 
-def test_a_changed_limit_is_in_force_within_a_moment():
-    def lower(fleet):
+def test_a_changed_limit_is_in_force_at_once():
+    def lower_limits(fleet):
         fleet.set_limits(2.0)
 
-    fleet = play(4, 24, 20.0, 1.2, 14.0, [(6.0, lower)])
+    fleet = play(4, 24, 20.0, 1.2, 14.0, [(6.0, lower_limits)])
     assert fleet.worst(since=6.0) <= most_allowed(2.0)
 
 
 @pytest.mark.parametrize("times", [1.2, 2.0, 5.0])
-def test_what_limits_allow_goes_to_the_more_urgent_requests_and_is_in_time(times):
+def test_limited_capacity_serves_the_more_urgent_requests_in_time(times):
     fleet = play(5, 24, 3.8, times, 14.0)
     answers = fleet.answers
     urgent, other = (answers["served", name] / answers["asked", name] for name in ("r0", "r1"))
     assert urgent >= other
-    # What is served is in time, and what is not was refused at once.
+    # Served requests are in time; the others are refused at once.
     assert answers["in time"] >= 0.99 * answers["served"]
 
 
-def test_callers_are_served_by_replicas_with_room_as_if_there_were_no_limits():
+def test_unlimited_replicas_serve_all_requests_if_others_are_limited():
     free = play(6, 24, -1.0, 1.0, 8.0)
     limited = play(6, 24, 2.0, 10.0, 8.0, limited=2)
     for fleet in (free, limited):
--- a/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
@@ -76,7 +76,7 @@
         """Whether the request is known to have been served in full."""
         return self.served_at > float("-inf")
 
-    def knows(self, start: str, at: float) -> bool:
+    def has_end(self, start: str, at: float) -> bool:
         """Return whether an end is counted already, possibly under another start of the replica."""
         if start in self.ends:
             return True
@@ -139,7 +139,7 @@
         known = self._known.get(request)
         if known is None:
             known = self._known[request] = Suspicion(served_at=self._served.last_served_at(request))
-        if at <= known.served_at or known.knows(start, at):
+        if at <= known.served_at or known.has_end(start, at):
             return False
         known.ends[start] = _End(at, weight)
         known.last_end = max(known.last_end, at)
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_heldrecords.py
@@ -1,4 +1,4 @@
-"""Records of requests that are held back, by a store that is away at times."""
+"""Writing records of held requests to a store that is unavailable at times."""
 
 import asyncio
 
@@ -45,7 +45,7 @@
     virtual.run(main)
 
 
-def test_requests_at_once_share_a_lease_and_later_ones_do_not():
+def test_simultaneous_records_share_a_lease_and_later_ones_do_not():
     async def check(store, records):
         for number in range(10):
             records.queue_record(bytes([number]))
@@ -59,7 +59,7 @@
     play(check)
 
 
-def test_a_store_that_is_away_is_asked_ever_less_and_gets_all_that_waits_when_it_is_back():
+def test_calls_to_an_unavailable_store_back_off_and_all_records_are_written_afterwards():
     async def check(store, records):
         store.away = True
         for number in range(2 * MAX_WAITING):
@@ -73,7 +73,7 @@
     play(check)
 
 
-def test_a_lease_that_has_run_out_is_taken_anew():
+def test_an_expired_lease_is_replaced():
     async def check(store, records):
         records.queue_record(b"a")
         await asyncio.sleep(1.0)
@@ -85,14 +85,14 @@
     play(check)
 
 
-# Guards against records of held requests that are gone for good with the store's lost seconds.
+# Guards against losing records of held requests when the store is restored from an older copy.
 def test_records_that_a_restored_store_may_have_lost_are_written_again():
     async def check(store, records):
         records.queue_record(b"old")
         await asyncio.sleep(MOST_COPY_AGE_S)
         records.queue_record(b"new")
         await asyncio.sleep(1.0)
-        # Its lease numbers are given out again, to others as well.
+        # The restored store assigns its lease numbers again, to other writers too.
         store.written.clear()
         store.leases = [1, 2]
         records.store_restored()
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_runs.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs that ended without an answer, until it is known whether their replica has ended."""
+"""Runs that broke without an answer, kept until the fate of their replica is known."""
 
 from chalkyoke.quarantine.identity import request_digest
 from chalkyoke.quarantine.runs import (
@@ -13,14 +13,14 @@
     return [each.weight for each in runs.pop(start, now)]
 
 
-def test_a_replica_that_answers_again_has_not_ended():
+def test_runs_at_a_replica_that_answers_again_are_dropped():
     runs = UnansweredRuns()
     runs.add("m/1", b"a", 0.0, output_s=0.0, broken=True)
     runs.note_alive("m/1")
     assert weights(runs) == []
 
 
-def test_another_start_of_the_replica_is_another_replica():
+def test_another_start_of_a_replica_has_its_own_runs():
     runs = UnansweredRuns()
     runs.add("m/1", b"a", 0.0, output_s=0.0, broken=True)
     runs.note_alive("m/2")
@@ -28,7 +28,7 @@
     assert weights(runs, "m/1") == [1.0]
 
 
-def test_runs_count_by_how_long_they_had_given_output_and_for_a_while_only():
+def test_runs_are_weighted_by_their_output_and_expire():
     runs = UnansweredRuns()
     runs.add("m/1", b"a", 0.0, output_s=0.9 * LONG_OUTPUT_S, broken=True)
     runs.add("m/1", b"b", 0.0, output_s=4.0, broken=True)
@@ -39,7 +39,7 @@
     assert runs.starts(BROKEN_RUN_RETENTION_S + 0.1) == []
 
 
-def test_a_request_has_one_name_at_all_attempts_and_no_other_request_has_it():
+def test_a_digest_is_the_same_for_all_attempts_and_unique_to_a_request():
     name = request_digest(b"POST", "Desk.example", b"/a", "clerks", b"{}")
     assert name == request_digest(b"POST", "desk.example", b"/a", "clerks", b"{}")
     others = {
--- a/packages/chalkyoke/src/chalkyoke/quotas/client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/client.py
@@ -71,7 +71,7 @@
     lease_window: int = 0
 
 
-class Charged(Protocol):
+class ChargedRequest(Protocol):
     """A request whose cost is charged to a team."""
 
     @property
@@ -144,35 +144,35 @@
         self._waiting: dict[int, asyncio.Future[QuotaGrant]] = {}
         self._backoff_until: dict[str, float] = {}
 
-    async def charge(self, charged: Charged) -> QuotaDecision:
+    async def charge(self, request: ChargedRequest) -> QuotaDecision:
         """Charge the cost of a request to its team's quota.
 
         :rtype: QuotaDecision
         """
-        team = charged.team
+        team = request.team
         if team is None or team.rate_per_s <= 0:
             return QuotaDecision(True)
-        if self._leases.spend(team, charged.cost, charged.version, self._now()):
+        if self._leases.spend(team, request.cost, request.version, self._now()):
             lease_window = self._leases.lease_window(team.name)
             return QuotaDecision(True, decided_by="lease", lease_window=lease_window)
         if self._is_new_node():
-            if self._leases.spend_own_share(team, charged.cost, self._now()):
+            if self._leases.spend_own_share(team, request.cost, self._now()):
                 return QuotaDecision(True, decided_by="alone")
             await self._wait_for_known_owners()
-        return await self._ask_owner(team, charged)
+        return await self._ask_owner(team, request)
 
-    async def _ask_owner(self, team: Team, charged: Charged) -> QuotaDecision:
+    async def _ask_owner(self, team: Team, request: ChargedRequest) -> QuotaDecision:
         """Request cost from the owner, and spend this node's own share while the owner is silent.
 
         If the own share is too small, the request waits up to :data:`LAST_ANSWER_TIMEOUT_S` for the
         owner, since a refusal delays the caller for longer.
         """
-        message = self._build_request(team, charged)
+        message = self._build_request(team, request)
         address = self._port.owner(team.name)
         if address is None:
-            return self._apply_grant(charged, self._answer(team, message))
+            return self._apply_grant(request, self._answer(team, message))
         silent = self._backoff_until.get(address, 0.0) > self._now()
-        if silent and self._leases.spend_own_share(team, charged.cost, self._now()):
+        if silent and self._leases.spend_own_share(team, request.cost, self._now()):
             self._leases.add_unreported(team.name, message.alone)
             return QuotaDecision(True, decided_by="alone")
         answer: asyncio.Future[QuotaGrant] = asyncio.get_running_loop().create_future()
@@ -185,7 +185,7 @@
             if not answer.done():
                 self._backoff_until[address] = self._now() + OWNER_BACKOFF_S
             if not answer.done() and not silent:
-                if self._leases.spend_own_share(team, charged.cost, self._now()):
+                if self._leases.spend_own_share(team, request.cost, self._now()):
                     self._leases.add_unreported(team.name, message.alone)
                     return QuotaDecision(True, decided_by="alone")
                 await asyncio.wait([answer], timeout=LAST_ANSWER_TIMEOUT_S)
@@ -193,26 +193,28 @@
             del self._waiting[message.number]
         if answer.done():
             self._backoff_until.pop(address, None)
-            return self._apply_grant(charged, answer.result())
+            return self._apply_grant(request, answer.result())
         self._leases.add_unreported(team.name, message.alone)
         return QuotaDecision(False, OWN_SHARE_RETRY_AFTER_S, "alone")
 
-    def _apply_grant(self, charged: Charged, grant: QuotaGrant) -> QuotaDecision:
-        passed = self._leases.accept_grant(grant, charged.cost, self._now())
+    def _apply_grant(self, request: ChargedRequest, grant: QuotaGrant) -> QuotaDecision:
+        allowed = self._leases.accept_grant(grant, request.cost, self._now())
         retry_s, lease_window = grant.retry_after_s, grant.lease_window
-        return QuotaDecision(passed, retry_s, "owner", grant.spent, grant.most, lease_window)
+        return QuotaDecision(
+            allowed, retry_s, "owner", grant.spent, grant.window_limit, lease_window
+        )
 
-    def refund(self, charged: Charged, passed: QuotaDecision) -> bool:
+    def refund(self, request: ChargedRequest, decision: QuotaDecision) -> bool:
         """Refund the cost of a request that has not run and never will.
 
         Call at most once for a charge. Cost from this node's own share is not refunded.
 
         :return: whether the cost was refunded.
         """
-        if charged.team is None or not passed.lease_window:
+        if request.team is None or not decision.lease_window:
             return False
         return self._leases.refund(
-            charged.team.name, charged.cost, passed.lease_window, self._now()
+            request.team.name, request.cost, decision.lease_window, self._now()
         )
 
     def _is_new_node(self) -> bool:
@@ -232,14 +234,14 @@
                 return
             await asyncio.sleep(NEW_NODE_POLL_S)
 
-    def _build_request(self, team: Team, charged: Charged) -> QuotaRequest:
+    def _build_request(self, team: Team, request: ChargedRequest) -> QuotaRequest:
         return QuotaRequest(
             team.name,
             next(self._numbers),
-            charged.cost,
+            request.cost,
             self._leases.cost_ahead(team),
-            charged.version,
-            charged.urgency,
+            request.version,
+            request.urgency,
             *self._leases.take_remainder(team.name),
             self._leases.pop_unreported(team.name),
         )
--- a/packages/chalkyoke/src/chalkyoke/quotas/copies.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/copies.py
@@ -28,13 +28,13 @@
     """The last update of one team's window that a successor was sent.
 
     :param at: time of the last update, in seconds.
-    :param whole_at: time of the last update with the whole window, in seconds.
+    :param full_update_at: time of the last update with the whole window, in seconds.
     """
 
     number: int
     total: float
     at: float
-    whole_at: float
+    full_update_at: float
 
 
 class WindowReplicator(msgspec.Struct):
@@ -51,7 +51,11 @@
         """
         number = ledger.window.number
         last = self._last_updates.get((address, team))
-        if last is None or last.number != number or now - last.whole_at >= FULL_UPDATE_INTERVAL_S:
+        if (
+            last is None
+            or last.number != number
+            or now - last.full_update_at >= FULL_UPDATE_INTERVAL_S
+        ):
             self._last_updates[address, team] = _LastUpdate(number, ledger.leased, now, now)
             parts = ledger.window.parts(now)
             return WindowUpdate(team, number, ledger.leased, ledger.share, parts)
@@ -60,7 +64,7 @@
         last.total, last.at = ledger.leased, now
         return WindowUpdate(team, number, ledger.leased, ledger.share)
 
-    def forget(self, kept: Iterable[tuple[str, str]]) -> None:
+    def retain_successors(self, kept: Iterable[tuple[str, str]]) -> None:
         """Drop the state of former successors, which get a whole window if they become one again.
 
         :param kept: pairs of address and team of the present successors.
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -28,7 +28,7 @@
 
 class _HeldLease(msgspec.Struct):
     balance: float = 0.0
-    until: float = 0.0
+    expires_at: float = 0.0
     demand_per_s: float = 0.0
     demand_at: float = 0.0
     version: int = 0
@@ -56,13 +56,13 @@
         :param version: configuration version; a lease under another version is dropped.
         :return: whether the lease was valid and large enough.
         """
-        held = self._lease_of_team(team.name)
-        self._record_demand(held, cost, now)
-        if held.version != version:
-            held.balance, held.version = 0.0, version
-        if now >= held.until or held.balance < cost:
+        lease = self._lease_of_team(team.name)
+        self._record_demand(lease, cost, now)
+        if lease.version != version:
+            lease.balance, lease.version = 0.0, version
+        if now >= lease.expires_at or lease.balance < cost:
             return False
-        held.balance -= cost
+        lease.balance -= cost
         self._record_spent(team.name, cost, now)
         return True
 
@@ -79,10 +79,10 @@
             counted the cost.
         :return: whether the present lease is from that window.
         """
-        held = self._lease_of_team(team)
-        if held.lease_window != lease_window:
+        lease = self._lease_of_team(team)
+        if lease.lease_window != lease_window:
             return False
-        held.balance += cost
+        lease.balance += cost
         self._spending_window(team).give_back(cost, now)
         return True
 
@@ -98,19 +98,19 @@
 
         :return: the unspent cost, and the number of the window that it was leased from.
         """
-        held = self._lease_of_team(team)
-        left, held.balance = held.balance, 0.0
-        return left, held.lease_window
+        lease = self._lease_of_team(team)
+        left, lease.balance = lease.balance, 0.0
+        return left, lease.lease_window
 
     def add_grant(self, grant: QuotaGrant, now: float) -> None:
         """Add a granted lease; a rest from another window is dropped."""
-        held = self._lease_of_team(grant.team)
+        lease = self._lease_of_team(grant.team)
         if grant.amount <= 0:
             return
-        if held.lease_window != grant.lease_window:
-            held.balance, held.lease_window = 0.0, grant.lease_window
-        held.balance += grant.amount
-        held.until = now + grant.valid_s
+        if lease.lease_window != grant.lease_window:
+            lease.balance, lease.lease_window = 0.0, grant.lease_window
+        lease.balance += grant.amount
+        lease.expires_at = now + grant.valid_s
 
     def accept_grant(self, grant: QuotaGrant, cost: float, now: float) -> bool:
         """Add a granted lease and spend the cost of the request that it was requested for.
@@ -118,10 +118,10 @@
         :return: whether the request is within the quota.
         """
         self.add_grant(grant, now)
-        held = self._lease_of_team(grant.team)
-        if grant.amount <= 0 or held.balance < cost:
+        lease = self._lease_of_team(grant.team)
+        if grant.amount <= 0 or lease.balance < cost:
             return False
-        held.balance -= cost
+        lease.balance -= cost
         self._record_spent(grant.team, cost, now)
         return True
 
@@ -132,18 +132,18 @@
         """
         nodes = max(1, self._nodes())
         rate = OWN_SHARE_RATE * team.rate_per_s / nodes
-        most = self.limits.window_limit(team.rate_per_s, team.burst)
-        capacity = OWN_SHARE_BURST * most / nodes
+        window_limit = self.limits.window_limit(team.rate_per_s, team.burst)
+        capacity = OWN_SHARE_BURST * window_limit / nodes
         bucket = self._own_shares.get(team.name)
         if bucket is None:
             bucket = self._own_shares[team.name] = Bucket(rate, capacity, capacity, now)
         elif (bucket.rate_per_s, bucket.capacity) != (rate, capacity):
             bucket.reconfigure(rate, capacity, now)
-        passed = bucket.try_consume(cost, now)
-        if passed:
+        allowed = bucket.try_consume(cost, now)
+        if allowed:
             self._record_spent(team.name, cost, now)
             self.add_unreported(team.name, cost)
-        return passed
+        return allowed
 
     def add_unreported(self, team: str, cost: float) -> None:
         """Add cost from the own share that has to be reported to the owner."""
@@ -173,8 +173,8 @@
     def _lease_of_team(self, name: str) -> _HeldLease:
         return self._held.setdefault(name, _HeldLease())
 
-    def _record_demand(self, held: _HeldLease, cost: float, now: float) -> None:
-        elapsed = now - held.demand_at
+    def _record_demand(self, lease: _HeldLease, cost: float, now: float) -> None:
+        elapsed = now - lease.demand_at
         decay = max(0.0, 1.0 - elapsed / DEMAND_MEMORY_S)
-        held.demand_per_s = held.demand_per_s * decay + cost / DEMAND_MEMORY_S
-        held.demand_at = now
+        lease.demand_per_s = lease.demand_per_s * decay + cost / DEMAND_MEMORY_S
+        lease.demand_at = now
--- a/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
@@ -51,7 +51,7 @@
     :param before: the part of ``window`` that other nodes count too: spending from before a
         partition, and spending that was assumed or received in a hand-off.
     :param window_limit: cost that any window may hold under the limit in force.
-    :param began: time at which this node became the owner, on its own clock, in seconds.
+    :param started_at: time at which this node became the owner, on its own clock, in seconds.
     :param share: share of the limit in use. It grows only as fast as the window passes, since the
         other side of a partition may have spent its share until the partition healed.
     :param share_at: time at which ``share`` was updated, in seconds.
@@ -69,7 +69,7 @@
     window: SpendingWindow
     before: SpendingWindow
     window_limit: float
-    began: float
+    started_at: float
     share: float
     share_at: float
     surveyed: bool
@@ -81,16 +81,16 @@
     copied_share: float = 1.0
     returned: float = 0.0
 
-    def apply_limit(self, most: float) -> None:
+    def apply_limit(self, limit: float) -> None:
         """Apply a new limit of the window.
 
         A lower limit binds future leases only: earlier spending was within the old limit, so it is
         scaled to the same fraction of the new limit.
         """
-        if most < self.window_limit:
-            self.window.scale(most / self.window_limit)
-            self.before.scale(most / self.window_limit)
-        self.window_limit = most
+        if limit < self.window_limit:
+            self.window.scale(limit / self.window_limit)
+            self.before.scale(limit / self.window_limit)
+        self.window_limit = limit
 
     def apply_share(self, share: float, unnoticed_s: float, now: float) -> None:
         """Apply the share of the fleet that this node sees.
@@ -117,43 +117,43 @@
         self.leased += sum(parts)
         self.returned += share
 
-    def allowed(self, most: float, now: float) -> float:
+    def allowed(self, limit: float, now: float) -> float:
         """Return the cost that the window may hold on this side of a partition.
 
-        :param most: the cost that the window may hold on all sides together.
+        :param limit: the cost that the window may hold on all sides together.
         """
         before = self.before.spent(now)
-        return before + self.share * (most - before)
+        return before + self.share * (limit - before)
 
-    def headroom(self, most: float, now: float) -> float:
+    def headroom(self, limit: float, now: float) -> float:
         """Return the cost that may be leased now; negative after the limit has fallen.
 
-        :param most: the cost that the window may hold on all sides together.
+        :param limit: the cost that the window may hold on all sides together.
         """
         short_s = self.window.window_s * SHORT_WINDOW_FRACTION
         return min(
-            self.allowed(most, now) - self.window.spent(now),
-            self.share * SHORT_WINDOW_SHARE * most - self.window.spent(now, short_s),
+            self.allowed(limit, now) - self.window.spent(now),
+            self.share * SHORT_WINDOW_SHARE * limit - self.window.spent(now, short_s),
         )
 
-    def free_in_s(self, cost: float, most: float, share: float, now: float) -> float:
+    def free_in_s(self, cost: float, limit: float, share: float, now: float) -> float:
         """Return the time until the given cost may be leased in addition, in seconds.
 
-        :param most: the cost that the window may hold on all sides together.
+        :param limit: the cost that the window may hold on all sides together.
         :param share: the share of the fleet that this node sees; the share in use grows up to it.
         """
         free_s = self.window.free_in_s(cost, now)
-        growing = (share - self.share) * most
+        growing = (share - self.share) * limit
         if growing < cost:
             return free_s
-        return min(free_s, cost / most * self.window.window_s)
+        return min(free_s, cost / limit * self.window.window_s)
 
     def lease(self, amount: float, now: float) -> None:
         """Count leased cost."""
         self.window.add(amount, now)
         self.leased += amount
 
-    def take_back(self, amount: float, now: float) -> None:
+    def return_unspent(self, amount: float, now: float) -> None:
         """Subtract leased cost that a node returned unspent."""
         self.leased -= self.window.give_back(amount, now)
 
@@ -256,7 +256,7 @@
     return (1.0 - share / share_before) / (1.0 - share)
 
 
-def new_ledger(limits: QuotaLimits, number: int, most: float, share: float, now: float) -> Ledger:
+def new_ledger(limits: QuotaLimits, number: int, limit: float, share: float, now: float) -> Ledger:
     """Create a ledger without spending.
 
     :param number: number of the window, unique in the fleet.
@@ -264,7 +264,7 @@
     return Ledger(
         SpendingWindow(limits.window_s, number),
         SpendingWindow(limits.window_s),
-        most,
+        limit,
         now,
         share,
         now,
--- a/packages/chalkyoke/src/chalkyoke/quotas/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/messages.py
@@ -40,7 +40,7 @@
     :param valid_s: lifetime of the lease, in seconds.
     :param lease_window: number of the window that the cost is leased from.
     :param spent: after a refusal, the cost in the owner's window.
-    :param most: after a refusal, the highest cost that the owner leases in a window.
+    :param window_limit: after a refusal, the highest cost that the owner leases in a window.
     """
 
     team: str
@@ -50,7 +50,7 @@
     valid_s: float
     lease_window: int = 0
     spent: float = 0.0
-    most: float = 0.0
+    window_limit: float = 0.0
 
 
 class QuotaSurvey(msgspec.Struct, frozen=True, array_like=True, tag="quota_survey"):
--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -181,7 +181,7 @@
         ledger.apply_share(presence.share, presence.unnoticed_s, now)
         ledger.apply_limit(self.limits.window_limit(team.rate_per_s, team.burst))
         if message.lease_window == window.number:
-            ledger.take_back(message.returned, now)
+            ledger.return_unspent(message.returned, now)
         if message.alone > 0 and ledger.surveyed:
             # While the window is assumed to be full, the assumption already covers this spending.
             ledger.lease(message.alone, now)
@@ -189,12 +189,12 @@
         # refused first.
         cheap = self._is_cheap(team, message)
         reserved_ranks = 0 if cheap else min(message.rank, MAX_RESERVED_RANKS)
-        most = (
+        leasable = (
             ledger.window_limit * LEASABLE_SHARE * (1.0 - RESERVED_SHARE_PER_RANK * reserved_ranks)
         )
-        headroom = ledger.headroom(most, now)
+        headroom = ledger.headroom(leasable, now)
         if headroom < message.need:
-            retry = ledger.free_in_s(message.need - headroom, most, presence.share, now)
+            retry = ledger.free_in_s(message.need - headroom, leasable, presence.share, now)
             retry = max(MIN_RETRY_AFTER_S, retry)
             return QuotaGrant(
                 team.name,
@@ -204,7 +204,7 @@
                 LEASE_VALID_S,
                 window.number,
                 window.spent(now),
-                ledger.allowed(most, now),
+                ledger.allowed(leasable, now),
             )
         amount = message.need + min(message.ahead, (headroom - message.need) / LEASE_AHEAD_DIVISOR)
         ledger.lease(amount, now)
@@ -230,7 +230,7 @@
                 update = self._replicator.next_update(address, team, ledger, now)
                 if update is not None:
                     changed.setdefault(address, []).append(update)
-        self._replicator.forget(kept)
+        self._replicator.retain_successors(kept)
         return [
             OutgoingUpdate(address, QuotaWindows(tuple(windows)))
             for address, windows in changed.items()
@@ -257,7 +257,7 @@
         unreachable node sends no report: the window then stays assumed to be full.
         """
         ledger = self._ledgers.get(team.name)
-        if ledger is None or now - ledger.began > SURVEY_S:
+        if ledger is None or now - ledger.started_at > SURVEY_S:
             return
         if message.window:
             handed = HandedOffWindow(message.window, message.own, message.copied, message.share)
@@ -271,7 +271,7 @@
             return
         ledger.surveyed = True
         spent = sum(each.cost for each in reports)
-        ledger.window.assume(spent + ledger.leased, ledger.began)
+        ledger.window.assume(spent + ledger.leased, ledger.started_at)
 
     def apply_returned(self, message: QuotaReturned, now: float) -> None:
         """Add the cost that the other side of a healed partition leased on its own.
@@ -279,7 +279,7 @@
         A new owner ignores the message while its survey is open: the survey reports the same cost.
         """
         ledger = self._ledgers.get(message.team)
-        if ledger is not None and now - ledger.began > SURVEY_S:
+        if ledger is not None and now - ledger.started_at > SURVEY_S:
             ledger.apply_returned(message.parts, message.share, now)
 
     def release_unowned(self, mine: Callable[[str], bool], now: float) -> list[QuotaReturned]:
@@ -307,18 +307,18 @@
         if ledger is not None:
             return ledger
         number = self._identity + next(self._numbers)
-        most = self.limits.window_limit(team.rate_per_s, team.burst)
-        ledger = new_ledger(self.limits, number, most, presence.share, now)
+        window_limit = self.limits.window_limit(team.rate_per_s, team.burst)
+        ledger = new_ledger(self.limits, number, window_limit, presence.share, now)
         self._ledgers[team.name] = ledger
         copy = self._copies.find(team.name, now)
         if copy is not None:
-            window = copy.with_unreported(most * LEASABLE_SHARE * UNREPORTED_SHARE, now)
+            window = copy.with_unreported(window_limit * LEASABLE_SHARE * UNREPORTED_SHARE, now)
             ledger.resume_from_copy(window, copy.share, now)
             self._copies.drop(team.name)
         elif self._first_start and now < FIRST_START_S:
             ledger.surveyed = True
         else:
-            ledger.assume(most * LEASABLE_SHARE * _assumed(presence.share), now)
+            ledger.assume(window_limit * LEASABLE_SHARE * _assumed(presence.share), now)
         return ledger
 
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that share quotas in virtual time, with unequal traffic, kills and cuts."""
+"""Simulation of nodes that share a quota in virtual time, with unequal traffic, kills and cuts."""
 
 import itertools
 
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """All nodes see each other at once; ``sides`` cuts them into groups."""
+    """All nodes of the simulation; ``sides`` lists the groups that can reach each other."""
 
     def __init__(self, count=9):
         self.now = 0.0
@@ -45,7 +45,7 @@
         self.passed, self.refused = [], []
         self.reach = None
         self.noticed_at = 0.0
-        self.told_at = 0.0
+        self.replicated_at = 0.0
 
     def kill(self, *names):
         for name in names:
@@ -56,18 +56,18 @@
         self._forget()
 
     def cut_unnoticed(self, delay_s, *sides):
-        """Cut the fleet into groups, of which the nodes learn some time later."""
+        """Cut the fleet into groups; the nodes detect the partition after a delay."""
         self.reach = [set(side) for side in sides]
         self.noticed_at = self.now + delay_s
 
     def tick(self):
-        """Let owners tell their successors, and nodes notice a cut."""
+        """Send the owners' updates to their successors, and let nodes detect a partition."""
         if self.reach is not None and self.now >= self.noticed_at:
             reach, self.reach = self.reach, None
             self.cut(*reach)
-        if self.now - self.told_at < WINDOW_REPLICATION_INTERVAL_S:
+        if self.now - self.replicated_at < WINDOW_REPLICATION_INTERVAL_S:
             return
-        self.told_at = self.now
+        self.replicated_at = self.now
         for side in self.sides:
             owner = self.nodes[self.owner_of(next(iter(side)))]
             tellings = owner.owner.window_updates(
@@ -79,7 +79,7 @@
                     other.owner.apply_window_updates(telling.message, other.local(self.now))
 
     def successors(self, name):
-        """The next in line, and the first in line of each other third of the fleet."""
+        """List the next owner, and the next owner in each other third of the fleet."""
         others = sorted(self.side(name) - self.leaving - {name}, key=rank)
         third = len(self.nodes) // 3
         firsts = {
@@ -92,7 +92,7 @@
         return any(name in side and other in side for side in sides)
 
     def lose(self, *names):
-        """Nodes die and stay away; their neighbours find out at once."""
+        """Remove nodes for good; the others detect it at once."""
         self.sides = [side - set(names) for side in self.sides]
         self._forget()
 
@@ -104,7 +104,7 @@
         return min(fit, key=rank)
 
     def leave(self, *names):
-        """Nodes stop on plan: they answer on, and are no owners any more."""
+        """Let nodes leave as planned: they still answer, and are no longer owners."""
         self.leaving = set(names)
         self._forget()
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_client.py
@@ -22,8 +22,8 @@
     version: int = 1
 
 
-class SlowOwner:
-    """A owner elsewhere that grants what is asked for, some time later."""
+class SlowOwnerPort:
+    """The port to an owner on another node that grants every request after a delay."""
 
     def __init__(self, delay_s):
         self.delay_s = delay_s
@@ -59,7 +59,7 @@
         loop.call_later(self.delay_s, self.client.receive, "owner:1", grant)
 
 
-def client_of(owner, *, first_start=True):
+def make_client(owner, *, first_start=True):
     loop = asyncio.get_running_loop()
     owner.client = QuotaClient(
         HeldLeases(LIMITS, lambda: NODES),
@@ -72,9 +72,9 @@
     return owner.client
 
 
-def test_a_request_beyond_the_own_share_waits_for_a_slow_owner():
+def test_a_request_above_the_own_share_waits_for_a_slow_owner():
     async def main():
-        client = client_of(SlowOwner(delay_s=0.08))
+        client = make_client(SlowOwnerPort(delay_s=0.08))
         first = await client.charge(Charge(14_000))
         assert (first.allowed, first.decided_by) == (True, "alone")
         await asyncio.sleep(0.6)
@@ -85,15 +85,17 @@
     virtual.run(main)
 
 
-def test_a_node_that_has_just_started_waits_for_the_owner_in_place_of_refusing():
-    """Among 195 nodes the own share is 425 tokens: after a restart all but the first request of its
-    first half second were refused, and each caller paid with its first try.
+def test_a_new_node_waits_until_it_knows_the_owner_before_it_refuses():
+    """Guards against refusals in the first half second after a restart.
+
+    Among 195 nodes the own share is 425 tokens, so a new node that doesn't wait for the owner
+    refuses all but its first request, and each refused caller loses its first attempt.
     """
 
     async def main():
-        owner = SlowOwner(delay_s=0.002)
+        owner = SlowOwnerPort(delay_s=0.002)
         owner.known_from_s = 0.26
-        client = client_of(owner, first_start=False)
+        client = make_client(owner, first_start=False)
         assert (await client.charge(Charge(14_000))).decided_by == "alone"
         passed = await client.charge(Charge(14_500))
         assert (passed.allowed, passed.decided_by) == (True, "owner")
@@ -102,11 +104,11 @@
     virtual.run(main)
 
 
-def test_a_node_that_never_finds_the_others_asks_whom_it_knows_after_half_a_second():
+def test_a_new_node_stops_waiting_for_other_members_after_half_a_second():
     async def main():
-        owner = SlowOwner(delay_s=9.0)
+        owner = SlowOwnerPort(delay_s=9.0)
         owner.known_from_s = 99.0
-        client = client_of(owner, first_start=False)
+        client = make_client(owner, first_start=False)
         assert (await client.charge(Charge(14_000))).decided_by == "alone"
         passed = await client.charge(Charge(15_000))
         assert not passed.allowed
@@ -115,10 +117,10 @@
     virtual.run(main)
 
 
-def test_a_small_request_does_not_wait_and_its_lease_is_there_for_the_next():
+def test_a_small_request_does_not_wait_and_a_late_lease_serves_the_next_one():
     async def main():
-        owner = SlowOwner(delay_s=0.08)
-        client = client_of(owner)
+        owner = SlowOwnerPort(delay_s=0.08)
+        client = make_client(owner)
         first = await client.charge(Charge(300))
         assert (first.allowed, first.decided_by) == (True, "alone")
         await asyncio.sleep(0.1)
@@ -128,23 +130,23 @@
     virtual.run(main)
 
 
-def test_a_silent_owner_costs_a_large_request_a_moment_and_a_refusal():
+def test_a_large_request_is_refused_within_200_ms_if_the_owner_is_silent():
     async def main():
-        owner = SlowOwner(delay_s=9.0)
-        client = client_of(owner)
+        owner = SlowOwnerPort(delay_s=9.0)
+        client = make_client(owner)
         await client.charge(Charge(14_000))
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         second = await client.charge(Charge(14_000))
         assert not second.allowed and second.retry_after_s > 0
-        assert asyncio.get_running_loop().time() - began < 0.2
+        assert asyncio.get_running_loop().time() - started_at < 0.2
 
     virtual.run(main)
 
 
-def test_cost_of_work_that_never_ran_serves_the_next_request():
+def test_refunded_cost_serves_the_next_request():
     async def main():
-        owner = SlowOwner(delay_s=0.001)
-        client = client_of(owner)
+        owner = SlowOwnerPort(delay_s=0.001)
+        client = make_client(owner)
         first = await client.charge(Charge(9_000))
         assert first.decided_by == "owner"
         assert client.refund(Charge(9_000), first)
@@ -154,9 +156,9 @@
     virtual.run(main)
 
 
-def test_cost_spent_alone_is_not_given_back():
+def test_cost_from_the_own_share_is_not_refunded():
     async def main():
-        client = client_of(SlowOwner(delay_s=9.0))
+        client = make_client(SlowOwnerPort(delay_s=9.0))
         spent = await client.charge(Charge(200))
         assert spent.decided_by == "alone"
         assert not client.refund(Charge(200), spent)
@@ -164,10 +166,10 @@
     virtual.run(main)
 
 
-def test_what_was_spent_alone_is_told_to_the_next_owner_that_answers():
+def test_spending_from_the_own_share_is_reported_to_the_next_owner_that_answers():
     async def main():
-        owner = SlowOwner(delay_s=9.0)
-        client = client_of(owner)
+        owner = SlowOwnerPort(delay_s=9.0)
+        client = make_client(owner)
         for _ in range(3):
             assert (await client.charge(Charge(200))).decided_by == "alone"
         await asyncio.sleep(1.0)
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
@@ -13,7 +13,12 @@
 
 
 def play(fleet, demand, seconds, seed=1, events=(), only=None):
-    """Send requests of a few thousand tokens at a demand; ``events`` are (second, what)."""
+    """Send requests of a few thousand tokens.
+
+    :param demand: demand as a multiple of the team's rate.
+    :param events: pairs of a time in seconds and a function that is called with the fleet.
+    :param only: names of the nodes that get requests; all nodes if None.
+    """
     rng = random.Random(seed)
     events = sorted(events, key=lambda each: each[0])
     end = fleet.now + seconds
@@ -27,7 +32,7 @@
         fleet.now += rng.expovariate(demand * TEAM.rate_per_s / 3280)
 
 
-def killing(names):
+def kill_event(names):
     return lambda fleet: fleet.kill(*names)
 
 
@@ -37,7 +42,7 @@
 
 
 @pytest.mark.parametrize("demand", [4.0, 8.0])
-def test_a_team_that_asks_for_many_times_its_quota_gets_no_more_than_the_limit(demand):
+def test_a_team_with_demand_far_above_its_quota_stays_within_the_limit(demand):
     fleet = Fleet()
     play(fleet, demand, 30)
     assert 0.6 * MOST < fleet.worst_window() <= MOST
@@ -53,14 +58,14 @@
 @pytest.mark.parametrize("demand", [1.0, 4.0])
 def test_kills_of_owners_and_nodes_keep_the_limit(seed, demand):
     rng = random.Random(seed)
-    kills = [(at, killing(rng.sample(range(9), 3))) for at in (6, 8, 11, 15, 21)]
+    kills = [(at, kill_event(rng.sample(range(9), 3))) for at in (6, 8, 11, 15, 21)]
     fleet = Fleet()
     play(fleet, demand, 30, seed, kills)
     assert fleet.worst_window() <= MOST
 
 
 @pytest.mark.parametrize("at", [1.0, 2.0, 4.0, 9.0])
-def test_a_kill_of_all_keeps_the_limit_and_serves_on(at):
+def test_killing_all_nodes_keeps_the_limit_and_the_service(at):
     fleet = Fleet()
     play(fleet, 4.0, 24, events=[(at, lambda fleet: fleet.kill(*range(9)))])
     assert fleet.worst_window() <= MOST
@@ -71,28 +76,28 @@
 
 
 @pytest.mark.parametrize(("seed", "at"), [(123, 4.48), (70, 4.82), (149, 2.28)])
-def test_a_kill_of_all_in_a_first_rush_keeps_the_limit(seed, at):
-    """All was spent just before, within little more than half of a window."""
+def test_killing_all_nodes_during_an_initial_burst_keeps_the_limit(seed, at):
+    """The whole limit is spent just before, within little more than half of a window."""
     fleet = Fleet()
     play(fleet, 8.0, 16, seed, [(at, lambda fleet: fleet.kill(*range(9)))])
     assert fleet.worst_window() <= 0.98 * MOST
 
 
-def losing_owner(fleet):
+def lose_owner(fleet):
     fleet.lose(fleet.owner_of(next(iter(fleet.sides[0]))))
 
 
 @pytest.mark.parametrize("at", [8.5, 9.0, 10.5, 13.0])
-def test_a_lost_owner_of_a_first_start_keeps_the_limit(at):
-    """Its successor has never been an owner and must not believe that nothing was spent."""
+def test_losing_the_first_owner_after_a_first_start_keeps_the_limit(at):
+    """The successor was never an owner, and must not assume that nothing was spent."""
     fleet = Fleet()
     fleet.now = 5.0
-    play(fleet, 8.0, 18, events=[(at, losing_owner)])
+    play(fleet, 8.0, 18, events=[(at, lose_owner)])
     assert fleet.worst_window() <= MOST
 
 
-def test_an_owner_that_moves_on_plan_refuses_nobody():
-    """Nodes stop on plan and come back, one after the other; each owner hands its window over."""
+def test_planned_owner_changes_refuse_no_requests():
+    """Nodes leave as planned and return, one after the other; each owner hands off its window."""
     fleet = Fleet()
 
     def stopping(name):
@@ -105,8 +110,8 @@
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_of_two_windows_that_are_handed_over_the_fuller_one_counts(first):
-    """A owner that moved twice in a moment: the one before last tells an old window."""
+def test_of_two_handed_off_windows_the_one_with_more_spending_counts(first):
+    """After two quick changes of the owner, the last but one reports an old window."""
     owner = QuotaOwner(LIMITS, first_start=False, identity=9)
     owner.start_owning(TEAM, Presence(9, 9), 100.0)
     windows = [tuple([100.0] * 40), tuple([5000.0] * 40)]
@@ -117,7 +122,7 @@
     assert grant.amount == 0 and 190_000 < grant.spent <= 200_000
 
 
-def test_a_cut_keeps_the_limit_and_each_side_serves_its_part():
+def test_a_partition_keeps_the_limit_and_each_side_serves_its_share():
     events = [
         (8, lambda fleet: fleet.cut(range(6), range(6, 9))),
         (14, lambda fleet: fleet.cut(range(9))),
@@ -131,28 +136,28 @@
     assert refused_share(fleet) < 0.05
 
 
-def lower(fleet):
+def lower_quota(fleet):
     fleet.team = msgspec.structs.replace(TEAM, rate_per_s=12_000, burst=12_000)
 
 
-def test_a_lowered_quota_binds_what_is_spent_from_then_on():
+def test_a_lowered_quota_limits_later_spending():
     fleet = Fleet()
-    play(fleet, 1.0, 30, events=[(10, lower)])
+    play(fleet, 1.0, 30, events=[(10, lower_quota)])
     lowered = LIMITS.window_limit(12_000, 12_000)
     assert fleet.worst_window() <= MOST
     assert fleet.worst_window(since=10.0) <= lowered
 
 
-def test_a_lowered_quota_refuses_nobody_for_what_was_spent_before():
+def test_a_lowered_quota_refuses_no_request_for_earlier_spending():
     fleet = Fleet()
     play(fleet, 1.0, 10)
-    lower(fleet)
+    lower_quota(fleet)
     play(fleet, 0.3, 10)
     early = [at for at, _ in fleet.refused if 10.0 <= at < 18.0]
     assert len(early) <= 0.02 * len([at for at, _ in fleet.passed if 10.0 <= at < 18.0])
 
 
-def test_the_less_urgent_are_refused_first_unless_they_are_cheap():
+def test_less_urgent_requests_are_refused_first_unless_they_are_cheap():
     fleet = Fleet()
     while fleet.ask(0, 3000, rank=2):
         pass
@@ -161,19 +166,21 @@
     assert fleet.ask(0, 200, rank=2)
 
 
-def halves(fleet):
+def cut_in_halves(fleet):
     fleet.cut_unnoticed(2.0, range(3), range(3, 6))
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_each_side_of_a_cut_goes_on_serving_what_it_usually_serves(seed):
-    """A side that took over knows what was spent, and only its part of that counts there."""
+def test_each_side_of_a_partition_keeps_serving_its_usual_load(seed):
+    """The new owner of a side knows the earlier spending, and counts only its share of it."""
     fleet = Fleet(6)
     fleet.team = msgspec.structs.replace(TEAM, rate_per_s=200_000, burst=200_000)
-    play(fleet, 5.6, 22, seed, events=[(10, halves)])
+    play(fleet, 5.6, 22, seed, events=[(10, cut_in_halves)])
     refused = [at for at, _ in fleet.refused if at >= 12.0]
     passed = [at for at, _ in fleet.passed if at >= 12.0]
-    assert len(refused) <= 0.06 * len(passed), "8 to 17 in 100 before copies and shares of the rest"
+    assert len(refused) <= 0.06 * len(passed), (
+        "without copies and shares of the rest, 8 to 17 in 100 are refused"
+    )
 
 
 def heal(fleet):
@@ -182,21 +189,21 @@
 
 
 @pytest.mark.parametrize("seed", [1279, 2889, 1714])
-def test_an_owner_lost_just_after_a_cut_healed_keeps_the_limit(seed):
-    """Its successor's copy holds what the other side had leased."""
+def test_losing_an_owner_just_after_a_healed_partition_keeps_the_limit(seed):
+    """The successor's copy contains the cost that the other side leased."""
     fleet = Fleet()
     events = [
         (6.6, lambda fleet: fleet.cut_unnoticed(0.55, range(6), range(6, 9))),
         (13.5, heal),
-        (15.6, killing((8, 3, 7, 2, 6))),
+        (15.6, kill_event((8, 3, 7, 2, 6))),
     ]
     play(fleet, 4.0, 26, seed, events)
     assert fleet.worst_window() <= MOST
 
 
 @pytest.mark.parametrize("seed", [1812, 2634, 2313])
-def test_cuts_in_a_row_under_a_flood_keep_the_limit(seed):
-    """Nodes that notice a cut late spend alone meanwhile; owners are told of that."""
+def test_successive_partitions_under_overload_keep_the_limit(seed):
+    """Nodes that detect a partition late spend their own share and report it to the owners."""
     fleet = Fleet()
     three = (range(3), range(3, 6), range(6, 9))
     events = [
@@ -209,8 +216,8 @@
     assert fleet.worst_window() <= MOST
 
 
-def test_spending_that_was_only_assumed_is_not_returned():
-    """After a kill of all, nodes that own teams for a moment have leased nothing."""
+def test_assumed_spending_is_not_returned():
+    """After all nodes are killed, nodes that own a team for a moment have leased nothing."""
     owner = QuotaOwner(LIMITS, first_start=False, identity=9)
     owner.start_owning(TEAM, Presence(5, 9), 0.5)
     assert owner.release_unowned(lambda _: False, 0.9) == []
@@ -223,8 +230,8 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_refunds_in_a_flood_keep_the_limit(seed):
-    """A third of what passes is refused later, before it ran, and its cost comes back."""
+def test_refunds_under_overload_keep_the_limit(seed):
+    """A third of the admitted requests is refused before it runs, and its cost is refunded."""
     rng = random.Random(seed)
     fleet = Fleet()
     waiting = []
@@ -247,8 +254,8 @@
     assert 0.6 * MOST < fleet.worst_window() <= MOST
 
 
-def test_owners_that_move_while_a_host_is_missing_refuse_nobody():
-    """A window is handed over in spite of the missing share; the host may be starting again."""
+def test_owner_changes_while_a_host_is_missing_refuse_no_requests():
+    """A window is handed off although a host is missing; the host may be restarting."""
     fleet = Fleet()
     fleet.team = msgspec.structs.replace(TEAM, rate_per_s=200_000, burst=200_000)
     fleet.lose(8)
@@ -258,9 +265,11 @@
     assert len(late) <= 0.01 * len(fleet.passed)
 
 
-def test_a_caller_comes_back_when_the_share_has_grown_not_when_the_window_is_out():
-    """Seen after a power loss at 78 hosts: told to stay away for 7.6 s, while the owner's share of
-    the limit, a third at its start, grew by an eighth a second.
+def test_the_retry_delay_follows_the_growth_of_the_share_and_not_the_window():
+    """Guards against a retry delay that ignores the growth of the owner's share.
+
+    After a power loss at 78 hosts, callers got a delay of 7.6 s, while the owner's share of the
+    limit, a third at its start, grew by an eighth per second.
     """
     owner = QuotaOwner(LIMITS, first_start=False, identity=9)
     owner.start_owning(TEAM, Presence(3, 9), 0.5)
@@ -279,8 +288,8 @@
 
 
 @pytest.mark.parametrize("copied", [True, False])
-def test_the_same_spending_seen_by_two_clocks_counts_once(copied):
-    """Two nodes tell one window, the edges of its parts a little apart."""
+def test_the_same_spending_by_two_clocks_counts_once(copied):
+    """Two nodes report the same window, with slightly different edges of its parts."""
     ledger = new_ledger(LIMITS, 1, MOST, 1.0, 10.0)
     spikes = tuple(9000.0 if part % 4 == 0 else 0.0 for part in range(WINDOW_PARTS))
     shifted = (*spikes[1:], 0.0)
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
@@ -18,7 +18,7 @@
         assert exact - 1e-6 <= window.spent(now) <= loose + 1e-6
 
 
-def test_what_is_assumed_leaves_late():
+def test_assumed_spending_leaves_the_window_late():
     window = SpendingWindow(8.0)
     window.assume(800.0, 100.0)
     assert round(window.spent(100.0)) == 800
@@ -28,7 +28,7 @@
     assert window.spent(109.0) == 0.0
 
 
-def test_a_window_tells_when_there_will_be_room():
+def test_a_window_returns_when_spending_will_have_left_it():
     window = SpendingWindow(8.0)
     window.add(100.0, 1.0)
     window.add(100.0, 5.0)
@@ -36,7 +36,7 @@
     assert window.free_in_s(500.0, 5.0) == 8.0
 
 
-def test_a_bucket_may_pass_one_request_that_is_larger_than_itself():
+def test_a_full_bucket_admits_one_request_above_its_capacity():
     bucket = Bucket(10.0, 100.0, 100.0, 0.0)
     assert bucket.try_consume(500.0, 0.0)
     assert not bucket.try_consume(1.0, 1.0)
--- a/packages/chalkyoke/src/chalkyoke/retries/tests/test_budget.py
+++ b/packages/chalkyoke/src/chalkyoke/retries/tests/test_budget.py
@@ -9,7 +9,7 @@
     st.integers(1, 12),
     st.lists(st.tuples(st.integers(0, 11), st.floats(0, 0.5), st.booleans()), max_size=300),
 )
-def test_the_fleet_keeps_its_limit_in_each_window_without_a_call_between_nodes(nodes, steps):
+def test_the_fleet_stays_within_its_limit_in_each_window_without_messages(nodes, steps):
     budgets = [RetryBudget(LIMITS) for _ in range(nodes)]
     now, firsts, repeats = 0.0, [], []
     for node, pause, wants_first in steps:
@@ -26,13 +26,13 @@
         assert len(window) <= 0.2 * len(asked) + 58
 
 
-def test_a_node_that_alone_has_traffic_keeps_to_its_part_of_the_slack():
+def test_the_only_node_with_traffic_stays_within_its_part_of_the_slack():
     budget = RetryBudget(LIMITS)
     spent = sum(budget.try_spend("s", 9, 0.0) for _ in range(100))
     assert 1 <= spent <= 58 / 9
 
 
-def test_services_have_budgets_of_their_own():
+def test_each_service_has_its_own_budget():
     budget = RetryBudget(LIMITS)
     while budget.try_spend("a", 9, 0.0):
         pass
