--- a/packages/chalkyoke/src/chalkyoke/limits/client.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/client.py
@@ -100,7 +100,7 @@
         self._random = random
         self._now = now
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
+        self._pending: dict[int, asyncio.Future[PermitAnswer]] = {}
         self._backoff_until: dict[str, float] = {}
         self._own_allowances: dict[str, Allowance] = {}
 
@@ -156,7 +156,7 @@
         if self._port.is_here(process):
             return self._answer(request)
         waiting: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = waiting
+        self._pending[number] = waiting
         try:
             self._port.send(process, request)
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -164,7 +164,7 @@
         except TimeoutError:
             return None
         finally:
-            del self._waiting[number]
+            del self._pending[number]
 
     def _use_own_share(
         self, service: str, replica: str, limit_per_s: float, most_wait_s: float
@@ -195,7 +195,7 @@
 
     def _apply_answer(self, process: str, answer: PermitAnswer) -> None:
         self._backoff_until.pop(process, None)
-        waiting = self._waiting.get(answer.number)
+        waiting = self._pending.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
         elif answer.granted:
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -219,14 +219,14 @@
         self.cut_off = set(names)
         for process in (self.nodes[name].process for name in names):
             self.excused[process] = (self.now(), self.now() + seconds + NOTICED_S)
-        self.loop.call_later(NOTICED_S, self._see)
+        self.loop.call_later(NOTICED_S, self._detect_partition)
         self.loop.call_later(seconds, self._heal)
 
     def _heal(self):
         self.cut_off = set()
-        self.loop.call_later(0.25, self._see)
+        self.loop.call_later(0.25, self._detect_partition)
 
-    def _see(self):
+    def _detect_partition(self):
         for name, node in self.nodes.items():
             side = name in self.cut_off
             node.view.live_names = {each for each in self.nodes if (each in self.cut_off) == side}
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
@@ -66,7 +66,7 @@
             self.allowance.give_back()
 
     @rule(limit_per_s=LIMITS)
-    def change(self, limit_per_s):
+    def change_limit(self, limit_per_s):
         # Requests that wait under an earlier limit return their permits and request new ones.
         for _ in [each for each in self.sent if each > self.now]:
             self.allowance.give_back()
--- a/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/evidence.py
@@ -82,8 +82,8 @@
             return True
         replica = start.partition("/")[0]
         return any(
-            known.partition("/")[0] == replica and abs(each.at - at) < SAME_END_S
-            for known, each in self.ends.items()
+            other.partition("/")[0] == replica and abs(each.at - at) < SAME_END_S
+            for other, each in self.ends.items()
         )
 
 
@@ -91,15 +91,15 @@
     """Count replica ends by the requests that were running, and decide which requests to hold."""
 
     def __init__(self) -> None:
-        self._known: dict[bytes, Suspicion] = {}
+        self._suspicions: dict[bytes, Suspicion] = {}
         self._held: set[bytes] = set()
         self._checksum: int | None = None
-        self._ends: dict[str, float] = {}
-        self._under: dict[str, set[bytes]] = {}
+        self._end_times: dict[str, float] = {}
+        self._requests_by_start: dict[str, set[bytes]] = {}
         self._served = ServedRequests()
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._suspicions)
 
     @property
     def held(self) -> frozenset[bytes]:
@@ -113,7 +113,7 @@
 
     def find(self, request: bytes) -> Suspicion | None:
         """Return the evidence on a request; None if there is none."""
-        return self._known.get(request)
+        return self._suspicions.get(request)
 
     def is_held(self, request: bytes) -> bool:
         """Return whether a request is held back."""
@@ -134,20 +134,22 @@
         :param at: time at which the run broke, in seconds on this node's clock.
         :return: whether the request is held back from now on.
         """
-        self._ends.setdefault(start, at)
-        self._under.setdefault(start, set()).add(request)
-        known = self._known.get(request)
-        if known is None:
-            known = self._known[request] = Suspicion(served_at=self._served.last_served_at(request))
-        if at <= known.served_at or known.has_end(start, at):
+        self._end_times.setdefault(start, at)
+        self._requests_by_start.setdefault(start, set()).add(request)
+        suspicion = self._suspicions.get(request)
+        if suspicion is None:
+            suspicion = self._suspicions[request] = Suspicion(
+                served_at=self._served.last_served_at(request)
+            )
+        if at <= suspicion.served_at or suspicion.has_end(start, at):
             return False
-        known.ends[start] = _End(at, weight)
-        known.last_end = max(known.last_end, at)
-        if request in self._held or not (known.holds > 0 or self._is_enough(known)):
+        suspicion.ends[start] = _End(at, weight)
+        suspicion.last_end = max(suspicion.last_end, at)
+        if request in self._held or not (suspicion.holds > 0 or self._is_sufficient(suspicion)):
             self._evict_excess()
             return False
-        hold_s = min(MAX_HOLD_S, HOLD_S * 2**known.holds)
-        self._hold(request, known, now + hold_s)
+        hold_s = min(MAX_HOLD_S, HOLD_S * 2**suspicion.holds)
+        self._start_hold(request, suspicion, now + hold_s)
         return True
 
     def release_explained(self) -> list[bytes]:
@@ -155,18 +157,18 @@
 
         :return: the released requests.
         """
-        acquitted = [
+        explained = [
             each
             for each in self._held
-            if (known := self._known[each]).is_refuted
-            and known.holds == 1
-            and known.ends
-            and not self._is_enough(known)
+            if (suspicion := self._suspicions[each]).is_refuted
+            and suspicion.holds == 1
+            and suspicion.ends
+            and not self._is_sufficient(suspicion)
         ]
-        for request in acquitted:
-            self._known[request].holds = 0
+        for request in explained:
+            self._suspicions[request].holds = 0
             self._release(request)
-        return acquitted
+        return explained
 
     def record_delivered(self, request: bytes, at: float) -> None:
         """Record a complete answer, in case the request is suspected later."""
@@ -177,21 +179,21 @@
 
         :return: whether the request is released by this.
         """
-        known = self._known.setdefault(request, Suspicion())
-        if at <= known.served_at:
+        suspicion = self._suspicions.setdefault(request, Suspicion())
+        if at <= suspicion.served_at:
             return False
-        counted = bool(known.ends)
-        known.served_at = at
-        known.ends = {start: each for start, each in known.ends.items() if each.at > at}
+        counted = bool(suspicion.ends)
+        suspicion.served_at = at
+        suspicion.ends = {start: each for start, each in suspicion.ends.items() if each.at > at}
         self._evict_excess()
         if request not in self._held:
             return False
         # The hold may have been decided before this report arrived, and the remaining ends may not
         # be enough for it.
-        too_little = counted and known.holds == 1 and not self._is_enough(known)
-        if known.last_end > at and not too_little:
+        too_little = counted and suspicion.holds == 1 and not self._is_sufficient(suspicion)
+        if suspicion.last_end > at and not too_little:
             return False
-        known.holds = 0
+        suspicion.holds = 0
         self._release(request)
         return True
 
@@ -200,20 +202,22 @@
 
         :return: whether the request is held back here from now on.
         """
-        known = self._known.setdefault(held.request, Suspicion())
+        suspicion = self._suspicions.setdefault(held.request, Suspicion())
         last_end = now - held.last_end_age_s
-        if last_end <= known.served_at or held.request in self._held:
+        if last_end <= suspicion.served_at or held.request in self._held:
             return False
-        if known.is_refuted and known.ends and not self._unexplained(known):
+        if suspicion.is_refuted and suspicion.ends and not self._unexplained_ends(suspicion):
             return False
-        known.last_end = max(known.last_end, last_end)
-        self._hold(held.request, known, now + min(MAX_HOLD_S, held.left_s))
+        suspicion.last_end = max(suspicion.last_end, last_end)
+        self._start_hold(held.request, suspicion, now + min(MAX_HOLD_S, held.left_s))
         return True
 
     def held_requests(self, now: float) -> tuple[HeldRequest, ...]:
         """Build the list of held requests for another node."""
         return tuple(
-            HeldRequest(each, now - self._known[each].last_end, self._known[each].held_until - now)
+            HeldRequest(
+                each, now - self._suspicions[each].last_end, self._suspicions[each].held_until - now
+            )
             for each in self._announced_holds()
         )
 
@@ -221,7 +225,7 @@
         if len(self._held) <= MAX_ANNOUNCED:
             return list(self._held)
         return heapq.nlargest(
-            MAX_ANNOUNCED, self._held, key=lambda each: self._known[each].last_end
+            MAX_ANNOUNCED, self._held, key=lambda each: self._suspicions[each].last_end
         )
 
     def refuted_holds(
@@ -232,10 +236,10 @@
         :return: the requests that were served in full after their last end, and when they were.
         """
         return [
-            (each.request, known.served_at)
+            (each.request, suspicion.served_at)
             for each in announced
-            if (known := self._known.get(each.request)) is not None
-            and now - each.last_end_age_s <= known.served_at
+            if (suspicion := self._suspicions.get(each.request)) is not None
+            and now - each.last_end_age_s <= suspicion.served_at
         ]
 
     def expire(self, now: float) -> list[bytes]:
@@ -243,51 +247,57 @@
 
         :return: the released requests.
         """
-        due = [each for each in self._held if self._known[each].held_until <= now]
+        due = [each for each in self._held if self._suspicions[each].held_until <= now]
         for request in due:
-            self._known[request].ends.clear()
+            self._suspicions[request].ends.clear()
             self._release(request)
-        self._ends = {
-            start: at for start, at in self._ends.items() if now - at <= COMPARISON_WINDOW_S
+        self._end_times = {
+            start: at for start, at in self._end_times.items() if now - at <= COMPARISON_WINDOW_S
         }
-        self._under = {start: each for start, each in self._under.items() if start in self._ends}
-        for request, known in list(self._known.items()):
-            newest = max(known.last_end, known.served_at, known.held_until)
+        self._requests_by_start = {
+            start: each
+            for start, each in self._requests_by_start.items()
+            if start in self._end_times
+        }
+        for request, suspicion in list(self._suspicions.items()):
+            newest = max(suspicion.last_end, suspicion.served_at, suspicion.held_until)
             if request not in self._held and now - newest > EVIDENCE_RETENTION_S:
-                del self._known[request]
+                del self._suspicions[request]
         return due
 
-    def _is_enough(self, known: Suspicion) -> bool:
+    def _is_sufficient(self, suspicion: Suspicion) -> bool:
         """Return whether the evidence against a request is enough to hold it back."""
-        ends = self._unexplained(known)
+        ends = self._unexplained_ends(suspicion)
         if len(ends) >= ENDS_TO_HOLD_ALWAYS:
             return True
         if sum(each.weight for each in ends.values()) < ENDS_TO_HOLD:
             return False
         first = min(each.at for each in ends.values())
-        since = sum(at >= first for at in self._ends.values())
+        since = sum(at >= first for at in self._end_times.values())
         return len(ends) >= MIN_END_SHARE * since
 
-    def _unexplained(self, known: Suspicion) -> dict[str, _End]:
+    def _unexplained_ends(self, suspicion: Suspicion) -> dict[str, _End]:
         """Return the ends that count against a request.
 
         If the request was served in full before, an end doesn't count when a held request that was
         never served was running there too: a request that is sent often runs at most of the ends
         that others cause.
         """
-        if not known.is_refuted:
-            return known.ends
-        return {start: each for start, each in known.ends.items() if not self._is_explained(start)}
+        if not suspicion.is_refuted:
+            return suspicion.ends
+        return {
+            start: each for start, each in suspicion.ends.items() if not self._is_explained(start)
+        }
 
     def _is_explained(self, start: str) -> bool:
         return any(
-            each in self._held and not self._known[each].is_refuted
-            for each in self._under.get(start, ())
+            each in self._held and not self._suspicions[each].is_refuted
+            for each in self._requests_by_start.get(start, ())
         )
 
-    def _hold(self, request: bytes, known: Suspicion, until: float) -> None:
-        known.held_until = until
-        known.holds += 1
+    def _start_hold(self, request: bytes, suspicion: Suspicion, until: float) -> None:
+        suspicion.held_until = until
+        suspicion.holds += 1
         self._held.add(request)
         self._checksum = None
 
@@ -297,11 +307,11 @@
 
     def _evict_excess(self) -> None:
         """Drop the evidence on the least suspected requests if there are too many requests."""
-        if len(self._known) <= MAX_REQUESTS:
+        if len(self._suspicions) <= MAX_REQUESTS:
             return
         ranked = sorted(
-            (each for each in self._known if each not in self._held),
-            key=lambda each: (self._known[each].weight, self._known[each].last_end),
+            (each for each in self._suspicions if each not in self._held),
+            key=lambda each: (self._suspicions[each].weight, self._suspicions[each].last_end),
         )
         for request in ranked[: MAX_REQUESTS // 10]:
-            del self._known[request]
+            del self._suspicions[request]
--- a/packages/chalkyoke/src/chalkyoke/quarantine/runs.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/runs.py
@@ -49,7 +49,7 @@
         until = now + (BROKEN_RUN_RETENTION_S if broken else LEFT_RUN_RETENTION_S)
         self._runs.setdefault(start, []).append(_Run(request, weight, now, until))
 
-    def note_alive(self, start: str) -> None:
+    def discard(self, start: str) -> None:
         """Drop the broken runs at a replica that has answered since."""
         self._runs.pop(start, None)
 
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -45,8 +45,8 @@
     """Find the requests that end replicas, and hold them back.
 
     :param send: sends a message to a node by its link address.
-    :param hold: called with a request that is held back from now on; it ends the waiting attempts.
-    :param remember: writes a record of a held request to the store.
+    :param on_hold: called with a request that is held back from now on, to end waiting attempts.
+    :param queue_record: writes a record of a held request to the store.
     :param random: source of numbers in [0, 1).
     :param now: the node's clock, in seconds.
     """
@@ -57,8 +57,8 @@
         connections: ConnectionPool,
         send: Callable[[str, QuarantineMessage], None],
         metrics: Metrics,
-        hold: Callable[[bytes], None],
-        remember: Callable[[bytes], None],
+        on_hold: Callable[[bytes], None],
+        queue_record: Callable[[bytes], None],
         random: Callable[[], float],
         now: Callable[[], float],
     ) -> None:
@@ -66,8 +66,8 @@
         self._connections = connections
         self._send = send
         self._metrics = metrics
-        self._on_hold = hold
-        self._queue_record = remember
+        self._on_hold = on_hold
+        self._queue_record = queue_record
         self._random = random
         self._now = now
         self._evidence = EvidenceTracker()
@@ -85,18 +85,18 @@
     def delivered(self, replica: Replica, request: Identity) -> None:
         """Record that a replica has served a request in full, and broadcast it for a suspect."""
         self.answered(replica)
-        name = request()
-        self._evidence.record_delivered(name, self._now())
-        known = self._evidence.find(name)
-        if known is None or not known.ends:
+        digest = request()
+        self._evidence.record_delivered(digest, self._now())
+        suspicion = self._evidence.find(digest)
+        if suspicion is None or not suspicion.ends:
             return
-        message = RequestsServed((name,))
+        message = RequestsServed((digest,))
         self._apply_served(message)
         self._broadcast(message)
 
     def answered(self, replica: Replica) -> None:
         """Record that a replica has sent any answer, so its broken runs are no sign of its end."""
-        self._runs.note_alive(replica.id)
+        self._runs.discard(replica.id)
 
     def broke_off(
         self, admission: Admission, replica: Replica, request: bytes, output_s: float
@@ -122,9 +122,9 @@
         """Record that a replica refuses connections: runs that broke there broke at its end."""
         self._record_end(replica.id, "unreachable")
 
-    async def _probe(self, replica: Replica, most: int) -> None:
+    async def _probe(self, replica: Replica, max_connections: int) -> None:
         opened = await self._connections.open(
-            replica.ip, replica.port, limit=most, timeout_s=PROBE_TIMEOUT_S
+            replica.ip, replica.port, limit=max_connections, timeout_s=PROBE_TIMEOUT_S
         )
         if isinstance(opened, ConnectFailure):
             if opened is not ConnectFailure.AT_LIMIT:
@@ -135,9 +135,9 @@
 
     def replicas_changed(self, replicas: Mapping[str, Replica]) -> None:
         """Apply the present list of replicas; a start that is no longer listed has ended."""
-        there = {each.id for each in replicas.values()}
+        listed = {each.id for each in replicas.values()}
         for start in self._runs.starts(self._now()):
-            if start not in there:
+            if start not in listed:
                 self._record_end(start, "record")
 
     def apply_stored_holds(self, held: Iterable[bytes], released: Iterable[bytes]) -> None:
@@ -150,8 +150,8 @@
             if self._evidence.record_served(request, now):
                 log.notice("request_released", digest=_hex_digest(request), why="operator")
         for request in held:
-            known = self._evidence.find(request)
-            if known is not None and (known.holds or known.is_refuted):
+            suspicion = self._evidence.find(request)
+            if suspicion is not None and (suspicion.holds or suspicion.is_refuted):
                 continue
             if self._evidence.merge_held(HeldRequest(request, 0.0, HOLD_S), now):
                 self._begin_hold(request, source="store")
@@ -165,8 +165,8 @@
         if not runs:
             return
         message = ReplicaEnded(start, runs)
-        names = [_hex_digest(each.request) for each in runs]
-        log.info("replica_ended", start=start, source=source, digests=names[:MAX_LOGGED_DIGESTS])
+        digests = [_hex_digest(each.request) for each in runs]
+        log.info("replica_ended", start=start, source=source, digests=digests[:MAX_LOGGED_DIGESTS])
         self._metrics.count("replica_ends", source=source)
         for request in self._count_ends(message):
             self._queue_record(request)
@@ -180,21 +180,21 @@
         now = self._now()
         decided: list[bytes] = []
         for run in message.runs:
-            book = self._evidence
-            held = book.record_end(run.request, message.start, run.weight, now - run.age_s, now)
-            known = book.find(run.request)
-            if held and known is not None:
+            evidence = self._evidence
+            held = evidence.record_end(run.request, message.start, run.weight, now - run.age_s, now)
+            suspicion = evidence.find(run.request)
+            if held and suspicion is not None:
                 decided.append(run.request)
-                starts = sorted(known.ends)[:MAX_LOGGED_DIGESTS]
-                for_s = round(known.held_until - now)
+                starts = sorted(suspicion.ends)[:MAX_LOGGED_DIGESTS]
+                for_s = round(suspicion.held_until - now)
                 self._begin_hold(run.request, starts=starts, for_s=for_s)
         if decided:
             for request in self._evidence.release_explained():
                 log.notice("request_released", digest=_hex_digest(request), why="explained")
         return decided
 
-    def _begin_hold(self, request: bytes, **evidence: object) -> None:
-        log.notice("request_held", digest=_hex_digest(request), **evidence)
+    def _begin_hold(self, request: bytes, **fields: object) -> None:
+        log.notice("request_held", digest=_hex_digest(request), **fields)
         self._on_hold(request)
 
     # Messages.
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_runs.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_runs.py
@@ -16,14 +16,14 @@
 def test_runs_at_a_replica_that_answers_again_are_dropped():
     runs = UnansweredRuns()
     runs.add("m/1", b"a", 0.0, output_s=0.0, broken=True)
-    runs.note_alive("m/1")
+    runs.discard("m/1")
     assert weights(runs) == []
 
 
 def test_another_start_of_a_replica_has_its_own_runs():
     runs = UnansweredRuns()
     runs.add("m/1", b"a", 0.0, output_s=0.0, broken=True)
-    runs.note_alive("m/2")
+    runs.discard("m/2")
     assert weights(runs, "m/2") == []
     assert weights(runs, "m/1") == [1.0]
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/client.py
@@ -141,7 +141,7 @@
         self._teams = teams
         self._now = now
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[QuotaGrant]] = {}
+        self._pending: dict[int, asyncio.Future[QuotaGrant]] = {}
         self._backoff_until: dict[str, float] = {}
 
     async def charge(self, request: ChargedRequest) -> QuotaDecision:
@@ -176,7 +176,7 @@
             self._leases.add_unreported(team.name, message.alone)
             return QuotaDecision(True, decided_by="alone")
         answer: asyncio.Future[QuotaGrant] = asyncio.get_running_loop().create_future()
-        self._waiting[message.number] = answer
+        self._pending[message.number] = answer
         try:
             self._port.send(address, message)
             await asyncio.wait(
@@ -190,7 +190,7 @@
                     return QuotaDecision(True, decided_by="alone")
                 await asyncio.wait([answer], timeout=LAST_ANSWER_TIMEOUT_S)
         finally:
-            del self._waiting[message.number]
+            del self._pending[message.number]
         if answer.done():
             self._backoff_until.pop(address, None)
             return self._apply_grant(request, answer.result())
@@ -252,7 +252,7 @@
         :param sender: link address of that node.
         """
         if isinstance(message, QuotaGrant):
-            future = self._waiting.get(message.number)
+            future = self._pending.get(message.number)
             if future is None:
                 # The request was decided without this answer; later requests may spend the lease.
                 self._leases.add_grant(message, self._now())
@@ -260,7 +260,7 @@
                 future.set_result(message)
             return
         if isinstance(message, QuotaSurvey):
-            self._port.send(sender, self._spent(message.team))
+            self._port.send(sender, self._build_spending_report(message.team))
             return
         if isinstance(message, QuotaReturned):
             before = self._owner.spent(message.team, self._now())
@@ -292,9 +292,9 @@
 
         Nothing happens if the window is open already.
         """
-        if not self._owner.is_new(team.name):
+        if not self._owner.is_new_owner(team.name):
             return
-        mine = self._spent(team.name)
+        mine = self._build_spending_report(team.name)
         self._owner.start_owning(team, self._port.presence(), self._now())
         self._owner.apply_spending_report(team, mine, self._port.presence(), self._now())
         self._log_window(team.name, "opened", -1.0)
@@ -320,7 +320,7 @@
                 share=round(self._port.presence().share, 3),
             )
 
-    def _spent(self, team: str) -> QuotaSpent:
+    def _build_spending_report(self, team: str) -> QuotaSpent:
         now = self._now()
         handed = self._owner.hand_off(team, now)
         spent = self._leases.spent(team, now)
--- a/packages/chalkyoke/src/chalkyoke/quotas/copies.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/copies.py
@@ -113,7 +113,7 @@
         copy = self._copies.get(update.team)
         if update.parts:
             window = SpendingWindow(self._window_s, update.number)
-            window.resume(update.parts, now)
+            window.load_parts(update.parts, now)
             self._copies[update.team] = WindowCopy(window, update.total, update.share, now)
             return
         if copy is None or copy.window.number != update.number:
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -45,9 +45,9 @@
     def __init__(self, limits: QuotaLimits, nodes: Callable[[], int]) -> None:
         self.limits = limits
         self._nodes = nodes
-        self._held: dict[str, _HeldLease] = {}
+        self._leases: dict[str, _HeldLease] = {}
         self._own_shares: dict[str, Bucket] = {}
-        self._spent: dict[str, SpendingWindow] = {}
+        self._spent_windows: dict[str, SpendingWindow] = {}
         self._unreported: dict[str, float] = {}
 
     def spend(self, team: Team, cost: float, version: int, now: float) -> bool:
@@ -158,20 +158,20 @@
 
         :rtype: float
         """
-        window = self._spent.get(team)
+        window = self._spent_windows.get(team)
         return 0.0 if window is None else window.spent(now)
 
     def _record_spent(self, team: str, cost: float, now: float) -> None:
         self._spending_window(team).add(cost, now)
 
     def _spending_window(self, team: str) -> SpendingWindow:
-        window = self._spent.get(team)
+        window = self._spent_windows.get(team)
         if window is None:
-            window = self._spent[team] = SpendingWindow(self.limits.window_s)
+            window = self._spent_windows[team] = SpendingWindow(self.limits.window_s)
         return window
 
     def _lease_of_team(self, name: str) -> _HeldLease:
-        return self._held.setdefault(name, _HeldLease())
+        return self._leases.setdefault(name, _HeldLease())
 
     def _record_demand(self, lease: _HeldLease, cost: float, now: float) -> None:
         elapsed = now - lease.demand_at
--- a/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
@@ -112,12 +112,12 @@
         :param share: the share of the limit that the other side used.
         """
         pairs = zip(self.window.parts(now), parts, strict=True)
-        self.window.resume(tuple(mine + theirs for mine, theirs in pairs), now)
+        self.window.load_parts(tuple(mine + theirs for mine, theirs in pairs), now)
         # Updates to successors are derived from this sum, so they show the cost as leased now.
         self.leased += sum(parts)
         self.returned += share
 
-    def allowed(self, limit: float, now: float) -> float:
+    def allowed_cost(self, limit: float, now: float) -> float:
         """Return the cost that the window may hold on this side of a partition.
 
         :param limit: the cost that the window may hold on all sides together.
@@ -132,7 +132,7 @@
         """
         short_s = self.window.window_s * SHORT_WINDOW_FRACTION
         return min(
-            self.allowed(limit, now) - self.window.spent(now),
+            self.allowed_cost(limit, now) - self.window.spent(now),
             self.share * SHORT_WINDOW_SHARE * limit - self.window.spent(now, short_s),
         )
 
@@ -148,7 +148,7 @@
             return free_s
         return min(free_s, cost / limit * self.window.window_s)
 
-    def lease(self, amount: float, now: float) -> None:
+    def add_lease(self, amount: float, now: float) -> None:
         """Count leased cost."""
         self.window.add(amount, now)
         self.leased += amount
@@ -162,12 +162,12 @@
         pairs = zip(self.window.parts(now), self.before.parts(now), strict=True)
         return tuple(max(0.0, spent - before) for spent, before in pairs)
 
-    def assume(self, cost: float, now: float) -> None:
+    def assume_spent(self, cost: float, now: float) -> None:
         """Replace the window by an assumed cost; used while no node has reported the spending."""
-        self.window.assume(cost, now)
-        self.before.assume(cost, now)
+        self.window.assume_spent(cost, now)
+        self.before.assume_spent(cost, now)
 
-    def resume(self, handed: HandedOffWindow, now: float) -> None:
+    def resume_window(self, handed: HandedOffWindow, now: float) -> None:
         """Resume the window of an earlier owner, or a copy of it.
 
         With several earlier owners, the parts that only one of them knows are added up. The rest is
@@ -194,8 +194,8 @@
             if spent is self.copied:
                 self._cap_share(self.copied_share, now)
         self.surveyed = True
-        self.window.resume(spent, now)
-        self.before.resume(spent, now)
+        self.window.load_parts(spent, now)
+        self.before.load_parts(spent, now)
         self.window.add(self.leased, now)
 
     def resume_from_copy(self, window: Parts, share: float, now: float) -> None:
@@ -207,8 +207,8 @@
         self._cap_share(share, now)
         self.copied, self.copied_share = window, share
         self.surveyed = True
-        self.window.resume(window, now)
-        self.before.resume(tuple(cost * known for cost in window), now)
+        self.window.load_parts(window, now)
+        self.before.load_parts(tuple(cost * known for cost in window), now)
 
     def _cap_share(self, share: float, now: float) -> None:
         """Cap the share in use at the share whose spending is known; it grows as the window passes.
@@ -234,7 +234,7 @@
         spent = self.window.parts(now)
         for index in range(WINDOW_PARTS - unnoticed):
             parts[index] += known * (spent[index] - parts[index])
-        self.before.resume(tuple(parts), now)
+        self.before.load_parts(tuple(parts), now)
 
 
 def larger_window(one: Parts, other: Parts) -> Parts:
--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -50,8 +50,8 @@
 MAX_RESERVED_RANKS = 3
 # A request that costs at most this many plain requests ignores the reservations for other ranks.
 CHEAP_PLAIN_COSTS = 3.0
-# Cost leased ahead of need is at most the remaining room divided by this number, so that room is
-# left for the other nodes.
+# Cost leased ahead of need is at most the remaining headroom divided by this number, which leaves
+# some for the other nodes.
 LEASE_AHEAD_DIVISOR = 8.0
 # Time for which a new owner accepts answers to its survey, in seconds: far longer than a round trip
 # between failure domains.
@@ -133,7 +133,7 @@
         self._replicator = WindowReplicator()
         self._copies = WindowCopies(limits.window_s)
 
-    def is_new(self, team: str) -> bool:
+    def is_new_owner(self, team: str) -> bool:
         """Return whether this node has no ledger of a team, so that it needs a survey of spending.
 
         :rtype: bool
@@ -184,7 +184,7 @@
             ledger.return_unspent(message.returned, now)
         if message.alone > 0 and ledger.surveyed:
             # While the window is assumed to be full, the assumption already covers this spending.
-            ledger.lease(message.alone, now)
+            ledger.add_lease(message.alone, now)
         # A part of the window is reserved for more urgent ranks, so less urgent requests are
         # refused first.
         cheap = self._is_cheap(team, message)
@@ -204,10 +204,10 @@
                 LEASE_VALID_S,
                 window.number,
                 window.spent(now),
-                ledger.allowed(leasable, now),
+                ledger.allowed_cost(leasable, now),
             )
         amount = message.need + min(message.ahead, (headroom - message.need) / LEASE_AHEAD_DIVISOR)
-        ledger.lease(amount, now)
+        ledger.add_lease(amount, now)
         return QuotaGrant(team.name, message.number, amount, 0.0, LEASE_VALID_S, window.number)
 
     def spent(self, team: str, now: float) -> float:
@@ -261,7 +261,7 @@
             return
         if message.window:
             handed = HandedOffWindow(message.window, message.own, message.copied, message.share)
-            ledger.resume(handed, now)
+            ledger.resume_window(handed, now)
         if ledger.surveyed:
             return
         ledger.spending_reports[message.host] = message
@@ -271,7 +271,7 @@
             return
         ledger.surveyed = True
         spent = sum(each.cost for each in reports)
-        ledger.window.assume(spent + ledger.leased, ledger.started_at)
+        ledger.window.assume_spent(spent + ledger.leased, ledger.started_at)
 
     def apply_returned(self, message: QuotaReturned, now: float) -> None:
         """Add the cost that the other side of a healed partition leased on its own.
@@ -318,11 +318,13 @@
         elif self._first_start and now < FIRST_START_S:
             ledger.surveyed = True
         else:
-            ledger.assume(window_limit * LEASABLE_SHARE * _assumed(presence.share), now)
+            ledger.assume_spent(
+                window_limit * LEASABLE_SHARE * _assumed_fraction(presence.share), now
+            )
         return ledger
 
 
-def _assumed(share: float) -> float:
+def _assumed_fraction(share: float) -> float:
     """Return the fraction of the leasable cost that a new owner assumes to be spent.
 
     :param share: the share of the fleet that the owner sees.
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
@@ -53,7 +53,7 @@
 
     def cut(self, *sides):
         self.sides = [set(side) for side in sides]
-        self._forget()
+        self._update_owners()
 
     def cut_unnoticed(self, delay_s, *sides):
         """Cut the fleet into groups; the nodes detect the partition after a delay."""
@@ -94,7 +94,7 @@
     def lose(self, *names):
         """Remove nodes for good; the others detect it at once."""
         self.sides = [side - set(names) for side in self.sides]
-        self._forget()
+        self._update_owners()
 
     def side(self, name):
         return next(side for side in self.sides if name in side)
@@ -106,9 +106,9 @@
     def leave(self, *names):
         """Let nodes leave as planned: they still answer, and are no longer owners."""
         self.leaving = set(names)
-        self._forget()
+        self._update_owners()
 
-    def _forget(self):
+    def _update_owners(self):
         for name, node in self.nodes.items():
             if not any(name in side for side in self.sides):
                 continue
@@ -120,7 +120,7 @@
             owner = self.nodes[self.owner_of(next(iter(side)))]
             self._start_owning(owner, Presence(len(side), len(self.nodes)))
 
-    def ask(self, name, cost, rank=0):
+    def send_request(self, name, cost, rank=0):
         self.tick()
         node, owner = self.nodes[name], self.nodes[self.owner_of(name)]
         if node.leases.spend(self.team, cost, 1, node.local(self.now)):
@@ -149,7 +149,7 @@
         return owner.owner.answer_request(self.team, message, presence, owner.local(self.now))
 
     def _start_owning(self, owner, presence):
-        if not owner.owner.is_new("t"):
+        if not owner.owner.is_new_owner("t"):
             return
         owner.owner.start_owning(self.team, presence, owner.local(self.now))
         for other in self.side(owner.name):
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
@@ -28,7 +28,7 @@
         cost = rng.choice((200, 1200, 3000, 3000, 9000))
         names = only or [name for side in fleet.sides for name in side]
         weights = [1 + 5 * (name % 3 == 0) for name in names]
-        fleet.ask(rng.choices(names, weights)[0], cost)
+        fleet.send_request(rng.choices(names, weights)[0], cost)
         fleet.now += rng.expovariate(demand * TEAM.rate_per_s / 3280)
 
 
@@ -159,11 +159,11 @@
 
 def test_less_urgent_requests_are_refused_first_unless_they_are_cheap():
     fleet = Fleet()
-    while fleet.ask(0, 3000, rank=2):
+    while fleet.send_request(0, 3000, rank=2):
         pass
-    assert not fleet.ask(0, 3000, rank=2)
-    assert fleet.ask(0, 3000, rank=0)
-    assert fleet.ask(0, 200, rank=2)
+    assert not fleet.send_request(0, 3000, rank=2)
+    assert fleet.send_request(0, 3000, rank=0)
+    assert fleet.send_request(0, 200, rank=2)
 
 
 def cut_in_halves(fleet):
@@ -245,7 +245,7 @@
         refund_due(fleet)
         cost, name = rng.choice((200, 1200, 3000, 9000)), rng.randrange(9)
         node = fleet.nodes[name]
-        if fleet.ask(name, cost) and rng.random() < 0.33:
+        if fleet.send_request(name, cost) and rng.random() < 0.33:
             fleet.passed.pop()
             lease_window = node.leases.lease_window("t")
             waiting.append((fleet.now + rng.uniform(0.0, 2.0), node, cost, lease_window))
@@ -293,6 +293,6 @@
     ledger = new_ledger(LIMITS, 1, MOST, 1.0, 10.0)
     spikes = tuple(9000.0 if part % 4 == 0 else 0.0 for part in range(WINDOW_PARTS))
     shifted = (*spikes[1:], 0.0)
-    ledger.resume(HandedOffWindow(spikes, copied=copied), 10.0)
-    ledger.resume(HandedOffWindow(shifted, copied=copied), 10.0)
+    ledger.resume_window(HandedOffWindow(spikes, copied=copied), 10.0)
+    ledger.resume_window(HandedOffWindow(shifted, copied=copied), 10.0)
     assert ledger.window.spent(10.0) == sum(spikes)
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
@@ -20,7 +20,7 @@
     """Spend 100, detect a partition later, and return how much counts as this side's own."""
     unnoticed_s = foreign_patience_s(spacing_s(members, 0.25), 0.25)
     ledger = new_ledger(LIMITS, 1, MOST, 1.0, 0.0)
-    ledger.lease(100.0, 20.0)
+    ledger.add_lease(100.0, 20.0)
     ledger.apply_share(1 / 3, unnoticed_s, 20.0 + spent_before_s)
     return sum(ledger.own_spending(20.0 + spent_before_s))
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_losses.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_losses.py
@@ -57,6 +57,6 @@
         cost = rng.choice(COSTS)
         names = [name for side in fleet.sides for name in side]
         name = rng.choices(names, [1 + 5 * (each % 3 == 0) for each in names])[0]
-        fleet.ask(name, cost)
+        fleet.send_request(name, cost)
         fleet.now += rng.expovariate(demand * TEAM.rate_per_s / 3280)
     assert fleet.worst_window() <= MOST
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
@@ -20,7 +20,7 @@
 
 def test_assumed_spending_leaves_the_window_late():
     window = SpendingWindow(8.0)
-    window.assume(800.0, 100.0)
+    window.assume_spent(800.0, 100.0)
     assert round(window.spent(100.0)) == 800
     left = [window.spent(100.0 + passed) / 800.0 for passed in (2.0, 4.0, 6.0, 8.0)]
     expected = [0.82, 0.71, 0.38, 0.0]
--- a/packages/chalkyoke/src/chalkyoke/quotas/window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/window.py
@@ -84,7 +84,7 @@
         self._buckets = deque((index, cost * factor) for index, cost in self._buckets)
         self._sum *= factor
 
-    def assume(self, cost: float, now: float) -> None:
+    def assume_spent(self, cost: float, now: float) -> None:
         """Replace the window by an assumed cost, distributed by :data:`ASSUMED_SPREAD`.
 
         Used if another node kept the window until now and the spending is not known.
@@ -106,7 +106,7 @@
         by_index = dict(self._buckets)
         return tuple(by_index.get(last - back, 0.0) for back in range(WINDOW_PARTS - 1, -1, -1))
 
-    def resume(self, parts: tuple[float, ...], now: float) -> None:
+    def load_parts(self, parts: tuple[float, ...], now: float) -> None:
         """Replace the content by the parts of another window that ends now, oldest first."""
         last = self._index(now)
         self._buckets.clear()
