--- a/packages/chalkyoke/src/chalkyoke/limits/client.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/client.py
@@ -138,8 +138,8 @@
         if permit.limit_per_s is None:
             return
         if permit.keeper == NO_KEEPER:
-            if (alone := self._own_allowances.get(permit.replica)) is not None:
-                alone.give_back()
+            if (allowance := self._own_allowances.get(permit.replica)) is not None:
+                allowance.give_back()
             return
         returned = PermitReturned(permit.service, permit.replica)
         if self._port.is_here(permit.keeper):
@@ -172,14 +172,14 @@
         """Grant a permit from this node's own share; all shares stay far below the limit."""
         now = self._now()
         share = OWN_SHARE / max(1, self._port.nodes())
-        alone = self._own_allowances.get(replica)
-        if alone is None:
-            alone = self._own_allowances[replica] = Allowance(limit_per_s, share, now)
-            alone.set_level(self._random())
-        alone.reconfigure(limit_per_s, share, now)
-        wait_s = alone.reserve(most_wait_s, now)
+        allowance = self._own_allowances.get(replica)
+        if allowance is None:
+            allowance = self._own_allowances[replica] = Allowance(limit_per_s, share, now)
+            allowance.set_level(self._random())
+        allowance.reconfigure(limit_per_s, share, now)
+        wait_s = allowance.reserve(most_wait_s, now)
         if wait_s is None:
-            return PermitDenied(min(KEEPER_BACKOFF_S, alone.opens_in_s(now)))
+            return PermitDenied(min(KEEPER_BACKOFF_S, allowance.opens_in_s(now)))
         return Permit(service, replica, limit_per_s, NO_KEEPER, wait_s)
 
     # For other nodes.
@@ -208,11 +208,11 @@
         self._report(request.replica, request.limit_per_s, now - request.age_s)
         allowance = self._keeper.allowance(request.service, request.replica, now)
         if allowance is None:
-            return _build_answer(request, given=True, wait_s=0.0)
+            return _build_answer(request, granted=True, wait_s=0.0)
         wait_s = allowance.reserve(request.most_wait_s, now)
         if wait_s is None:
-            return _build_answer(request, given=False, wait_s=allowance.opens_in_s(now))
-        return _build_answer(request, given=True, wait_s=wait_s)
+            return _build_answer(request, granted=False, wait_s=allowance.opens_in_s(now))
+        return _build_answer(request, granted=True, wait_s=wait_s)
 
     def _apply_returned(self, message: PermitReturned) -> None:
         allowance = self._keeper.allowance(message.service, message.replica, self._now())
@@ -234,8 +234,8 @@
             del self._own_allowances[replica]
 
 
-def _build_answer(request: PermitRequest, *, given: bool, wait_s: float) -> PermitAnswer:
-    return PermitAnswer(request.number, request.service, request.replica, given, wait_s)
+def _build_answer(request: PermitRequest, *, granted: bool, wait_s: float) -> PermitAnswer:
+    return PermitAnswer(request.number, request.service, request.replica, granted, wait_s)
 
 
 def _to_result(answer: PermitAnswer, permit: Permit) -> Permit | PermitDenied:
