--- a/packages/chalkyoke/src/chalkyoke/limits/known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/known.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from chalkyoke.catalog.starts import StartMemory
+from chalkyoke.catalog.starts import RetainedStarts
 
 # Limit from which a replica counts as unlimited, in requests per second: hundreds of times the rate
 # to a replica in the largest fleets. Each request to a limited replica costs a permit request.
@@ -34,7 +34,7 @@
     """Keep the latest reported limit of each replica, by the id of the replica's start."""
 
     def __init__(self) -> None:
-        self._reports: StartMemory[_Report] = StartMemory()
+        self._reports: RetainedStarts[_Report] = RetainedStarts()
 
     def update(self, start: str, limit_per_s: float | None, at: float) -> bool:
         """Apply a report, unless a later one is known.
@@ -49,7 +49,7 @@
         if report is None:
             if limit_per_s is None:
                 return False
-            self._reports.keep(start, _Report(limit_per_s, at), at)
+            self._reports.put(start, _Report(limit_per_s, at), at)
             return True
         if at < report.at:
             return False
@@ -81,7 +81,7 @@
 
         :param listed: the starts that the catalog lists.
         """
-        self._reports.forget(listed, now)
+        self._reports.expire(listed, now)
         for start in self._reports:
             if self.limit_of(start) is None and now - self.reported_at(start) > ENDED_RETENTION_S:
-                self._reports.drop(start)
+                self._reports.remove(start)
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_known.py
@@ -1,4 +1,4 @@
-from chalkyoke.catalog.starts import KEPT_S, MOST_KEPT
+from chalkyoke.catalog.starts import MAX_RETAINED_STARTS, RETENTION_S
 from chalkyoke.limits.known import ENDED_RETENTION_S, MAX_LIMIT_PER_S, KnownLimits
 
 
@@ -45,13 +45,13 @@
     known.drop_expired({"listed"}, ENDED_RETENTION_S + 2.0)
     assert not known.has_report("ended")
     assert known.limit_of("gone") == 2.0
-    known.drop_expired({"listed"}, KEPT_S + 1.0)
+    known.drop_expired({"listed"}, RETENTION_S + 1.0)
     assert (known.limit_of("listed"), known.limit_of("gone")) == (2.0, None)
 
 
 def test_the_number_of_starts_is_bounded():
     known = KnownLimits()
-    for number in range(MOST_KEPT + 5):
+    for number in range(MAX_RETAINED_STARTS + 5):
         known.update(f"r{number}", 1.0, float(number))
-    assert len(known.limits()) == MOST_KEPT
+    assert len(known.limits()) == MAX_RETAINED_STARTS
     assert known.limit_of("r0") is None
--- a/packages/chalkyoke/src/chalkyoke/node/probes.py
+++ b/packages/chalkyoke/src/chalkyoke/node/probes.py
@@ -35,11 +35,11 @@
     address: str,
     now: float,
 ) -> None:
-    answered = await client.load(upstream, address)
+    answered = await client.fetch_load(upstream, address)
     scheduler = schedulers.pools.get(pool)
     if answered is None or scheduler is None:
         metrics.count("probe_failures")
         return
     report, dropped = answered
-    scheduler.cache_event(dropped)
-    schedulers.dispatch(scheduler.load_report(report, now))
+    scheduler.apply_cache_event(dropped)
+    schedulers.dispatch(scheduler.apply_load_report(report, now))
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
@@ -5,14 +5,14 @@
 import msgspec
 import pytest
 from chalkyoke.node.registration import (
-    RENEWALS,
+    RENEWALS_PER_LEASE,
     RESTORED_SPREAD_S,
-    Listed,
+    NodeEntry,
     Registration,
     read_candidates,
 )
 from chalkyoke.storage.messages import LeaseGone, LeaseGranted, Unavailable, Written
-from chalkyoke.storage.port import MOST_COPY_AGE_S
+from chalkyoke.storage.port import MAX_BACKUP_AGE_S
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -23,7 +23,7 @@
 
 @given(st.dictionaries(st.text(min_size=1, max_size=4), st.binary(max_size=20), max_size=5))
 def test_entries_that_can_t_be_read_name_no_node_and_the_others_hold(others):
-    good = msgspec.msgpack.encode(Listed("10.1.0.1:82", "a"))
+    good = msgspec.msgpack.encode(NodeEntry("10.1.0.1:82", "a"))
     registered = {PREFIX + name: value for name, value in others.items()}
     registered[PREFIX + "good-host"] = good
     found = {each.host: each for each in read_candidates(registered, PREFIX)}
@@ -52,7 +52,7 @@
 
     async def grant_lease(self, ttl_s):
         if self.away:
-            return Unavailable("reset", may_be_done=True)
+            return Unavailable("reset", may_have_been_applied=True)
         number = max(self.leases, default=0) + 1
         self.leases[number] = "node"
         return LeaseGranted(number, ttl_s, self.epoch)
@@ -66,7 +66,7 @@
         self.keys[key] = lease
         return Written(1, self.epoch)
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         self.ended.append(lease)
 
 
@@ -92,7 +92,7 @@
         store.leases[1] = "another"
         if is_told:
             registration.store_restored(store.epoch)
-        await asyncio.sleep(RESTORED_SPREAD_S if is_told else LEASE_S / RENEWALS)
+        await asyncio.sleep(RESTORED_SPREAD_S if is_told else LEASE_S / RENEWALS_PER_LEASE)
         assert store.keys == {"nodes/n": 2}
 
     registered(check)
@@ -104,7 +104,7 @@
         store.restore(copy)
         store.leases[1] = "another"
         registration.store_restored(store.epoch)
-        await registration.end()
+        await registration.deregister()
         assert not store.ended
 
     registered(check)
@@ -113,12 +113,12 @@
 # Guards against writes of all nodes at once for entries that are in the copy for certain.
 def test_an_entry_that_is_older_than_a_copy_may_be_is_kept():
     async def check(store, registration, copy):
-        await asyncio.sleep(MOST_COPY_AGE_S)
+        await asyncio.sleep(MAX_BACKUP_AGE_S)
         store.restore(store.copy())
         registration.store_restored(store.epoch)
         await asyncio.sleep(RESTORED_SPREAD_S)
         assert store.keys == {"nodes/n": 1}
-        await registration.end()
+        await registration.deregister()
         assert store.ended == [1]
 
     registered(check)
--- a/packages/chalkyoke/src/chalkyoke/platform/start.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/start.py
@@ -1,10 +1,10 @@
 """
 chalkyoke.platform.start
 
-The platform's parts, for the start-up code.
+Assembly of the platform's adapters for the start-up code.
 """
 
-from chalkyoke.catalog.keeper import Keys
+from chalkyoke.catalog.keeper import StoreKeys
 from chalkyoke.node.parts import PlatformParts
 from chalkyoke.platform.documents import (
     CONFIGURATION_KEY,
@@ -23,14 +23,14 @@
 
 
 def platform_parts() -> PlatformParts:
-    """Give the platform's names, formats and calls."""
+    """Return the platform's store, header format, document formats and store keys."""
     return PlatformParts(
         make_store=PlatformStore,
         headers=PlatformHeaders(),
         read_catalog=read_catalog,
         read_record=read_record,
         write_status=write_status,
-        keys=Keys(
+        keys=StoreKeys(
             CONFIGURATION_KEY,
             (REPLICAS_PREFIX, ROLLOUT_ORDERS_PREFIX, ROLLOUT_STATUSES_PREFIX, HELD_PREFIX),
             NODES_PREFIX,
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -13,7 +13,7 @@
 from chalkyoke.gateway.quarantine import Identity
 from chalkyoke.gateway.reception import Admission
 from chalkyoke.http1.pool import ConnectFailure, ConnectionPool
-from chalkyoke.links.broadcast import relay_on, tell_all
+from chalkyoke.links.broadcast import relay_to_domain, send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.quarantine.evidence import HOLD_S, EvidenceTracker
@@ -218,7 +218,7 @@
             self._record_end(message.start, "peer")
         else:
             self._apply_served(message)
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
     def _apply_served(self, message: RequestsServed) -> None:
         at = self._now() - message.age_s
@@ -241,7 +241,7 @@
 
         The summaries of held requests repair messages that are lost with a node or a link.
         """
-        tell_all(self._view, self._send, message)
+        send_to_all(self._view, self._send, message)
 
     # Periodic work and shutdown.
 
@@ -269,7 +269,7 @@
 
         Links to all other nodes would grow with the square of the number of nodes.
         """
-        direct, relays = self._view.audience()
+        direct, relays = self._view.broadcast_targets()
         others = [*direct, *relays]
         count = min(SUMMARY_PEERS, len(others))
         return {others[int(self._random() * len(others))] for _ in range(count)}
--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -243,7 +243,7 @@
 
     def _is_cheap(self, team: Team, message: QuotaRequest) -> bool:
         """Return whether a request costs so little that refusing it frees no room for others."""
-        return message.need <= CHEAP_PLAIN_COSTS * team.plain_cost
+        return message.need <= CHEAP_PLAIN_COSTS * team.default_cost
 
     def apply_spending_report(
         self, team: Team, message: QuotaSpent, presence: Presence, now: float
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_ledger.py
@@ -8,7 +8,7 @@
 """
 
 import pytest
-from chalkyoke.membership.spacing import foreign_patience_s, spacing_s
+from chalkyoke.membership.spacing import foreign_timeout_s, spacing_s
 from chalkyoke.quotas.ledger import new_ledger
 from chalkyoke.quotas.window import QuotaLimits
 
@@ -18,7 +18,7 @@
 
 def own_spending_after_partition(members, spent_before_s):
     """Spend 100, detect a partition later, and return how much counts as this side's own."""
-    unnoticed_s = foreign_patience_s(spacing_s(members, 0.25), 0.25)
+    unnoticed_s = foreign_timeout_s(spacing_s(members, 0.25), 0.25)
     ledger = new_ledger(LIMITS, 1, MOST, 1.0, 0.0)
     ledger.add_lease(100.0, 20.0)
     ledger.apply_share(1 / 3, unnoticed_s, 20.0 + spent_before_s)
