--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_fleet.py
@@ -12,7 +12,7 @@
 from .fleet import Fleet
 
 REPLICAS = 6
-# Number of seeds; with SEEDS in the environment the larger fleets are simulated too.
+# Number of seeds. Setting SEEDS, for example to a hundred, adds the larger fleets too.
 SEEDS = range(int(os.environ.get("SEEDS", "3")))
 HOSTS = (7, 24, 80) if os.environ.get("SEEDS") is None else (7, 24, 80, 195, 340)
 
