--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that share quotas in virtual time, with unequal traffic, kills and cuts."""
+"""Simulation of nodes that share a quota in virtual time, with unequal traffic, kills and cuts."""
 
 import itertools
 
@@ -6,7 +6,7 @@
 from chalkyoke.catalog.resources import Team
 from chalkyoke.quotas.client import WINDOW_REPLICATION_INTERVAL_S
 from chalkyoke.quotas.leases import HeldLeases
-from chalkyoke.quotas.ledger import Handed
+from chalkyoke.quotas.ledger import HandedOffWindow
 from chalkyoke.quotas.messages import QuotaRequest, QuotaSpent
 from chalkyoke.quotas.owner import Presence, QuotaOwner
 from chalkyoke.quotas.window import QuotaLimits
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """All nodes see each other at once; ``sides`` cuts them into groups."""
+    """All nodes of the simulation; ``sides`` lists the groups that can reach each other."""
 
     def __init__(self, count=9):
         self.now = 0.0
@@ -45,7 +45,7 @@
         self.passed, self.refused = [], []
         self.reach = None
         self.noticed_at = 0.0
-        self.told_at = 0.0
+        self.replicated_at = 0.0
 
     def kill(self, *names):
         for name in names:
@@ -53,21 +53,21 @@
 
     def cut(self, *sides):
         self.sides = [set(side) for side in sides]
-        self._forget()
+        self._update_owners()
 
     def cut_unnoticed(self, delay_s, *sides):
-        """Cut the fleet into groups, of which the nodes learn some time later."""
+        """Cut the fleet into groups; the nodes detect the partition after a delay."""
         self.reach = [set(side) for side in sides]
         self.noticed_at = self.now + delay_s
 
     def tick(self):
-        """Let owners tell their successors, and nodes notice a cut."""
+        """Send the owners' updates to their successors, and let nodes detect a partition."""
         if self.reach is not None and self.now >= self.noticed_at:
             reach, self.reach = self.reach, None
             self.cut(*reach)
-        if self.now - self.told_at < WINDOW_REPLICATION_INTERVAL_S:
+        if self.now - self.replicated_at < WINDOW_REPLICATION_INTERVAL_S:
             return
-        self.told_at = self.now
+        self.replicated_at = self.now
         for side in self.sides:
             owner = self.nodes[self.owner_of(next(iter(side)))]
             tellings = owner.owner.window_updates(
@@ -79,7 +79,7 @@
                     other.owner.apply_window_updates(telling.message, other.local(self.now))
 
     def successors(self, name):
-        """The next in line, and the first in line of each other third of the fleet."""
+        """List the next owner, and the next owner in each other third of the fleet."""
         others = sorted(self.side(name) - self.leaving - {name}, key=rank)
         third = len(self.nodes) // 3
         firsts = {
@@ -92,9 +92,9 @@
         return any(name in side and other in side for side in sides)
 
     def lose(self, *names):
-        """Nodes die and stay away; their neighbours find out at once."""
+        """Remove nodes for good; the others detect it at once."""
         self.sides = [side - set(names) for side in self.sides]
-        self._forget()
+        self._update_owners()
 
     def side(self, name):
         return next(side for side in self.sides if name in side)
@@ -104,11 +104,11 @@
         return min(fit, key=rank)
 
     def leave(self, *names):
-        """Nodes stop on plan: they answer on, and are no owners any more."""
+        """Let nodes leave as planned: they still answer, and are no longer owners."""
         self.leaving = set(names)
-        self._forget()
+        self._update_owners()
 
-    def _forget(self):
+    def _update_owners(self):
         for name, node in self.nodes.items():
             if not any(name in side for side in self.sides):
                 continue
@@ -118,9 +118,9 @@
                 owner.owner.apply_returned(message, owner.local(self.now))
         for side in self.sides:
             owner = self.nodes[self.owner_of(next(iter(side)))]
-            self._open(owner, Presence(len(side), len(self.nodes)))
+            self._start_owning(owner, Presence(len(side), len(self.nodes)))
 
-    def ask(self, name, cost, rank=0):
+    def send_request(self, name, cost, rank=0):
         self.tick()
         node, owner = self.nodes[name], self.nodes[self.owner_of(name)]
         if node.leases.spend(self.team, cost, 1, node.local(self.now)):
@@ -145,17 +145,17 @@
             *node.leases.take_remainder("t"),
             node.leases.pop_unreported("t"),
         )
-        self._open(owner, presence)
+        self._start_owning(owner, presence)
         return owner.owner.answer_request(self.team, message, presence, owner.local(self.now))
 
-    def _open(self, owner, presence):
-        if not owner.owner.is_new("t"):
+    def _start_owning(self, owner, presence):
+        if not owner.owner.is_new_owner("t"):
             return
         owner.owner.start_owning(self.team, presence, owner.local(self.now))
         for other in self.side(owner.name):
             each = self.nodes[other]
             known = each.local(self.now)
-            handed = each.owner.hand_off("t", known) if each is not owner else Handed()
+            handed = each.owner.hand_off("t", known) if each is not owner else HandedOffWindow()
             spent = QuotaSpent(
                 "t",
                 str(other),
