--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_follower.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_follower.py
@@ -13,23 +13,23 @@
 
 from tests import virtual
 
-BOUNDS = WatchTimeouts(1.5, 0.75)
+TIMEOUTS = WatchTimeouts(1.5, 0.75)
 TIMED_OUT = Unavailable("timed out", may_have_been_applied=True)
 REFUSED = Unavailable("503", may_have_been_applied=False)
 
 
 class ScriptedStore:
-    """A store whose watches do what a script says; behind its end nothing changes."""
+    """A store whose watches follow a script; after its end nothing changes."""
 
     def __init__(self, *script):
         self.script = list(script)
-        self.asked = []
+        self.calls = []
 
     async def read(self, prefix):
         return Listing((), 1)
 
     async def watch(self, prefix, since, wait_s, answer_s):
-        self.asked.append((asyncio.get_running_loop().time(), wait_s))
+        self.calls.append((asyncio.get_running_loop().time(), wait_s))
         step = self.script.pop(0) if self.script else "idle"
         if step == "silent":
             await asyncio.sleep(wait_s + answer_s)
@@ -44,109 +44,109 @@
         return Changes((Removed("k", revision),), revision)
 
 
-class Taker:
+class RecordingHandler:
     def __init__(self):
-        self.news, self.beliefs = [], []
+        self.changes, self.lost_reports = [], []
 
     def on_listing(self, listing):
         pass
 
     def on_changes(self, found, age_s):
         if found.changes:
-            self.news.append((asyncio.get_running_loop().time(), age_s))
+            self.changes.append((asyncio.get_running_loop().time(), age_s))
 
     def on_availability(self, is_lost):
-        self.beliefs.append(is_lost)
+        self.lost_reports.append(is_lost)
 
 
-def follow(store, for_s, part=lambda: WatchRole.PRIMARY, at_last=lambda follower: None):
+def follow(store, duration_s, role=lambda: WatchRole.PRIMARY, at_end=lambda follower: None):
     async def main():
         loop = asyncio.get_running_loop()
-        taker = Taker()
-        follower = StoreFollower(store, BOUNDS, taker, part, loop.time)
+        handler = RecordingHandler()
+        follower = StoreFollower(store, TIMEOUTS, handler, role, loop.time)
         task = asyncio.create_task(follower.run())
-        await asyncio.sleep(for_s)
-        at_last(follower)
+        await asyncio.sleep(duration_s)
+        at_end(follower)
         await asyncio.sleep(0.01)
         assert not task.done()
         task.cancel()
-        return taker
+        return handler
 
     return virtual.run(main)
 
 
-def test_a_silent_watch_is_made_again_within_its_bounds_and_asks_for_an_answer_at_once():
+def test_a_silent_watch_is_repeated_within_its_timeouts_without_a_wait():
     store = ScriptedStore("silent", (0.0, 5))
-    taker = follow(store, 6.0)
-    (first, _), (second, wait_s) = store.asked[:2]
-    assert second - first <= BOUNDS.wait_s + BOUNDS.answer_s + 0.1 and wait_s == 0.0
-    assert taker.beliefs == []
+    handler = follow(store, 6.0)
+    (first, _), (second, wait_s) = store.calls[:2]
+    assert second - first <= TIMEOUTS.wait_s + TIMEOUTS.answer_s + 0.1 and wait_s == 0.0
+    assert handler.lost_reports == []
 
 
-def test_news_from_behind_a_silent_connection_are_as_old_as_the_silence():
-    taker = follow(ScriptedStore((0.5, 3), "silent", (0.0, 5)), 8.0)
-    (_, prompt_s), (_, late_s) = taker.news
+def test_changes_after_a_silent_connection_count_as_old_as_the_silence():
+    handler = follow(ScriptedStore((0.5, 3), "silent", (0.0, 5)), 8.0)
+    (_, prompt_s), (_, late_s) = handler.changes
     assert prompt_s <= 1.25, "the first watch begins a second after the first listing"
-    assert late_s >= BOUNDS.wait_s + BOUNDS.answer_s
+    assert late_s >= TIMEOUTS.wait_s + TIMEOUTS.answer_s
 
 
-def test_what_a_pending_watch_brings_is_new():
-    taker = follow(ScriptedStore("idle", (1.0, 3), (1.0, 5)), 8.0)
-    assert all(age_s < 0.1 for _, age_s in taker.news) and len(taker.news) == 2
+def test_changes_in_the_answer_to_a_pending_watch_have_no_age():
+    handler = follow(ScriptedStore("idle", (1.0, 3), (1.0, 5)), 8.0)
+    assert all(age_s < 0.1 for _, age_s in handler.changes) and len(handler.changes) == 2
 
 
-def test_a_store_that_keeps_failing_is_lost_and_comes_back():
+def test_a_store_that_keeps_failing_is_reported_lost_until_it_answers():
     store = ScriptedStore(*["refused"] * 6, (0.0, 5))
-    taker = follow(store, 8.0)
-    assert taker.beliefs == [True, False]
-    assert store.asked[2][0] - store.asked[0][0] < STORE_LOST_AFTER_S
+    handler = follow(store, 8.0)
+    assert handler.lost_reports == [True, False]
+    assert store.calls[2][0] - store.calls[0][0] < STORE_LOST_AFTER_S
 
 
-def test_a_node_that_was_relieved_asks_rarely_until_it_is_answered():
+def test_a_relieved_node_retries_rarely_until_the_store_answers():
     store = ScriptedStore(*["refused"] * 100)
-    parts = [WatchRole.PRIMARY]
+    roles = [WatchRole.PRIMARY]
 
     async def main():
         loop = asyncio.get_running_loop()
-        taker = Taker()
+        handler = RecordingHandler()
         task = asyncio.create_task(
-            StoreFollower(store, BOUNDS, taker, lambda: parts[0], loop.time).run()
+            StoreFollower(store, TIMEOUTS, handler, lambda: roles[0], loop.time).run()
         )
         await asyncio.sleep(4.0)
-        parts[0] = WatchRole.NONE
-        before = len(store.asked)
+        roles[0] = WatchRole.NONE
+        before = len(store.calls)
         await asyncio.sleep(5 * RELIEVED_RETRY_DELAY_S)
-        assert len(store.asked) - before <= 6
+        assert len(store.calls) - before <= 6
         store.script.clear()
         await asyncio.sleep(RELIEVED_RETRY_DELAY_S + 0.1)
-        assert taker.beliefs == [True, False]
+        assert handler.lost_reports == [True, False]
         task.cancel()
 
     virtual.run(main)
 
 
-def test_a_watch_that_could_not_have_been_answered_yet_is_left_alone():
+def test_a_watch_younger_than_its_answer_timeout_is_not_restarted():
     store = ScriptedStore()
-    follow(store, 1.25 + BOUNDS.answer_s / 2, at_last=lambda follower: follower.restart_watch())
-    assert len(store.asked) == 1
+    follow(store, 1.25 + TIMEOUTS.answer_s / 2, at_end=lambda follower: follower.restart_watch())
+    assert len(store.calls) == 1
     store = ScriptedStore()
-    follow(store, 1.25 + BOUNDS.answer_s * 1.5, at_last=lambda follower: follower.restart_watch())
-    assert len(store.asked) == 2
+    follow(store, 1.25 + TIMEOUTS.answer_s * 1.5, at_end=lambda follower: follower.restart_watch())
+    assert len(store.calls) == 2
 
 
-def test_a_standby_asks_rarely_and_at_once_when_it_becomes_the_first():
+def test_a_standby_watches_rarely_and_restarts_at_once_as_primary():
     store = ScriptedStore()
-    parts = [WatchRole.STANDBY]
+    roles = [WatchRole.STANDBY]
 
     async def main():
         loop = asyncio.get_running_loop()
-        follower = StoreFollower(store, BOUNDS, Taker(), lambda: parts[0], loop.time)
+        follower = StoreFollower(store, TIMEOUTS, RecordingHandler(), lambda: roles[0], loop.time)
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(1.25 + STANDBY_WAIT_S + 1.0)
-        assert [wait_s for _, wait_s in store.asked] == [STANDBY_WAIT_S] * 2
-        parts[0] = WatchRole.PRIMARY
+        assert [wait_s for _, wait_s in store.calls] == [STANDBY_WAIT_S] * 2
+        roles[0] = WatchRole.PRIMARY
         await asyncio.sleep(ROLE_CHECK_INTERVAL_S + 0.01)
-        assert [wait_s for _, wait_s in store.asked[2:]] == [BOUNDS.wait_s]
+        assert [wait_s for _, wait_s in store.calls[2:]] == [TIMEOUTS.wait_s]
         task.cancel()
 
     virtual.run(main)
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_keeper.py
@@ -20,7 +20,7 @@
 
 
 class CountingStore:
-    """A store that counts its calls; ``write`` wakes whoever watches."""
+    """A store that counts its calls; ``write`` answers all pending watches."""
 
     def __init__(self):
         self.revision = 3
@@ -30,7 +30,7 @@
             "nodes/n1": Item("nodes/n1", b"", 3),
         }
         self.reads = self.watches = 0
-        self.forgotten = 0
+        self.history_start = 0
         self._written = asyncio.Event()
 
     def write(self, key, value):
@@ -46,7 +46,7 @@
 
     async def watch(self, prefix, since, wait_s, answer_s):
         self.watches += 1
-        if since < self.forgotten:
+        if since < self.history_start:
             return HistoryLost()
         if since >= self.revision:
             try:
@@ -57,22 +57,22 @@
         return Changes(tuple(changed), self.revision)
 
 
-def keeper_of(store, beats=()):
+def make_synchronizer(store, live_hosts=()):
     loop = asyncio.get_running_loop()
     view = MembershipView(record("n1"))
-    for host in beats:
+    for host in live_hosts:
         view.receive(f"{host}:1", Heartbeat(record(host), 9), 0.0)
     state = CatalogState(
         lambda text: Ok(Catalog(version=json.loads(text)["version"])),
         lambda item: Ok(Replica(item.key, "s", "127.0.0.1", 80, "a", 4)),
     )
-    listed = []
+    registrations = []
 
     class NoLinks:
         def send(self, address, message):
             pass
 
-    keeper = CatalogSynchronizer(
+    synchronizer = CatalogSynchronizer(
         state,
         store,
         KEYS,
@@ -81,30 +81,30 @@
         1,
         WatchTimeouts(5.0, 1.0),
         lambda: None,
-        listed.append,
+        registrations.append,
         loop.time,
     )
-    keeper.registrations = listed
-    return keeper
+    synchronizer.registrations = registrations
+    return synchronizer
 
 
-def run(check, beats=()):
+def run(check, live_hosts=()):
     async def main():
         store = CountingStore()
-        keeper = keeper_of(store, beats)
-        task = asyncio.create_task(keeper.run())
-        await check(store, keeper)
+        synchronizer = make_synchronizer(store, live_hosts)
+        task = asyncio.create_task(synchronizer.run())
+        await check(store, synchronizer)
         task.cancel()
 
     virtual.run(main)
 
 
-def test_a_start_takes_one_call_and_a_newcomer_does_not_watch_yet():
-    async def check(store, keeper):
+def test_a_starting_node_reads_once_and_does_not_watch_in_its_first_second():
+    async def check(store, synchronizer):
         await asyncio.sleep(0.1)
-        assert keeper.state.complete and keeper.state.catalog.version == 7
-        assert list(keeper.state.replicas) == ["servers/s1"]
-        assert keeper.registrations == [{"nodes/n1": b""}]
+        assert synchronizer.state.complete and synchronizer.state.catalog.version == 7
+        assert list(synchronizer.state.replicas) == ["servers/s1"]
+        assert synchronizer.registrations == [{"nodes/n1": b""}]
         for number in range(8):
             store.write(f"nodes/m{number}", b"")
             await asyncio.sleep(0.1)
@@ -113,40 +113,40 @@
     run(check)
 
 
-def test_what_changed_in_the_first_second_comes_with_the_first_watch():
-    async def check(store, keeper):
+def test_changes_in_the_first_second_arrive_with_the_first_watch():
+    async def check(store, synchronizer):
         await asyncio.sleep(0.3)
         store.write("op/config", b'{"version": 9}')
         await asyncio.sleep(1.2)
-        assert keeper.state.catalog.version == 9
+        assert synchronizer.state.catalog.version == 9
         assert store.reads == 1
 
     run(check)
 
 
-def test_a_crowd_of_changes_takes_few_watches():
-    async def check(store, keeper):
+def test_a_burst_of_changes_takes_few_watches():
+    async def check(store, synchronizer):
         await asyncio.sleep(1.5)
         before = store.watches
         for number in range(50):
             store.write(f"servers/m{number}", b"")
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
-        assert len(keeper.state.replicas) == 51
+        assert len(synchronizer.state.replicas) == 51
         assert store.watches - before <= 12
 
     run(check)
 
 
-def test_a_forgotten_history_is_read_anew():
-    async def check(store, keeper):
+def test_a_lost_history_leads_to_a_new_listing():
+    async def check(store, synchronizer):
         await asyncio.sleep(1.5)
         store.write("op/config", b'{"version": 8}')
-        store.forgotten = store.revision + 1
+        store.history_start = store.revision + 1
         store.write("op/config", b'{"version": 9}')
         await asyncio.sleep(0.5)
-        store.forgotten = 0
+        store.history_start = 0
         await asyncio.sleep(0.5)
-        assert keeper.state.catalog.version == 9
+        assert synchronizer.state.catalog.version == 9
 
     run(check)
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_leaving.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_leaving.py
@@ -4,14 +4,14 @@
 from .test_state import make
 
 
-def listed(state, revision, *names, value=b"ready"):
+def apply_listing(state, revision, *names, value=b"ready"):
     items = [Item(name, value, revision) for name in names]
     state.apply_replicas_snapshot(items, revision, 0.0)
 
 
-def test_what_a_replica_says_goes_before_what_its_record_says():
+def test_an_announcement_takes_precedence_over_the_record():
     state = make()
-    listed(state, 1, "r1", "r2")
+    apply_listing(state, 1, "r1", "r2")
     assert state.mark_leaving("r1", 1.0)
     assert not state.mark_leaving("r1", 1.1)
     assert [each.draining for each in state.replicas.values()] == [True, False]
@@ -19,10 +19,10 @@
     assert state.replicas["r1"].draining
 
 
-def test_it_holds_for_a_record_that_lapses_and_for_one_that_comes_late():
+def test_an_announcement_applies_to_removed_and_late_records():
     state = make()
     state.mark_leaving("r1", 0.5)
-    listed(state, 1, "r1", "r2")
+    apply_listing(state, 1, "r1", "r2")
     assert state.replicas["r1"].draining
     state.apply_replica_changes([Removed("r1", 2)], 2, 2.0)
     assert state.removed_replicas["r1"].replica.draining
@@ -31,13 +31,13 @@
     assert state.replicas["r1"].draining
 
 
-def test_it_is_no_news_where_the_record_said_so():
+def test_an_announcement_is_not_new_if_the_record_is_draining():
     state = make()
-    listed(state, 1, "r1", value=b"draining")
+    apply_listing(state, 1, "r1", value=b"draining")
     assert not state.mark_leaving("r1", 1.0)
 
 
-def test_what_is_remembered_is_bounded_in_time_and_number():
+def test_retained_starts_are_bounded_in_time_and_number():
     leaving = RetainedStarts()
     for number in range(MAX_RETAINED_STARTS + 10):
         leaving.put(f"r{number}", None, 0.0)
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_recent.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_recent.py
@@ -7,7 +7,7 @@
 from chalkyoke.storage.messages import Item, Removed
 
 
-def test_only_the_newest_change_of_each_key_is_told():
+def test_only_the_latest_change_of_each_key_is_listed():
     recent = RecentChanges()
     recent.reset(10)
     recent.append([Item("a", b"2", 13), Item("a", b"1", 12), Removed("b", 14)])
@@ -15,7 +15,7 @@
     assert recent.list_after(13) == [Removed("b", 14)]
 
 
-def test_what_is_forgotten_is_not_told_by_halves():
+def test_nothing_is_listed_if_some_changes_were_dropped():
     recent = RecentChanges()
     recent.reset(10)
     assert recent.list_after(9) is None
@@ -24,7 +24,7 @@
     assert len(recent.list_after(11)) == MAX_RECENT_CHANGES
 
 
-def test_old_documents_go_when_all_are_too_large():
+def test_old_documents_are_dropped_above_the_total_size():
     recent = RecentDocuments()
     half = b"x" * (MAX_RECENT_DOCUMENTS_BYTES // 2)
     for version in (1, 2, 3):
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_restores.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_restores.py
@@ -33,8 +33,8 @@
 A, B = Item("a", b"a1 ready", 3), Item("b", b"b1 ready", 4)
 
 
-# Guards against updates that are ignored since the revisions of a restored store are lower.
-def test_a_later_epoch_is_newer_whatever_its_revisions_are():
+# Guards against ignoring updates because a restored store has lower revisions.
+def test_a_higher_epoch_is_newer_whatever_its_revisions_are():
     state = make_state(A, B, at=35)
     assert state.apply_replicas_snapshot([A, B], 31, 0.0, epoch=2, now=1.0)
     assert (state.epoch, state.replicas_revision, state.last_change_revision) == (2, 31, 4)
@@ -43,8 +43,8 @@
     assert not state.apply_replicas_snapshot([A, B], 36, 0.0, epoch=1, now=1.0)
 
 
-# Guards against work for a replica that the copy says is ready, after it said that it leaves.
-def test_a_start_that_leaves_is_not_ready_again_by_an_older_record():
+# Guards against requests to a leaving replica whose record is still ready in the backup.
+def test_a_leaving_start_stays_leaving_despite_an_older_record():
     state = make_state(A, B)
     state.apply_replica_changes([Item("a", b"a1 draining", 12)], 12, 0.0, 0.0)
     state.apply_replicas_snapshot([A, B], 10, 0.0, epoch=2, now=1.0)
@@ -55,8 +55,8 @@
     assert names(state) == {"a2", "b1"}
 
 
-# Guards against work for a replica that is gone, until the store has had time to remove it.
-def test_a_start_that_is_gone_comes_back_only_if_the_store_keeps_it():
+# Guards against requests to a removed replica before a restored store can remove its record again.
+def test_a_removed_start_returns_only_if_the_store_keeps_its_record():
     for keeps in (False, True):
         state = make_state(A, B)
         state.apply_replica_changes([Removed("a", 12)], 12, 0.0, 0.0)
@@ -68,22 +68,22 @@
         assert names(state) == ({"a1", "b1"} if keeps else {"b1"})
 
 
-# Guards against a pause of a replica whose first record is among the lost ones.
-def test_a_record_that_the_copy_lacks_stays_in_force_until_it_is_written_again():
+# Guards against a replica without requests because the backup lacks its first record.
+def test_a_record_missing_in_the_backup_stays_in_force_until_rewritten():
     for again in (False, True):
         state = make_state(B)
         state.apply_replica_changes([Item("a", b"a1 ready", 12)], 12, 0.0, 0.0)
         state.apply_replicas_snapshot([B], 10, 0.0, epoch=2, now=1.0)
         assert names(state) == {"a1", "b1"}
         if again:
-            # Peers have the same conflict, and are to learn of its end.
+            # Peers have the same conflict, so its end counts as a change that they receive.
             assert state.apply_replica_changes([Item("a", b"a1 ready", 11)], 11, 2.0, 2.0)
         state.resolve_conflicts(1.0 + MISSING_RECORD_TTL_S)
         assert names(state) == ({"a1", "b1"} if again else {"b1"})
 
 
-# Guards against an answer of this system's own that is not seen to be lost.
-def test_an_answer_to_an_order_that_the_copy_lacks_is_gone_at_once():
+# Guards against a roll-out status that the backup lacks and that is therefore never written again.
+def test_a_status_missing_in_the_backup_is_removed_at_once():
     order = Item("order", b"2", 5)
     state = make_state(order)
     state.apply_replica_changes([Item("status", b"2", 12)], 12, 0.0, 0.0)
@@ -91,8 +91,8 @@
     assert set(state.orders) == {"pool"} and not state.statuses
 
 
-# Guards against an earlier order that is in force again for the moment before the rewrite.
-def test_an_order_that_took_the_place_of_another_stays_in_force():
+# Guards against an earlier order in force again until the later one is rewritten.
+def test_an_order_that_replaced_another_stays_in_force():
     first = Item("order", b"2", 5)
     state = make_state(first)
     state.apply_replica_changes([Item("order", b"3", 12)], 12, 0.0, 0.0)
@@ -102,8 +102,8 @@
     assert state.orders["pool"].order.version == "2"
 
 
-# Guards against a trial that begins anew, with another exposure, for an order written again.
-def test_an_order_that_was_lost_and_is_written_again_is_the_same_order():
+# Guards against a trial that restarts, with another exposure, because its order was rewritten.
+def test_a_lost_order_that_is_rewritten_is_the_same_order():
     state = make_state(B, at=30)
     state.apply_replica_changes([Item("order", b"2", 35)], 35, 3.0, 3.0)
     given = state.orders["pool"]
@@ -113,23 +113,23 @@
     again = state.orders["pool"]
     assert (again.since, again.order.name) == (given.since, given.order.name)
     assert again.order.revision == 31
-    # A node that knows the later one only means the same; one with another order does not.
+    # A node with only the rewritten order has a matching name; a node with another order does not.
     late = make_state(B, Item("order", b"2", 31), at=31, epoch=2)
     assert late.orders["pool"].order.name.matches(again.order.name)
     other = make_state(B, Item("order", b"3", 35), at=35, epoch=2)
     assert not other.orders["pool"].order.name.matches(again.order.name)
 
 
-# Guards against an order that the operator gives anew, after a roll back, and that is not followed.
-def test_an_order_that_is_given_once_more_in_the_same_epoch_is_another():
+# Guards against an order that is ignored because the operator repeats it after a roll-back.
+def test_an_order_that_is_repeated_in_the_same_epoch_is_a_new_order():
     state = make_state(Item("order", b"2", 5))
     given = state.orders["pool"].order.name
     state.apply_replica_changes([Item("order", b"2", 12)], 12, 3.0, 3.0)
     assert not state.orders["pool"].order.name.matches(given)
 
 
-# Guards against whole listings to each host of a large domain when the store is restored.
-def test_peers_in_the_epoch_before_are_told_the_difference():
+# Guards against snapshots to every host of a large failure domain when the store is restored.
+def test_peers_in_the_previous_epoch_receive_a_delta():
     state, peer, other = make_state(A, B), make_state(A, B), make_state(A)
     state.apply_replicas_snapshot([B, Item("c", b"c1 ready", 9)], 9, 0.0, epoch=2, now=1.0)
     delta = state.build_restore_update()
@@ -140,9 +140,9 @@
         state.last_change_revision,
     )
     assert names(peer) == names(state) == {"a1", "b1", "c1"}
-    # A second delta of the same restore makes nobody ask for all.
+    # A second delta of the same restore leads to no request for a snapshot.
     assert peer.apply_replicas_delta(delta, 0.0, 1.0) == Ok(False)
-    # One that knew something else asks for all.
+    # A peer in another state requests a snapshot.
     assert isinstance(other.apply_replicas_delta(delta, 0.0, 1.0), Err)
     (whole,) = state.answer_request(CatalogRequest(1, 0, other.epoch))
     assert other.apply_replicas_snapshot(
@@ -151,8 +151,8 @@
     assert other.position == state.position
 
 
-# Guards against updates of nodes that know no epoch, whose revisions can't be compared.
-def test_what_comes_without_an_epoch_is_not_taken_once_one_is_known():
+# Guards against updates from nodes without an epoch, whose revisions can't be compared.
+def test_updates_without_an_epoch_are_ignored_once_one_is_known():
     state = make_state(A, B, epoch=2)
     assert not state.apply_replicas_snapshot([A], 40, 0.0, now=1.0)
     assert state.apply_replicas_delta(
@@ -163,15 +163,15 @@
     assert len(answer.items) == 2
 
 
-# Guards against a node that knows no epoch yet and takes its first one for a restore.
-def test_the_first_epoch_is_no_restore():
+# Guards against a node that treats the first epoch that it receives as a restore.
+def test_the_first_epoch_is_not_a_restore():
     state = make_state(A, B, epoch=0)
     assert state.apply_replicas_snapshot([B], 10, 0.0, epoch=3, now=1.0)
     assert (state.epoch, names(state)) == (3, {"b1"})
 
 
-class StoreWithCopies(RuleBasedStateMachine):
-    """A store that is restored at any time, two nodes that follow it, one that asks one of them."""
+class StoreWithBackups(RuleBasedStateMachine):
+    """A store that may be restored at any time, two nodes that watch it and a peer of one."""
 
     KEYS = ("a", "b", "c")
 
@@ -179,7 +179,7 @@
         super().__init__()
         self.now = 0.0
         self.epoch, self.revision, self.items = 1, 1, {}
-        self.copies = [(1, {})]
+        self.backups = [(1, {})]
         self.nodes = [make_state(at=1) for _ in range(3)]
         self.starts = 0
         self.left = set()
@@ -187,58 +187,58 @@
     def write(self, key, text):
         self.revision += 1
         self.items[key] = Item(key, text.encode(), self.revision)
-        self.tell([self.items[key]])
+        self.deliver([self.items[key]])
 
-    def tell(self, changes):
+    def deliver(self, changes):
         for node in self.nodes[:2]:
             if node.epoch == self.epoch and node.replicas_revision == self.revision - 1:
                 node.apply_replica_changes(changes, self.revision, self.now, self.now)
         self.left |= names(self.nodes[0], draining=True)
 
     @rule(key=st.sampled_from(KEYS))
-    def starts_anew(self, key):
+    def restarts_replica(self, key):
         self.starts += 1
         self.write(key, f"{key}{self.starts} ready")
 
     @rule(key=st.sampled_from(KEYS))
-    def drains(self, key):
+    def drains_replica(self, key):
         if key in self.items:
             start = self.items[key].value.decode().partition(" ")[0]
             self.write(key, f"{start} draining")
 
     @rule(key=st.sampled_from(KEYS))
-    def goes(self, key):
+    def removes_replica(self, key):
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self.tell([Removed(key, self.revision)])
+            self.deliver([Removed(key, self.revision)])
 
     @rule()
-    def copies_itself(self):
-        self.copies.append((self.revision, dict(self.items)))
+    def makes_backup(self):
+        self.backups.append((self.revision, dict(self.items)))
 
     @rule(which=st.integers(0, 5))
-    def is_restored(self, which):
-        self.revision, items = self.copies[which % len(self.copies)]
+    def restores_backup(self, which):
+        self.revision, items = self.backups[which % len(self.backups)]
         self.items = dict(items)
-        # Copies that are later than this one are of writes that are lost.
-        self.copies = [each for each in self.copies if each[0] <= self.revision]
+        # Later backups than this one have writes that are lost now.
+        self.backups = [each for each in self.backups if each[0] <= self.revision]
         self.epoch += 1
 
     @rule()
-    def is_read(self):
+    def lists_store(self):
         for node in self.nodes[:2]:
             node.apply_replicas_snapshot(
                 self.items.values(), self.revision, self.now, epoch=self.epoch, now=self.now
             )
 
     @rule(seconds=st.sampled_from((0.5, 3.0, 6.0)))
-    def passes(self, seconds):
+    def advances_time(self, seconds):
         self.now += seconds
         for node in self.nodes:
             node.resolve_conflicts(self.now)
 
     @rule()
-    def peer_asks(self):
+    def peer_requests_update(self):
         watcher, peer = self.nodes[0], self.nodes[2]
         for answer in watcher.answer_request(CatalogRequest(1, peer.replicas_revision, peer.epoch)):
             if not isinstance(answer, ReplicasDelta):
@@ -250,22 +250,22 @@
                 peer.apply_replicas_snapshot(whole.items, *at, epoch=whole.epoch, now=self.now)
 
     @rule()
-    def all_is_calm(self):
-        """After the store was read and all doubts are over, all go by the store."""
-        self.is_read()
-        self.passes(6.0)
-        self.peer_asks()
-        self.passes(6.0)
+    def converges(self):
+        """After a listing and the end of all conflicts, every node agrees with the store."""
+        self.lists_store()
+        self.advances_time(6.0)
+        self.peer_requests_update()
+        self.advances_time(6.0)
         listed = {each.value.decode().partition(" ")[0] for each in self.items.values()}
         for node in self.nodes:
             assert node.position == self.nodes[0].position
             assert set(node.replicas) == listed
 
     @invariant()
-    def a_start_that_left_is_not_ready(self):
+    def a_start_that_announced_leaving_is_never_ready(self):
         for node in self.nodes[:2]:
             assert not names(node) & self.left
 
 
-StoreWithCopies.TestCase.settings = settings(max_examples=150, stateful_step_count=30)
-TestStoreWithCopies = StoreWithCopies.TestCase
+StoreWithBackups.TestCase.settings = settings(max_examples=150, stateful_step_count=30)
+TestStoreWithBackups = StoreWithBackups.TestCase
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_state.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_state.py
@@ -37,7 +37,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 9), st.booleans())))
-def test_versions_only_rise_whether_from_the_store_or_from_peers(steps):
+def test_versions_only_rise_with_updates_from_the_store_and_peers(steps):
     state, peer, highest = make(), make(), 0
     for version, by_peer in steps:
         if by_peer:
@@ -50,7 +50,7 @@
         assert state.catalog.version == highest
 
 
-def test_what_can_t_be_read_changes_nothing():
+def test_a_document_that_can_t_be_parsed_changes_nothing():
     state = make()
     state.apply_document(document(3))
     assert isinstance(state.apply_document(b"{"), Err)
@@ -68,7 +68,7 @@
     assert state.replicas == {} and state.removed_replicas["a"].since == 2.0
 
 
-def test_a_full_reading_replaces_and_an_older_one_does_not():
+def test_a_newer_snapshot_replaces_all_records_and_an_older_one_none():
     state = make()
     state.apply_replicas_snapshot(
         [Item("a", b"ready", 5), Item("b", b"ready", 6)], at=10, since=0.0
@@ -80,29 +80,29 @@
     assert set(state.replicas) == {"b", "c"} and set(state.removed_replicas) == {"a"}
 
 
-def test_a_record_that_can_t_be_read_hides_no_other():
+def test_an_unreadable_record_does_not_affect_other_records():
     state = make()
     state.apply_replicas_snapshot([Item("a", b"", 5), Item("b", b"ready", 6)], at=10, since=0.0)
     assert set(state.replicas) == {"b"}
 
 
-def test_a_peer_is_told_what_it_lacks_and_nothing_else():
+def test_a_request_is_answered_with_missing_updates_only():
     state = make()
     state.apply_document(document(3))
     state.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
-    told = state.answer_request(CatalogRequest(version=3, replicas_at=4))
-    assert [type(each) for each in told] == [ReplicasSnapshot]
+    update = state.answer_request(CatalogRequest(version=3, replicas_at=4))
+    assert [type(each) for each in update] == [ReplicasSnapshot]
     assert state.answer_request(CatalogRequest(3, 10)) == []
-    newcomer = make()
+    new_node = make()
     for each in state.answer_request(CatalogRequest(0, 0)):
         if isinstance(each, CatalogSnapshot):
-            newcomer.apply_document_snapshot(each)
+            new_node.apply_document_snapshot(each)
         else:
-            newcomer.apply_replicas_snapshot(each.items, each.at, 0.0)
-    assert newcomer.complete and newcomer.replicas == state.replicas
+            new_node.apply_replicas_snapshot(each.items, each.at, 0.0)
+    assert new_node.complete and new_node.replicas == state.replicas
 
 
-def test_a_peer_that_lags_is_told_only_what_it_lacks():
+def test_a_lagging_peer_receives_deltas():
     state, peer = make(), make()
     listing = [Item(name, b"ready", number) for number, name in enumerate("abcd", 1)]
     for each in (state, peer):
@@ -125,7 +125,7 @@
     )
 
 
-def test_a_change_to_what_a_node_lacks_is_not_taken():
+def test_a_delta_with_an_unknown_base_is_rejected():
     state, peer = make(), make()
     peer.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
     assert isinstance(peer.apply_replicas_delta(ReplicasDelta(11, 20, (), (), 0.0), 0.0), Err)
@@ -136,19 +136,19 @@
     assert (peer.replicas_revision, peer.catalog.version) == (10, 3)
 
 
-def test_a_list_without_a_difference_is_no_change_and_raises_no_version():
+def test_an_equal_snapshot_is_no_change_and_keeps_the_change_revision():
     state, peer = make(), make()
     items = [Item("a", b"ready", 5), Item("b", b"ready", 7)]
     state.apply_replicas_snapshot(items, at=10, since=0.0)
     peer.apply_replicas_snapshot(items, at=12, since=0.0)
     assert state.last_change_revision == peer.last_change_revision == 7
-    told = peer.build_replicas_update()
-    assert not state.apply_replicas_snapshot(told.items, told.at, 1.0, told.changed_at)
+    update = peer.build_replicas_update()
+    assert not state.apply_replicas_snapshot(update.items, update.at, 1.0, update.changed_at)
     assert (state.replicas_revision, state.last_change_revision) == (12, 7)
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()), max_size=30))
-def test_nodes_told_by_differences_agree_with_the_one_that_follows_the_store(steps):
+def test_nodes_that_receive_deltas_agree_with_the_watching_node(steps):
     state, peers = make(), [make(), make()]
     for each in (state, *peers):
         each.apply_replicas_snapshot([Item("a", b"ready", 1)], at=1, since=0.0)
@@ -160,20 +160,20 @@
         state.apply_replica_changes([change], revision + 1, 0.0)
         for number, peer in enumerate(peers):
             if number != lost:
-                told = state.build_replicas_update(known_at)
-                if isinstance(peer.apply_replicas_delta(told, 0.0), Err):
+                update = state.build_replicas_update(known_at)
+                if isinstance(peer.apply_replicas_delta(update, 0.0), Err):
                     for answer in state.answer_request(CatalogRequest(0, peer.replicas_revision)):
                         peer.apply_replicas_delta(answer, 0.0)
                 assert peer.replicas == state.replicas
                 assert peer.last_change_revision == state.last_change_revision
 
 
-def test_a_record_that_turns_bad_names_no_replica_and_one_that_turns_good_again_does():
+def test_an_unreadable_record_removes_its_replica_until_it_is_readable():
     state = make()
     state.apply_replicas_snapshot([Item("a", b"x", 1), Item("b", b"x", 2)], at=2, since=0.0)
     assert state.apply_replica_changes([Item("a", b"", 3)], 3, 0.0)
     assert set(state.replicas) == {"b"} and not state.removed_replicas
-    # Written again and as bad as before: no news.
+    # A rewrite that can't be parsed for the same reason is no change.
     assert not state.apply_replica_changes([Item("a", b"", 4)], 4, 0.0)
     assert set(state.unreadable) == {"a"}
     assert state.apply_replica_changes([Item("a", b"x", 5)], 5, 0.0)
@@ -181,7 +181,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), min_size=1))
-def test_bad_records_never_change_what_is_known_of_other_replicas(writes):
+def test_unreadable_records_never_affect_other_replicas(writes):
     state = make()
     state.apply_replicas_snapshot([Item("good", b"x", 1)], at=1, since=0.0)
     for revision, (key, is_bad) in enumerate(writes, start=2):
@@ -202,18 +202,18 @@
     return state
 
 
-def test_a_later_start_takes_the_place_of_the_one_before():
+def test_a_later_start_replaces_the_earlier_start():
     state = started(b"1", b"2")
     assert set(state.replicas) == {"m/2"} and not state.removed_replicas
     assert [each.id for each in state.pop_restarted()] == ["m/1"]
     assert state.pop_restarted() == []
 
 
-def test_late_news_of_the_old_start_never_undo_the_new_one_on_whichever_way_they_come():
+def test_late_updates_of_an_earlier_start_never_replace_the_later_one():
     state, behind = started(b"1", b"2"), started(b"1")
     state.apply_replicas_delta(ReplicasDelta(0, 1, (Item("m", b"1", 1),), (), 0.1), 0.0)
     state.apply_replicas_snapshot([Item("m", b"1", 1)], at=1, since=0.0)
     assert set(state.replicas) == {"m/2"}
-    # Two nodes that hold different starts for a while agree again.
+    # Two nodes with different starts agree again after an update.
     behind.apply_replicas_delta(state.build_replicas_update(1, 0.1), 0.0)
     assert set(behind.replicas) == {"m/2"}
--- a/packages/chalkyoke/src/chalkyoke/platform/tests/test_formats.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/tests/test_formats.py
@@ -56,7 +56,7 @@
 }
 
 
-def test_a_configuration_is_read_into_the_products_own_terms():
+def test_a_configuration_is_parsed_into_a_catalog():
     catalog = read_catalog(json.dumps(CONFIGURATION).encode()).ok_value
     route = catalog.find_route("a.example", "/x/1")
     assert (route.kind, route.timeout_s, route.goal_s) == (RouteKind.STREAM, 4.0, 0.8)
@@ -73,19 +73,19 @@
     assert catalog.requires_keys and catalog.limits.header_bytes == 100
 
 
-def test_a_configuration_without_tenants_asks_for_no_keys():
+def test_a_configuration_without_tenants_requires_no_keys():
     catalog = read_catalog(b'{"version": 1}').ok_value
     assert not catalog.requires_keys
 
 
-def test_documents_that_can_t_be_read_are_errors_and_not_exceptions():
+def test_documents_that_can_t_be_parsed_are_errors_and_not_exceptions():
     for document in (b"", b"{", b"[]", b'{"version": "x"}', b"\xff"):
         assert isinstance(read_catalog(document), Err)
         assert isinstance(read_replica(Item("servers/i", document, 1)), Err)
     assert isinstance(read_replica(Item("servers/i", b'{"service":"s","addr":"nope"}', 1)), Err)
 
 
-def test_a_replica_is_read():
+def test_a_replica_record_is_parsed():
     value = b'{"service":"s","addr":"10.1.2.3:80","zone":"z","slots":7,"state":"draining","seq":4}'
     replica = read_replica(Item("servers/i-7", value, 1)).ok_value
     assert (replica.id, replica.address, replica.draining) == ("i-7", "10.1.2.3:80", True)
@@ -111,7 +111,7 @@
 ]
 
 
-def test_a_request_s_own_words_are_read():
+def test_request_headers_are_parsed():
     fields = PlatformHeaders().read_request(REQUEST)
     assert (fields.request_id, fields.deadline_s, fields.key) == ("r1", 6.0, "k")
     assert (fields.prompt_tokens, fields.most_output_tokens, fields.likely_output_tokens) == (
@@ -125,13 +125,13 @@
     ]
 
 
-def test_odd_values_are_taken_for_none():
-    odd = [(b"X-Deadline-Ms", b"-5"), (b"X-Token-Count", b"x"), (b"X-Prefix-Hash", b"zz:1,")]
-    fields = PlatformHeaders().read_request(odd)
+def test_invalid_request_headers_count_as_absent():
+    invalid = [(b"X-Deadline-Ms", b"-5"), (b"X-Token-Count", b"x"), (b"X-Prefix-Hash", b"zz:1,")]
+    fields = PlatformHeaders().read_request(invalid)
     assert (fields.deadline_s, fields.prompt_tokens, fields.parts) == (None, 0, ())
 
 
-def test_what_the_system_sets_can_t_be_forged_and_the_key_stays_here():
+def test_system_headers_can_t_be_forged_and_the_key_is_not_forwarded():
     forwarding = Forwarding("i-1", "clerks", 2.5)
     headers = PlatformHeaders().forward(REQUEST, forwarding)
     names = [name.lower() for name, _ in headers]
@@ -144,7 +144,7 @@
         assert gone not in found
 
 
-def test_without_a_team_none_is_named():
+def test_without_a_team_no_tenant_header_is_sent():
     headers = PlatformHeaders().forward(REQUEST, Forwarding("i-1", "", 2.5))
     assert b"x-tenant" not in {name.lower() for name, _ in headers}
 
@@ -155,7 +155,7 @@
     assert [value for name, value in headers if name.lower() == b"last-event-id"] == [b"9"]
 
 
-def test_an_answer_s_own_words_are_read():
+def test_answer_headers_are_parsed():
     fields = PlatformHeaders().read_answer(
         [(b"X-Request-Id", b"r1"), (b"X-Server-Stamp", b"s"), (b"X-Server-Load", b"3,0,8")]
     )
@@ -164,19 +164,19 @@
     assert PlatformHeaders().read_answer([(b"X-Server-Load", b"3,x")]).load is None
 
 
-def test_what_a_replica_says_of_itself_is_read():
+def test_leaving_and_retry_after_headers_are_parsed():
     read = PlatformHeaders().read_answer
     assert read([(b"Server-Leaving", b"1")]).leaving
     for other in ([], [(b"Server-Leaving", b"0")], [(b"Server-Leaving", b"")]):
         assert not read(other).leaving
-    told = {b"3": 3.0, b" 0.25 ": 0.25, b"2.": 2.0, b"0": 0.0}
+    usable = {b"3": 3.0, b" 0.25 ": 0.25, b"2.": 2.0, b"0": 0.0}
     unusable = (b"", b"-1", b"soon", b"1e9", b"1.2.3", b".", b"Wed, 21 Oct 2026 07:28:00 GMT")
-    for value, seconds in (*told.items(), *((each, 0.0) for each in unusable)):
+    for value, seconds in (*usable.items(), *((each, 0.0) for each in unusable)):
         assert read([(b"Retry-After", value)]).retry_after_s == seconds, value
     assert read([(b"Retry-After", b"9" * 400)]).retry_after_s > 1e9
 
 
-def test_the_limit_that_an_answer_names_is_read():
+def test_the_limit_header_is_parsed():
     read = PlatformHeaders().read_answer
     assert read([]).limit_per_s is None
     for value, limit in {b"3.8": 3.8, b" 12 ": 12.0, b"0": 0.0, b"0.25": 0.25}.items():
@@ -184,12 +184,12 @@
     for value in (b"", b"-1", b"few", b"1e3", b"3,8", b"nan"):
         fields = read([(b"server-limit", value)])
         assert (fields.limit_per_s, fields.limit_unreadable) == (None, True), value
-    # Of several the least is kept to.
+    # Of several limits the lowest applies.
     several = read([(b"Server-Limit", b"7"), (b"Server-Limit", b"2"), (b"Server-Limit", b"few")])
     assert (several.limit_per_s, several.limit_unreadable) == (2.0, True)
 
 
-def test_orders_of_roll_outs_are_read_and_answered_with_the_version_as_written():
+def test_rollout_orders_are_parsed_and_the_status_keeps_the_written_version():
     for written, read in ((b"2", "2"), (b'"v2"', "v2")):
         value = b'{"service":"s","to-version":%b,"over-s":20}' % written
         order = read_record(Item("op/rollout/s", value, 7)).ok_value
@@ -213,11 +213,11 @@
         b'{"service":"other","to-version":2,"over-s":3}',
     ],
 )
-def test_orders_that_make_no_sense_are_named(value):
+def test_invalid_rollout_orders_are_errors(value):
     assert isinstance(read_record(Item("op/rollout/s", value, 7)), Err)
 
 
-GOOD = {
+VALID_RECORD = {
     "service": "s",
     "addr": "10.1.2.3:80",
     "zone": "z",
@@ -228,54 +228,54 @@
     "seq": 4,
     "born": 1_780_000_000_000,
 }
-ANYTHING = st.recursive(
+ANY_JSON_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=9),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner),
     max_leaves=5,
 )
 
 
-def read_written(**fields):
-    document = {name: value for name, value in (GOOD | fields).items() if value is not None}
+def parse_record(**fields):
+    document = {name: value for name, value in (VALID_RECORD | fields).items() if value is not None}
     return read_replica(Item("servers/i", json.dumps(document).encode(), 1))
 
 
-def test_records_of_other_writers_name_no_replica():
-    assert isinstance(read_written(), Ok)
+def test_records_of_foreign_writers_are_errors():
+    assert isinstance(parse_record(), Ok)
     for name in ("service", "addr", "zone", "slots", "state"):
-        assert isinstance(read_written(**{name: None}), Err), name
+        assert isinstance(parse_record(**{name: None}), Err), name
     for slots in (0, -1, 10**9, 1.5, "7", True):
-        assert isinstance(read_written(slots=slots), Err), slots
+        assert isinstance(parse_record(slots=slots), Err), slots
     for state in ("", "leaving", "READY", 1, ["ready"]):
-        assert isinstance(read_written(state=state), Err), state
+        assert isinstance(parse_record(state=state), Err), state
     for born in ("1780000000000", 1.5, [], True):
-        assert isinstance(read_written(born=born), Err), born
+        assert isinstance(parse_record(born=born), Err), born
     for address in ("", "10.1.2.3", "10.1.2.3:", "10.1.2.3:0", "10.1.2.3:65536", "a.b:80", ":80"):
-        assert isinstance(read_written(addr=address), Err), address
-    assert isinstance(read_replica(Item("servers/", json.dumps(GOOD).encode(), 1)), Err)
+        assert isinstance(parse_record(addr=address), Err), address
+    assert isinstance(read_replica(Item("servers/", json.dumps(VALID_RECORD).encode(), 1)), Err)
     deep = b'{"other":' + b"[" * 100_000
     assert isinstance(read_replica(Item("servers/i", deep, 1)), Err)
 
 
-def test_a_replica_tells_its_version_as_a_number_or_a_word():
+def test_a_version_may_be_a_number_or_a_string():
     for written, read in ((2, "2"), ("v2", "v2"), ("", "")):
-        assert read_written(version=written).ok_value.version == read
+        assert parse_record(version=written).ok_value.version == read
 
 
-def test_two_starts_of_a_replica_are_told_apart():
-    found = [read_written(born=born).ok_value for born in (1, 2, 2)]
+def test_two_starts_of_a_replica_have_different_ids():
+    found = [parse_record(born=born).ok_value for born in (1, 2, 2)]
     assert len({each.id for each in found}) == 2
     assert {each.expected_id for each in found} == {"i"}
-    assert read_written(born=0).ok_value.id == "i"
+    assert parse_record(born=0).ok_value.id == "i"
 
 
 @given(st.binary(max_size=60), st.sampled_from(["servers/i", "op/rollout/s", "status/rollout/s"]))
-def test_any_bytes_are_read_without_an_exception(value, key):
+def test_parsing_any_bytes_raises_no_exception(value, key):
     assert isinstance(read_record(Item(key, value, 1)), Ok | Err)
 
 
-@given(st.sampled_from(sorted(GOOD)), ANYTHING)
-def test_a_record_with_any_field_wrong_is_read_without_an_exception(name, value):
-    found = read_replica(Item("servers/i", json.dumps(GOOD | {name: value}).encode(), 1))
+@given(st.sampled_from(sorted(VALID_RECORD)), ANY_JSON_VALUE)
+def test_parsing_a_record_with_any_invalid_field_raises_no_exception(name, value):
+    found = read_replica(Item("servers/i", json.dumps(VALID_RECORD | {name: value}).encode(), 1))
     if isinstance(found, Ok):
         assert found.ok_value.slots >= 1 and 0 < found.ok_value.port < 65_536
--- a/tests/catalogfleet.py
+++ b/tests/catalogfleet.py
@@ -201,7 +201,7 @@
         self._host = host
 
     async def read(self, prefix):
-        return await self._within(platform_store.CALL_S, lambda: self._store.read(prefix))
+        return await self._within(platform_store.CALL_TIMEOUT_S, lambda: self._store.read(prefix))
 
     async def watch(self, prefix, since, wait_s, answer_s):
         limit_s = wait_s + answer_s
