--- a/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
@@ -32,6 +32,7 @@
 from chalkyoke.storage.messages import Changes, Item, Listing, Removed
 from chalkyoke.storage.port import Store
 
+# Name of the duty that the watchers of a failure domain hold.
 WATCH_DUTY = "store-watch"
 # How long a node may lag a peer before it requests an update, in seconds. The nodes that watch the
 # store broadcast sooner than that, unless their messages are lost.
--- a/packages/chalkyoke/src/chalkyoke/catalog/records.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/records.py
@@ -144,7 +144,7 @@
         return is_new and (replica is None or not replica.draining)
 
     def retain_leaving(self, now: float) -> None:
-        """Keep all draining replica starts leaving, whatever older records of a backup say."""
+        """Keep all draining replica starts leaving, whatever older records in a backup declare."""
         draining = {each.id for each in self.replicas.values() if each.draining}
         for start in draining:
             self._leaving.put(start, None, now)
@@ -209,7 +209,7 @@
     # Other records.
 
     def _mark_unreadable(self, key: str, why: str) -> bool:
-        """Note that a record can't be parsed, and remove what was in force under its key.
+        """Mark a record as unreadable and remove the earlier record under its key from force.
 
         :return: whether the reason differs from the previous one.
         """
--- a/packages/chalkyoke/src/chalkyoke/catalog/state.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/state.py
@@ -205,16 +205,18 @@
         restored = apply_difference(base, message.difference, MAX_DOCUMENT_BYTES)
         return restored if isinstance(restored, Err) else self.apply_document(restored.ok_value)
 
-    def build_catalog_update(self, held: int = 0) -> CatalogSnapshot | CatalogDelta:
+    def build_catalog_update(self, peer_version: int = 0) -> CatalogSnapshot | CatalogDelta:
         """Build the update that brings a peer to this node's document.
 
-        :param held: the version that the peer has. The update is a difference where that version
-            is still available here, else the complete document.
+        :param peer_version: the version that the peer has. The update is a difference where that
+            version is still available here, else the complete document.
         """
-        base = self._recent_documents.find(held)
+        base = self._recent_documents.find(peer_version)
         if base is None:
             return CatalogSnapshot(self.catalog.version, zlib.compress(self._document, 1))
-        return CatalogDelta(self.catalog.version, held, encode_difference(base, self._document))
+        return CatalogDelta(
+            self.catalog.version, peer_version, encode_difference(base, self._document)
+        )
 
     # Replicas.
 
@@ -325,7 +327,7 @@
         """Return whether a position is newer than that of this node's records.
 
         A position without an epoch comes from a node that does not support epochs. It can't be
-        compared with a position that has one, so it never counts as newer.
+        compared with a position that has an epoch, so it does not count as newer than one.
         """
         if position.epoch == 0 and self.epoch > 0:
             return False
@@ -401,24 +403,24 @@
     # Updates for peers.
 
     def build_replicas_update(
-        self, held_at: int = 0, age_s: float = UNKNOWN_AGE_S
+        self, peer_revision: int = 0, age_s: float = UNKNOWN_AGE_S
     ) -> ReplicasSnapshot | ReplicasDelta:
         """Build the update that brings a peer of the same epoch to this node's records.
 
         The update is a delta where all changes since the peer's revision are still available, else
         a snapshot.
 
-        :param held_at: the revision up to which the peer is complete; 0 asks for a snapshot.
+        :param peer_revision: the revision up to which the peer is complete; 0 asks for a snapshot.
         :param age_s: greatest age of the changes, in seconds.
         """
-        changes = self._recent_changes.list_after(held_at) if held_at else None
+        changes = self._recent_changes.list_after(peer_revision) if peer_revision else None
         if changes is None:
             items = tuple(self._items.values())
             return ReplicasSnapshot(
                 self.replicas_revision, self.last_change_revision, items, self.epoch
             )
         return ReplicasDelta(
-            held_at,
+            peer_revision,
             self.replicas_revision,
             tuple(each for each in changes if isinstance(each, Item)),
             tuple(each for each in changes if isinstance(each, Removed)),
@@ -441,7 +443,7 @@
         return restored
 
     def answer_request(self, request: CatalogRequest) -> list[CatalogAnswer]:
-        """Build the updates that a peer's request asks for; none where the peer is up to date.
+        """Build the updates for a peer's request; the list is empty if the peer is up to date.
 
         :rtype: list[CatalogAnswer]
         """
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_leaving.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_leaving.py
@@ -1,7 +1,7 @@
 from chalkyoke.catalog.starts import MAX_RETAINED_STARTS, RETENTION_S, RetainedStarts
 from chalkyoke.storage.messages import Item, Removed
 
-from .test_state import make
+from .test_state import make_state
 
 
 def apply_listing(state, revision, *names, value=b"ready"):
@@ -10,7 +10,7 @@
 
 
 def test_an_announcement_takes_precedence_over_the_record():
-    state = make()
+    state = make_state()
     apply_listing(state, 1, "r1", "r2")
     assert state.mark_leaving("r1", 1.0)
     assert not state.mark_leaving("r1", 1.1)
@@ -20,7 +20,7 @@
 
 
 def test_an_announcement_applies_to_removed_and_late_records():
-    state = make()
+    state = make_state()
     state.mark_leaving("r1", 0.5)
     apply_listing(state, 1, "r1", "r2")
     assert state.replicas["r1"].draining
@@ -32,7 +32,7 @@
 
 
 def test_an_announcement_is_not_new_if_the_record_is_draining():
-    state = make()
+    state = make_state()
     apply_listing(state, 1, "r1", value=b"draining")
     assert not state.mark_leaving("r1", 1.0)
 
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_restores.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_restores.py
@@ -26,7 +26,7 @@
     return state
 
 
-def names(state, *, draining=False):
+def replica_ids(state, *, draining=False):
     return {each.id for each in state.replicas.values() if each.draining is draining}
 
 
@@ -39,7 +39,7 @@
     assert state.apply_replicas_snapshot([A, B], 31, 0.0, epoch=2, now=1.0)
     assert (state.epoch, state.replicas_revision, state.last_change_revision) == (2, 31, 4)
     assert state.apply_replica_changes([Item("a", b"a1 draining", 32)], 32, 1.0, 1.0)
-    assert names(state, draining=True) == {"a1"}
+    assert replica_ids(state, draining=True) == {"a1"}
     assert not state.apply_replicas_snapshot([A, B], 36, 0.0, epoch=1, now=1.0)
 
 
@@ -48,11 +48,11 @@
     state = make_state(A, B)
     state.apply_replica_changes([Item("a", b"a1 draining", 12)], 12, 0.0, 0.0)
     state.apply_replicas_snapshot([A, B], 10, 0.0, epoch=2, now=1.0)
-    assert names(state) == {"b1"}
+    assert replica_ids(state) == {"b1"}
     state.resolve_conflicts(1.0 + OUTDATED_RECORD_TTL_S)
-    assert names(state) == {"b1"}
+    assert replica_ids(state) == {"b1"}
     state.apply_replica_changes([Item("a", b"a2 ready", 11)], 11, 7.0, 7.0)
-    assert names(state) == {"a2", "b1"}
+    assert replica_ids(state) == {"a2", "b1"}
 
 
 # Guards against requests to a removed replica before a restored store can remove its record again.
@@ -61,11 +61,11 @@
         state = make_state(A, B)
         state.apply_replica_changes([Removed("a", 12)], 12, 0.0, 0.0)
         state.apply_replicas_snapshot([A, B], 10, 0.0, epoch=2, now=1.0)
-        assert names(state) == {"b1"}
+        assert replica_ids(state) == {"b1"}
         if not keeps:
             assert state.apply_replica_changes([Removed("a", 11)], 11, 4.0, 4.0)
         state.resolve_conflicts(1.0 + OUTDATED_RECORD_TTL_S)
-        assert names(state) == ({"a1", "b1"} if keeps else {"b1"})
+        assert replica_ids(state) == ({"a1", "b1"} if keeps else {"b1"})
 
 
 # Guards against a replica without requests because the backup lacks its first record.
@@ -74,12 +74,12 @@
         state = make_state(B)
         state.apply_replica_changes([Item("a", b"a1 ready", 12)], 12, 0.0, 0.0)
         state.apply_replicas_snapshot([B], 10, 0.0, epoch=2, now=1.0)
-        assert names(state) == {"a1", "b1"}
+        assert replica_ids(state) == {"a1", "b1"}
         if again:
             # Peers have the same conflict, so its end counts as a change that they receive.
             assert state.apply_replica_changes([Item("a", b"a1 ready", 11)], 11, 2.0, 2.0)
         state.resolve_conflicts(1.0 + MISSING_RECORD_TTL_S)
-        assert names(state) == ({"a1", "b1"} if again else {"b1"})
+        assert replica_ids(state) == ({"a1", "b1"} if again else {"b1"})
 
 
 # Guards against a roll-out status that the backup lacks and that is therefore never written again.
@@ -139,7 +139,7 @@
         state.position,
         state.last_change_revision,
     )
-    assert names(peer) == names(state) == {"a1", "b1", "c1"}
+    assert replica_ids(peer) == replica_ids(state) == {"a1", "b1", "c1"}
     # A second delta of the same restore leads to no request for a snapshot.
     assert peer.apply_replicas_delta(delta, 0.0, 1.0) == Ok(False)
     # A peer in another state requests a snapshot.
@@ -158,7 +158,7 @@
     assert state.apply_replicas_delta(
         ReplicasDelta(10, 40, (), (Removed("a", 40),), 0.0), 0.0
     ) == Ok(False)
-    assert names(state) == {"a1", "b1"}
+    assert replica_ids(state) == {"a1", "b1"}
     (answer,) = state.answer_request(CatalogRequest(1, 50))
     assert len(answer.items) == 2
 
@@ -167,7 +167,7 @@
 def test_the_first_epoch_is_not_a_restore():
     state = make_state(A, B, epoch=0)
     assert state.apply_replicas_snapshot([B], 10, 0.0, epoch=3, now=1.0)
-    assert (state.epoch, names(state)) == (3, {"b1"})
+    assert (state.epoch, replica_ids(state)) == (3, {"b1"})
 
 
 class StoreWithBackups(RuleBasedStateMachine):
@@ -193,7 +193,7 @@
         for node in self.nodes[:2]:
             if node.epoch == self.epoch and node.replicas_revision == self.revision - 1:
                 node.apply_replica_changes(changes, self.revision, self.now, self.now)
-        self.left |= names(self.nodes[0], draining=True)
+        self.left |= replica_ids(self.nodes[0], draining=True)
 
     @rule(key=st.sampled_from(KEYS))
     def restarts_replica(self, key):
@@ -264,7 +264,7 @@
     @invariant()
     def a_start_that_announced_leaving_is_never_ready(self):
         for node in self.nodes[:2]:
-            assert not names(node) & self.left
+            assert not replica_ids(node) & self.left
 
 
 StoreWithBackups.TestCase.settings = settings(max_examples=150, stateful_step_count=30)
--- a/packages/chalkyoke/src/chalkyoke/catalog/tests/test_state.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/tests/test_state.py
@@ -28,7 +28,7 @@
     return Ok(Replica(item.key, "s", "10.0.0.1", 80, "z", 4, item.value == b"draining"))
 
 
-def make():
+def make_state():
     return CatalogState(read_catalog, read_replica)
 
 
@@ -38,7 +38,7 @@
 
 @given(st.lists(st.tuples(st.integers(1, 9), st.booleans())))
 def test_versions_only_rise_with_updates_from_the_store_and_peers(steps):
-    state, peer, highest = make(), make(), 0
+    state, peer, highest = make_state(), make_state(), 0
     for version, by_peer in steps:
         if by_peer:
             peer.apply_document(document(version))
@@ -51,7 +51,7 @@
 
 
 def test_a_document_that_can_t_be_parsed_changes_nothing():
-    state = make()
+    state = make_state()
     state.apply_document(document(3))
     assert isinstance(state.apply_document(b"{"), Err)
     assert isinstance(state.apply_document_snapshot(CatalogSnapshot(9, b"no zlib")), Err)
@@ -59,7 +59,7 @@
 
 
 def test_changes_apply_once_and_in_order():
-    state = make()
+    state = make_state()
     state.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
     assert state.apply_replica_changes([Item("a", b"draining", 12)], 12, 1.0)
     assert not state.apply_replica_changes([Item("a", b"ready", 5)], 12, 1.0)
@@ -69,7 +69,7 @@
 
 
 def test_a_newer_snapshot_replaces_all_records_and_an_older_one_none():
-    state = make()
+    state = make_state()
     state.apply_replicas_snapshot(
         [Item("a", b"ready", 5), Item("b", b"ready", 6)], at=10, since=0.0
     )
@@ -81,19 +81,19 @@
 
 
 def test_an_unreadable_record_does_not_affect_other_records():
-    state = make()
+    state = make_state()
     state.apply_replicas_snapshot([Item("a", b"", 5), Item("b", b"ready", 6)], at=10, since=0.0)
     assert set(state.replicas) == {"b"}
 
 
 def test_a_request_is_answered_with_missing_updates_only():
-    state = make()
+    state = make_state()
     state.apply_document(document(3))
     state.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
     update = state.answer_request(CatalogRequest(version=3, replicas_at=4))
     assert [type(each) for each in update] == [ReplicasSnapshot]
     assert state.answer_request(CatalogRequest(3, 10)) == []
-    new_node = make()
+    new_node = make_state()
     for each in state.answer_request(CatalogRequest(0, 0)):
         if isinstance(each, CatalogSnapshot):
             new_node.apply_document_snapshot(each)
@@ -103,7 +103,7 @@
 
 
 def test_a_lagging_peer_receives_deltas():
-    state, peer = make(), make()
+    state, peer = make_state(), make_state()
     listing = [Item(name, b"ready", number) for number, name in enumerate("abcd", 1)]
     for each in (state, peer):
         each.apply_replicas_snapshot(listing, at=10, since=0.0)
@@ -126,7 +126,7 @@
 
 
 def test_a_delta_with_an_unknown_base_is_rejected():
-    state, peer = make(), make()
+    state, peer = make_state(), make_state()
     peer.apply_replicas_snapshot([Item("a", b"ready", 5)], at=10, since=0.0)
     assert isinstance(peer.apply_replicas_delta(ReplicasDelta(11, 20, (), (), 0.0), 0.0), Err)
     state.apply_document(document(4))
@@ -137,7 +137,7 @@
 
 
 def test_an_equal_snapshot_is_no_change_and_keeps_the_change_revision():
-    state, peer = make(), make()
+    state, peer = make_state(), make_state()
     items = [Item("a", b"ready", 5), Item("b", b"ready", 7)]
     state.apply_replicas_snapshot(items, at=10, since=0.0)
     peer.apply_replicas_snapshot(items, at=12, since=0.0)
@@ -149,7 +149,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from("abc"), st.booleans()), max_size=30))
 def test_nodes_that_receive_deltas_agree_with_the_watching_node(steps):
-    state, peers = make(), [make(), make()]
+    state, peers = make_state(), [make_state(), make_state()]
     for each in (state, *peers):
         each.apply_replicas_snapshot([Item("a", b"ready", 1)], at=1, since=0.0)
     revision = 1
@@ -169,7 +169,7 @@
 
 
 def test_an_unreadable_record_removes_its_replica_until_it_is_readable():
-    state = make()
+    state = make_state()
     state.apply_replicas_snapshot([Item("a", b"x", 1), Item("b", b"x", 2)], at=2, since=0.0)
     assert state.apply_replica_changes([Item("a", b"", 3)], 3, 0.0)
     assert set(state.replicas) == {"b"} and not state.removed_replicas
@@ -182,7 +182,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), min_size=1))
 def test_unreadable_records_never_affect_other_replicas(writes):
-    state = make()
+    state = make_state()
     state.apply_replicas_snapshot([Item("good", b"x", 1)], at=1, since=0.0)
     for revision, (key, is_bad) in enumerate(writes, start=2):
         state.apply_replica_changes([Item(key, b"" if is_bad else b"x", revision)], revision, 0.0)
@@ -195,7 +195,7 @@
     return Ok(Replica(f"{item.key}/{item.value.decode()}", "s", "10.0.0.1", 80, "z", 4))
 
 
-def started(*starts):
+def make_state_of_starts(*starts):
     state = CatalogState(read_catalog, read_start)
     for revision, start in enumerate(starts, start=1):
         state.apply_replica_changes([Item("m", start, revision)], revision, 0.0)
@@ -203,14 +203,14 @@
 
 
 def test_a_later_start_replaces_the_earlier_start():
-    state = started(b"1", b"2")
+    state = make_state_of_starts(b"1", b"2")
     assert set(state.replicas) == {"m/2"} and not state.removed_replicas
     assert [each.id for each in state.pop_restarted()] == ["m/1"]
     assert state.pop_restarted() == []
 
 
 def test_late_updates_of_an_earlier_start_never_replace_the_later_one():
-    state, behind = started(b"1", b"2"), started(b"1")
+    state, behind = make_state_of_starts(b"1", b"2"), make_state_of_starts(b"1")
     state.apply_replicas_delta(ReplicasDelta(0, 1, (Item("m", b"1", 1),), (), 0.1), 0.0)
     state.apply_replicas_snapshot([Item("m", b"1", 1)], at=1, since=0.0)
     assert set(state.replicas) == {"m/2"}
--- a/packages/chalkyoke/src/chalkyoke/configuration/state.py
+++ b/packages/chalkyoke/src/chalkyoke/configuration/state.py
@@ -45,7 +45,7 @@
         :raises InvariantBroken: if the revision in force has a different content.
         """
         if root.revision <= self.revision:
-            self._check_same(root)
+            self._check_same_content(root)
             return Ok(False)
 
         chunks: dict[str, bytes] = {}
@@ -76,7 +76,7 @@
         )
         return Ok(True)
 
-    def _check_same(self, root: Root) -> None:
+    def _check_same_content(self, root: Root) -> None:
         if root.revision == self.revision and root.revision > 0:
             require(
                 root.chunks == self.root.chunks,
--- a/packages/chalkyoke/src/chalkyoke/platform/documents.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/documents.py
@@ -138,9 +138,9 @@
     return Ok(
         Catalog(
             version=found.version,
-            routes=tuple(_route(each) for each in found.routes),
-            services={each.name: _service(each) for each in found.services},
-            teams={each.name: _team(each) for each in found.tenants or ()},
+            routes=tuple(_make_route(each) for each in found.routes),
+            services={each.name: _make_service(each) for each in found.services},
+            teams={each.name: _make_team(each) for each in found.tenants or ()},
             limits=RequestLimits(
                 found.limits.max_header_bytes,
                 found.limits.max_body_bytes,
@@ -228,7 +228,7 @@
     )
 
 
-def _route(each: _Route) -> Route:
+def _make_route(each: _Route) -> Route:
     targets = tuple(Target(part.service, part.weight) for part in each.split)
     return Route(
         name=each.name,
@@ -246,12 +246,12 @@
     )
 
 
-def _service(each: _Service) -> Service:
+def _make_service(each: _Service) -> Service:
     engine = each.engine or _Engine(slots=0)
     return Service(each.name, each.max_conns, engine.slots, engine.kv_capacity, engine.stride)
 
 
-def _team(each: _Tenant) -> Team:
+def _make_team(each: _Tenant) -> Team:
     return Team(
         name=each.name,
         keys=tuple(each.api_keys),
--- a/packages/chalkyoke/src/chalkyoke/platform/store.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/store.py
@@ -87,12 +87,12 @@
             page = _decode(answer, _Range)
             if isinstance(page, Unavailable):
                 return page
-            if after and _epoch(answer) != epoch:
+            if after and _read_epoch(answer) != epoch:
                 return Unavailable(
                     "store was restored between two pages", may_have_been_applied=False
                 )
-            at, epoch = at or page.at, _epoch(answer)
-            items += [_item(each) for each in page.items]
+            at, epoch = at or page.at, _read_epoch(answer)
+            items += [_make_item(each) for each in page.items]
             if not page.more or not page.items:
                 break
             after = page.items[-1].key
@@ -111,9 +111,9 @@
         if isinstance(found, Unavailable):
             return found
         changes = tuple(
-            Removed(each.key, each.rev) if each.gone else _item(each) for each in found.events
+            Removed(each.key, each.rev) if each.gone else _make_item(each) for each in found.events
         )
-        return Changes(changes, found.at, _epoch(answer))
+        return Changes(changes, found.at, _read_epoch(answer))
 
     async def write(
         self, key: str, value: bytes, *, lease: int = 0, expected: int | None = None
@@ -130,14 +130,14 @@
         if answer.status == NOT_FOUND:
             return LeaseGone()
         done = _decode(answer, _Revision)
-        return done if isinstance(done, Unavailable) else Written(done.rev, _epoch(answer))
+        return done if isinstance(done, Unavailable) else Written(done.rev, _read_epoch(answer))
 
     async def grant_lease(self, ttl_s: float) -> LeaseGranted | Unavailable:
         """Grant a lease with a time to live, in seconds."""
         answer = await self._call(
             b"POST", "/kv-lease", {"ttl_ms": int(ttl_s * 1000)}, CALL_TIMEOUT_S
         )
-        return _lease(answer)
+        return _make_lease(answer)
 
     async def renew_lease(self, lease: int) -> LeaseGranted | LeaseGone | Unavailable:
         """Renew a lease for its time to live."""
@@ -146,7 +146,7 @@
             return answer
         if answer.status == NOT_FOUND:
             return LeaseGone()
-        return _lease(answer, lease)
+        return _make_lease(answer, lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease; if the call fails, the lease expires by itself."""
@@ -164,11 +164,11 @@
         return answer
 
 
-def _item(each: _Item) -> Item:
+def _make_item(each: _Item) -> Item:
     return Item(each.key, base64.b64decode(each.value), each.rev)
 
 
-def _epoch(answer: CallAnswer | Unavailable) -> int:
+def _read_epoch(answer: CallAnswer | Unavailable) -> int:
     return (
         0
         if isinstance(answer, Unavailable)
@@ -176,11 +176,11 @@
     )
 
 
-def _lease(answer: CallAnswer | Unavailable, number: int = 0) -> LeaseGranted | Unavailable:
+def _make_lease(answer: CallAnswer | Unavailable, number: int = 0) -> LeaseGranted | Unavailable:
     read = _decode(answer, _Lease)
     if isinstance(read, Unavailable):
         return read
-    return LeaseGranted(read.lease or number, read.ttl_ms / 1000, _epoch(answer))
+    return LeaseGranted(read.lease or number, read.ttl_ms / 1000, _read_epoch(answer))
 
 
 def _decode(answer: CallAnswer | Unavailable, kind: type[T]) -> T | Unavailable:
