--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
@@ -6,7 +6,7 @@
 from chalkyoke.gateway.grants import Grants
 from chalkyoke.gateway.ports import RequestFields
 from chalkyoke.gateway.reception import Admission
-from chalkyoke.limits.client import NotYet, Permit
+from chalkyoke.limits.client import Permit, PermitDenied
 from chalkyoke.scheduling.messages import Acquire, Grant, Queued, Release, Withdraw
 from chalkyoke.scheduling.state import ReleaseOutcome
 
@@ -122,7 +122,7 @@
         grants = grants_before(Schedulers(answers_from=99.0), pooled=False)
         loop = asyncio.get_running_loop()
         for each in REPLICAS:
-            grants._balancer.seen(each.id).note_unreachable(loop.time())
+            grants._balancer.stats(each.id).record_unreachable(loop.time())
         first = await grants.acquire(admission(1, 5.0), 1, [])
         assert isinstance(first, Granted), "one try: the list may know better than this node"
         second = await grants.acquire(admission(2, 5.0), 2, ["m0", "m1"])
@@ -150,7 +150,7 @@
         if replica != "m1" or most_wait_s >= self.opens_in_s:
             limit = 3.8 if replica == "m1" else None
             return Permit(service, replica, limit, "k", self.opens_in_s if limit else 0.0)
-        return NotYet(self.opens_in_s)
+        return PermitDenied(self.opens_in_s)
 
     def give_back(self, permit):
         self.returned.append(permit)
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -61,7 +61,7 @@
         self.node, self.live_names = node, set(live)
         self.record = SimpleNamespace(process=node.process)
 
-    def audience(self):
+    def broadcast_targets(self):
         return [each for each in sorted(self.live_names) if each != self.node.name], []
 
     def domain_addresses(self):
@@ -94,11 +94,11 @@
             SimpleNamespace(replicas=fleet.replicas),
             Metrics(),
             lambda address, message: fleet.carry(self, address, "news", message),
-            lambda: self.balancer.limits_changed(),
+            lambda: self.balancer.clear_limits(),
             now,
         )
         self.permits = PermitClient(
-            known, self.keeper, self, self.announcements.take, self.random.random, now
+            known, self.keeper, self, self.announcements.apply_report, self.random.random, now
         )
         self.balancer = LocalBalancer(str(self.domain), self.random.random)
         self.grants = Grants(
@@ -255,8 +255,8 @@
         while True:
             await asyncio.sleep(1.0)
             for node in self.nodes.values():
-                node.announcements.keep_house()
-                node.permits.keep_house()
+                node.announcements.broadcast_pending()
+                node.permits.drop_expired()
 
     async def _ask(self, node):
         now = self.now()
@@ -279,7 +279,7 @@
         replica = self.limited[granted.replica.id]
         replica.arrivals.append((self.now(), node.process))
         await asyncio.sleep(WORK_S * self.random.expovariate(1.0))
-        node.balancer.seen(granted.replica.id).note_answer(self.now() - granted.started)
+        node.balancer.stats(granted.replica.id).record_answer(self.now() - granted.started)
         node.grants.release(admission, granted, ReleaseOutcome.DELIVERED)
         self.answers["served"] += 1
         self.answers["served", route.name] += 1
