--- a/packages/chalkyoke/src/chalkyoke/catalog/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/messages.py
@@ -99,13 +99,13 @@
     """One attribute that a replica has reported about itself in an answer.
 
     :param replica: id of the replica start.
-    :param name: name of the attribute; a node ignores names that it does not know.
+    :param word: name of the attribute; a node ignores names that it does not know.
     :param value: the reported value; None if the replica no longer reports the attribute.
     :param age_s: age of the report, in seconds.
     """
 
     replica: str
-    name: str
+    word: str
     value: float | None
     age_s: float
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -233,7 +233,7 @@
             process,
             expected_first_s=message.expected_first_s,
             for_trial=for_trial,
-            counted=message.counts_toward_limit,
+            counted=message.counted,
         )
 
     def _acquire_message(self, wanted: Wanted) -> Acquire:
@@ -257,10 +257,10 @@
             goal_s=(admission.due - now) or -1e-3,
             likely_output=fields.likely_output_tokens,
             gap_goal_s=admission.route.gap_goal_s,
-            answer_due_s=admission.ends - now,
+            whole_s=admission.ends - now,
             fingerprint=fingerprint(admission),
-            max_retry_after_s=(admission.ends - now) * COMES_BACK_SHARE,
-            tried_upstreams=tuple(wanted.avoid),
+            comes_back_s=(admission.ends - now) * COMES_BACK_SHARE,
+            tried=tuple(wanted.avoid),
         )
 
     # Messages of schedulers.
--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -85,7 +85,7 @@
         :param address: link address of the node.
         """
         now = self._now()
-        limits = [each for each in message.items if each.name == LIMIT_ATTRIBUTE]
+        limits = [each for each in message.items if each.word == LIMIT_ATTRIBUTE]
         new = [self._update(each.replica, each.value, now - each.age_s, address) for each in limits]
         if any(new):
             self._changed()
--- a/packages/chalkyoke/src/chalkyoke/limits/client.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/client.py
@@ -198,7 +198,7 @@
         waiting = self._pending.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
-        elif answer.granted:
+        elif answer.given:
             # The request has stopped waiting, so its permit goes back to the keeper.
             self._port.send(process, PermitReturned(answer.service, answer.replica))
 
@@ -239,6 +239,6 @@
 
 
 def _to_result(answer: PermitAnswer, permit: Permit) -> Permit | PermitDenied:
-    if not answer.granted:
+    if not answer.given:
         return PermitDenied(answer.wait_s)
     return msgspec.structs.replace(permit, wait_s=answer.wait_s)
--- a/packages/chalkyoke/src/chalkyoke/limits/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/messages.py
@@ -28,7 +28,7 @@
 class PermitAnswer(msgspec.Struct, frozen=True, array_like=True, tag="permit_answer"):
     """A keeper grants or refuses a permit.
 
-    :param granted: whether the request may be sent after ``wait_s``.
+    :param given: whether the request may be sent after ``wait_s``.
     :param wait_s: delay before the request may be sent, or, after a refusal, the time until a
         permit is available; in seconds.
     """
@@ -36,7 +36,7 @@
     number: int
     service: str
     replica: str
-    granted: bool
+    given: bool
     wait_s: float
 
 
--- a/packages/chalkyoke/src/chalkyoke/links/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/links/messages.py
@@ -52,4 +52,4 @@
     """
 
     count: int
-    interval_s: float
+    every_s: float
--- a/packages/chalkyoke/src/chalkyoke/links/peers.py
+++ b/packages/chalkyoke/src/chalkyoke/links/peers.py
@@ -242,7 +242,7 @@
         def take(message: msgspec.Struct) -> None:
             if isinstance(message, Received):
                 now = asyncio.get_running_loop().time()
-                outgoing.unconfirmed.note_confirmed(message.count, message.interval_s, now)
+                outgoing.unconfirmed.note_confirmed(message.count, message.every_s, now)
 
         try:
             await connection.deliver(take)
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -275,7 +275,7 @@
         if share is None or not share.order.name.matches(message.name):
             return
         if isinstance(message, RolloutReport):
-            share.update_elapsed(message.min_elapsed_s, self._now())
+            share.update_elapsed(message.least_s, self._now())
             self._leads.receive_report(process, share, message)
             return
         self._apply_announcement(share, message)
@@ -304,7 +304,7 @@
             "phase",
             service=message.service,
             phase=message.phase,
-            least_s=round(message.min_elapsed_s, 2),
+            least_s=round(message.least_s, 2),
             sent=share.exposure.sent,
             exposed=share.exposure.exposed,
         )
--- a/packages/chalkyoke/src/chalkyoke/quotas/client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/client.py
@@ -199,10 +199,8 @@
 
     def _apply_grant(self, request: ChargedRequest, grant: QuotaGrant) -> QuotaDecision:
         allowed = self._leases.accept_grant(grant, request.cost, self._now())
-        retry_s, lease_window = grant.retry_after_s, grant.lease_window
-        return QuotaDecision(
-            allowed, retry_s, "owner", grant.spent, grant.window_limit, lease_window
-        )
+        retry_s, lease_window = grant.retry_after_s, grant.lease_of
+        return QuotaDecision(allowed, retry_s, "owner", grant.spent, grant.most, lease_window)
 
     def refund(self, request: ChargedRequest, decision: QuotaDecision) -> bool:
         """Refund the cost of a request that has not run and never will.
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -107,8 +107,8 @@
         lease = self._lease_of_team(grant.team)
         if grant.amount <= 0:
             return
-        if lease.lease_window != grant.lease_window:
-            lease.balance, lease.lease_window = 0.0, grant.lease_window
+        if lease.lease_window != grant.lease_of:
+            lease.balance, lease.lease_window = 0.0, grant.lease_of
         lease.balance += grant.amount
         lease.expires_at = now + grant.valid_s
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/messages.py
@@ -16,7 +16,7 @@
     :param version: configuration version at the requesting node.
     :param rank: rank of the request's route; 0 is the most urgent, higher ranks are refused first.
     :param returned: unspent cost of earlier leases, which the node returns.
-    :param lease_window: number of the window that the returned cost was leased from; an owner
+    :param lease_of: number of the window that the returned cost was leased from; an owner
         accepts only cost of its own window.
     :param alone: cost that the node spent from its own share while no owner answered.
     """
@@ -28,7 +28,7 @@
     version: int
     rank: int = 0
     returned: float = 0.0
-    lease_window: int = 0
+    lease_of: int = 0
     alone: float = 0.0
 
 
@@ -38,9 +38,9 @@
     :param amount: leased cost; 0 is a refusal.
     :param retry_after_s: retry delay after a refusal, in seconds.
     :param valid_s: lifetime of the lease, in seconds.
-    :param lease_window: number of the window that the cost is leased from.
+    :param lease_of: number of the window that the cost is leased from.
     :param spent: after a refusal, the cost in the owner's window.
-    :param window_limit: after a refusal, the highest cost that the owner leases in a window.
+    :param most: after a refusal, the highest cost that the owner leases in a window.
     """
 
     team: str
@@ -48,9 +48,9 @@
     amount: float
     retry_after_s: float
     valid_s: float
-    lease_window: int = 0
+    lease_of: int = 0
     spent: float = 0.0
-    window_limit: float = 0.0
+    most: float = 0.0
 
 
 class QuotaSurvey(msgspec.Struct, frozen=True, array_like=True, tag="quota_survey"):
--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -180,7 +180,7 @@
         window = ledger.window
         ledger.apply_share(presence.share, presence.unnoticed_s, now)
         ledger.apply_limit(self.limits.window_limit(team.rate_per_s, team.burst))
-        if message.lease_window == window.number:
+        if message.lease_of == window.number:
             ledger.return_unspent(message.returned, now)
         if message.alone > 0 and ledger.surveyed:
             # While the window is assumed to be full, the assumption already covers this spending.
--- a/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
@@ -56,7 +56,7 @@
     order: int
     counts: tuple[EndCounts, ...]
     old_running: int
-    min_elapsed_s: float
+    least_s: float
     undone: bool = False
     epoch: int = 0
     digest: int = 0
@@ -81,7 +81,7 @@
     service: str
     order: int
     phase: str
-    min_elapsed_s: float
+    least_s: float
     relay: bool = False
     epoch: int = 0
     digest: int = 0
--- a/packages/chalkyoke/src/chalkyoke/rollouts/share.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/share.py
@@ -76,7 +76,7 @@
         before = self.phase(now)
         self._phase = Phase(message.phase)
         self._updated_at_s = now
-        self.update_elapsed(message.min_elapsed_s, now)
+        self.update_elapsed(message.least_s, now)
         if self._phase in FINAL_PHASES and self.ended is None:
             self.ended = self._phase
         return before is not self.phase(now)
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
@@ -235,7 +235,7 @@
 
     def take(self, name, leader, report):
         if leader.alive:
-            leader.share.update_elapsed(report.min_elapsed_s, self.now)
+            leader.share.update_elapsed(report.least_s, self.now)
             leader.lead.apply_report(name, report)
 
     def lead(self, node, reaches_store):
--- a/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
@@ -42,11 +42,11 @@
     waited_s: float
     goal_s: float = 0.0
     likely_output: int = 0
-    max_retry_after_s: float = 0.0
+    comes_back_s: float = 0.0
     gap_goal_s: float = 0.0
-    answer_due_s: float = 0.0
+    whole_s: float = 0.0
     fingerprint: int = 0
-    tried_upstreams: tuple[str, ...] = ()
+    tried: tuple[str, ...] = ()
 
 
 class Queued(msgspec.Struct, frozen=True, array_like=True, tag="queued"):
@@ -72,7 +72,7 @@
     address: str
     priority: int
     expected_first_s: float = 0.0
-    counts_toward_limit: bool = False
+    counted: bool = False
 
 
 class Shed(msgspec.Struct, frozen=True, array_like=True, tag="shed"):
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_declines.py
@@ -77,7 +77,7 @@
             granted.append(now)
             decline(scheduler, name, now)
             tried = ("u1",)
-            action = ask(scheduler, name, now, attempt=2, tried_upstreams=tried)
+            action = ask(scheduler, name, now, attempt=2, tried=tried)
             assert not isinstance(action, Grant) or action.upstream == "u2"
         if isinstance(action, Grant):
             attempt = action.attempt
@@ -92,7 +92,7 @@
     assert ask(scheduler, "x", 0.0).upstream == "u1"
     outcome = Release("x", 1, "p", ReleaseOutcome.DELIVERED, USAGE, rest_s=3.0)
     scheduler.release("z", outcome, 0.1)
-    refused = ask(scheduler, "y", 0.2, entry="e", goal_s=0.5, budget_s=4.0, max_retry_after_s=3.0)
+    refused = ask(scheduler, "y", 0.2, entry="e", goal_s=0.5, budget_s=4.0, comes_back_s=3.0)
     assert isinstance(refused, Shed)
     assert refused.reason is Reason.NO_UPSTREAM
     assert 2.9 <= refused.retry_after_s <= 3.4
@@ -114,7 +114,7 @@
     tries, told = [], []
     for number in range(500):
         now, name = number * 0.02, f"x{number}"
-        first = ask(scheduler, name, now, goal_s=1.0, budget_s=4.0, max_retry_after_s=2.0)
+        first = ask(scheduler, name, now, goal_s=1.0, budget_s=4.0, comes_back_s=2.0)
         actions = [first, *(out.action for out in scheduler.tick(now))]
         while actions:
             action = actions.pop()
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
@@ -71,9 +71,9 @@
         waited_s=0.0,
         goal_s=0.6,
         likely_output=20,
-        max_retry_after_s=4.0,
+        comes_back_s=4.0,
         gap_goal_s=0.3,
-        answer_due_s=15.0,
+        whole_s=15.0,
     )
     return message.__class__(**{**_asdict(message), **changes})
 
@@ -176,7 +176,7 @@
 def test_what_would_wait_beyond_its_goal_is_refused_at_once_and_let_in_when_it_comes_back():
     scheduler = make([upstream(FAST, slots=1)])
     ask(scheduler, name="holder", likely_output=400)
-    answers = crowd(scheduler, 6, now=0.1, max_retry_after_s=1.0)
+    answers = crowd(scheduler, 6, now=0.1, comes_back_s=1.0)
     shed = [each for actions in answers for each in actions if isinstance(each, Shed)]
     assert shed and all(0 < each.retry_after_s <= 1.0 for each in shed)
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
@@ -33,7 +33,7 @@
             outs += scheduler.release("z", done, now)
         for action in (each.action for each in outs):
             if isinstance(action, Grant):
-                granted.append((now, action.upstream, action.counts_toward_limit))
+                granted.append((now, action.upstream, action.counted))
                 ends.append((now + run_s, action.request))
             elif isinstance(action, Shed):
                 refused.append((now, action))
@@ -92,4 +92,4 @@
     assert not scheduler.acquire("h", "z", acquire("a", goal_s=2.0, budget_s=6.0), 0.0)
     (out,) = scheduler.set_allowances({}, 0.1)
     assert out.action.request == "a"
-    assert not out.action.counts_toward_limit
+    assert not out.action.counted
--- a/tests/shiftedload.py
+++ b/tests/shiftedload.py
@@ -270,9 +270,9 @@
             goal_s=kind.goal,
             likely_output=demand.given,
             gap_goal_s=GAP_S,
-            answer_due_s=ends - at,
+            whole_s=ends - at,
             fingerprint=int(demand.id[1:]) + 1,
-            max_retry_after_s=(ends - at) * COMES_BACK_SHARE,
+            comes_back_s=(ends - at) * COMES_BACK_SHARE,
         )
         self.take(self.scheduler.acquire("n", "z", message, at))
 
