--- a/packages/chalkyoke/src/chalkyoke/balancing/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/__init__.py
@@ -1,6 +1,6 @@
 """
 chalkyoke.balancing
 
-The choice of a replica by one node alone: for plain services, and for model engines while no pool
+Replica selection by a single node: for plain services, and for model engines while no pool
 scheduler answers or pool scheduling is switched off.
 """
--- a/packages/chalkyoke/src/chalkyoke/balancing/local.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/local.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.balancing.local
 
-Choose a replica by what this node alone has seen: load per slot, speed, failures, reachability.
+Choose a replica by this node's own statistics: load per slot, latency, failures, reachability.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -9,21 +9,22 @@
 from chalkyoke.balancing.state import ReplicaStats
 from chalkyoke.catalog.resources import Replica
 
-# What a recent failure costs, in requests for each slot.
+# Cost of a recent failure, in requests per slot.
 FAILURE_WEIGHT = 1.5
-# What a replica costs that other nodes suspect, in requests for each slot.
+# Cost of a replica that an observer announced as a suspect, in requests per slot.
 SUSPECT_COST = 1.5
-# One request in so many that may be repeated goes by no suspicion: it finds out whether the replica
-# answers again, at the cost of a second send.
+# Share of repeatable requests that ignore suspicions: they probe whether a suspect answers again,
+# at the cost of a second send.
 SUSPECT_PROBE_SHARE = 0.1
-# How long a suspicion holds without being told again, in seconds: two tellings.
+# Validity of a suspicion without a repeated broadcast, in seconds: two broadcast intervals.
 SUSPICION_VALID_S = 4.0
-# What another failure domain costs: traffic between domains is paid for.
+# Cost of a replica in another failure domain, in requests per slot: such traffic is charged.
 OTHER_DOMAIN_COST = 0.05
-# Costs that put a replica behind all that seem good, and behind those that are only busy.
+# Costs, in requests per slot, that rank an unreachable replica after all reachable ones and a
+# replica that the caller excludes after all others.
 UNREACHABLE_COST = 1_000.0
 EXCLUDED_COST = 10_000.0
-# Answers below this count alike, in seconds.
+# Latencies below this value are treated as equal, in seconds.
 LATENCY_FLOOR_S = 0.005
 
 
@@ -37,17 +38,17 @@
     def __init__(self, failure_domain: str, random: Callable[[], float]) -> None:
         self._domain = failure_domain
         self._random = random
-        self._seen: dict[str, ReplicaStats] = {}
+        self._stats: dict[str, ReplicaStats] = {}
         self._suspects: dict[str, tuple[frozenset[str], float]] = {}
 
     def stats(self, replica: str) -> ReplicaStats:
-        """Give what is known of a replica.
+        """Return the statistics of a replica; create them at first use.
 
         :rtype: Seen
         """
-        found = self._seen.get(replica)
+        found = self._stats.get(replica)
         if found is None:
-            found = self._seen[replica] = ReplicaStats()
+            found = self._stats[replica] = ReplicaStats()
         return found
 
     def choose(
@@ -59,29 +60,29 @@
         repeatable: bool = False,
         max_outstanding: Callable[[Replica], int] | None = None,
     ) -> Replica | None:
-        """Choose the replica with the least cost.
+        """Choose the replica with the lowest cost.
 
-        Replicas that seem bad come last and are never shut out: a pool must not go empty by
-        suspicion. Only while a better one has its bound in use, it is worth waiting for.
+        Replicas that seem bad rank last but are never excluded, so that suspicions cannot leave a
+        service without replicas. No bad replica is chosen while a good one has reached its bound:
+        the request waits for the good one.
 
-        :param avoid: replicas that were tried already.
+        :param avoid: replicas that were already tried.
         :param repeatable: whether a failure costs no more than another send.
-        :param max_outstanding: bound of this node's requests at a replica; none where nothing is
-            given.
-        :return: nothing where none should be sent to now.
+        :param max_outstanding: bound of this node's requests at a replica; no bound by default.
+        :return: the replica; None where the request should not be sent now.
         """
         trusts_all = repeatable and self._random() < SUSPECT_PROBE_SHARE
         best: tuple[float, Replica] | None = None
         good_is_full = False
         for replica in replicas:
-            seen = self.stats(replica.id)
-            if seen.rest_left_s(now) > 0 or seen.limited_until > now:
+            stats = self.stats(replica.id)
+            if stats.rest_left_s(now) > 0 or stats.limited_until > now:
                 continue
-            if max_outstanding is not None and seen.outstanding >= max_outstanding(replica):
-                is_good = now >= seen.unreachable_until and replica.id not in avoid
+            if max_outstanding is not None and stats.outstanding >= max_outstanding(replica):
+                is_good = now >= stats.unreachable_until and replica.id not in avoid
                 good_is_full = good_is_full or is_good
                 continue
-            cost = self._cost(replica, seen, now)
+            cost = self._cost(replica, stats, now)
             if not trusts_all and self._is_suspect(replica, now):
                 cost += SUSPECT_COST
             if replica.id in avoid:
@@ -93,36 +94,37 @@
         return best[1]
 
     def record_rest(self, replica: str, seconds: float, now: float) -> tuple[bool, float]:
-        """Learn that a replica wants nothing of this node for some time.
+        """Record that a replica asks this node to send nothing for some seconds.
 
-        :return: whether it is the first time to say so, rests that are over aside, and for how long
-            it gets nothing, in seconds.
+        :return: whether no earlier rest was in effect, and the remaining time in seconds.
         """
-        seen = self.stats(replica)
-        is_new = seen.rest_left_s(now) <= 0
-        return is_new, seen.record_rest(seconds, now)
+        stats = self.stats(replica)
+        is_new = stats.rest_left_s(now) <= 0
+        return is_new, stats.record_rest(seconds, now)
 
     def rest_left_s(self, replicas: Iterable[Replica], now: float) -> float:
-        """Tell for how much longer all replicas want nothing of this node, in seconds.
+        """Return the remaining time, in seconds, in which all replicas ask this node for rest.
 
-        :return: 0 where one may be sent to.
+        :return: 0 where a replica accepts requests, or there is none.
         """
         left = (self.stats(each.id).rest_left_s(now) for each in replicas)
         return min(left, default=0.0)
 
     def record_limited(self, replica: str, seconds: float, now: float) -> None:
-        """Learn that the limit that a replica names allows no request for some time."""
+        """Record that a replica's announced limit allows no request for some seconds."""
         self.stats(replica).limited_until = now + seconds
 
     def clear_limits(self) -> None:
-        """Forget what limits allow: a replica may take more now, or whatever comes."""
-        for seen in self._seen.values():
-            seen.limited_until = 0.0
+        """Clear the recorded limits after a change: replicas may accept more, or have no limit."""
+        for stats in self._stats.values():
+            stats.limited_until = 0.0
 
     def first_limit_to_open(self, replicas: Iterable[Replica], now: float) -> Replica | None:
-        """Find the replica whose limit allows a request first, where limits hold up all.
+        """Find the replica whose limit allows a request first, if limits block all replicas.
 
-        Those that want rest are left out.
+        Replicas that asked for rest are left out.
+
+        :return: the replica; None where one is not limited or all are at rest.
         """
         awake = [each for each in replicas if self.stats(each.id).rest_left_s(now) <= 0]
         if any(self.stats(each.id).limited_until <= now for each in awake):
@@ -132,9 +134,9 @@
     def are_all_unreachable(
         self, replicas: Iterable[Replica], now: float, *, tried: Collection[str]
     ) -> bool:
-        """Tell whether a request has tried all replicas and none can be connected to.
+        """Tell whether a request has tried all replicas and all are in connection backoff.
 
-        Another try at once would only wait for one more time-out.
+        Another immediate attempt would only wait for one more time-out.
 
         :param tried: replicas that the request has tried.
         """
@@ -143,10 +145,10 @@
         )
 
     def set_suspects(self, service: str, replicas: Iterable[str], now: float) -> bool:
-        """Take the replicas of a service that fail far more than others, as all nodes see it.
+        """Replace the suspects of a service with those that its observer announced.
 
         :param replicas: all suspects of the service.
-        :return: whether they are others than before.
+        :return: whether the suspects have changed.
         """
         before, _ = self._suspects.get(service, (frozenset(), 0.0))
         after = frozenset(replicas)
@@ -158,18 +160,21 @@
         return now < until and replica.id in suspects
 
     def prune(self, kept: Collection[str], now: float) -> None:
-        """Drop what is known of replicas that are gone; a record that lapses may come back."""
-        for name in [each for each in self._seen if each not in kept]:
-            seen = self._seen[name]
-            if seen.outstanding == 0 and seen.rest_left_s(now) <= 0:
-                del self._seen[name]
-
-    def _cost(self, replica: Replica, seen: ReplicaStats, now: float) -> float:
-        load = (seen.load(now) + 1.0) / max(1, replica.slots)
-        speed = max(LATENCY_FLOOR_S, seen.latency_s) if seen.latency_s else LATENCY_FLOOR_S
+        """Delete the statistics of removed replicas.
+
+        Those with requests in flight or a rest are kept, since a lapsed record may reappear.
+        """
+        for name in [each for each in self._stats if each not in kept]:
+            stats = self._stats[name]
+            if stats.outstanding == 0 and stats.rest_left_s(now) <= 0:
+                del self._stats[name]
+
+    def _cost(self, replica: Replica, stats: ReplicaStats, now: float) -> float:
+        load = (stats.load(now) + 1.0) / max(1, replica.slots)
+        speed = max(LATENCY_FLOOR_S, stats.latency_s) if stats.latency_s else LATENCY_FLOOR_S
         cost = load * (1.0 + speed * 4.0)
-        cost += FAILURE_WEIGHT * seen.recent_failures(now)
-        if now < seen.unreachable_until:
+        cost += FAILURE_WEIGHT * stats.recent_failures(now)
+        if now < stats.unreachable_until:
             cost += UNREACHABLE_COST
         if replica.failure_domain != self._domain:
             cost += OTHER_DOMAIN_COST
--- a/packages/chalkyoke/src/chalkyoke/balancing/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/messages.py
@@ -1,14 +1,14 @@
 """
 chalkyoke.balancing.messages
 
-What nodes tell each other of replicas that answer badly.
+The messages that nodes exchange about failing replicas.
 """
 
 import msgspec
 
 
 class RouteCount(msgspec.Struct, frozen=True, array_like=True):
-    """How requests of a route ended at one replica, in numbers since the last report."""
+    """Count the answers and failures of one route at one replica since the last report."""
 
     replica: str
     route: str
@@ -17,17 +17,18 @@
 
 
 class ReplicaReport(msgspec.Struct, frozen=True, array_like=True, tag="replica_report"):
-    """A node tells the observer of a service what its requests met."""
+    """Report a node's request outcomes to the observer of a service."""
 
     service: str
     counts: tuple[RouteCount, ...]
 
 
 class SuspectReplicas(msgspec.Struct, frozen=True, array_like=True, tag="suspects"):
-    """The observer of a service names the replicas that fail far more than others.
+    """Announce the replicas of a service that fail far more often than the others.
 
-    :param suspects: ids of all of them.
-    :param relay: whether the receiver tells the other nodes of its failure domain.
+    :param suspects: ids of all current suspects.
+    :param relay: whether the receiver forwards the message to the other nodes of its failure
+        domain.
     """
 
     service: str
--- a/packages/chalkyoke/src/chalkyoke/balancing/observer.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/observer.py
@@ -1,9 +1,10 @@
 """
 chalkyoke.balancing.observer
 
-Find the replicas of one service that fail far more often than their requests do elsewhere, from
-what all nodes report. A node among 195 meets a replica once in 17 s, and would find each bad one
-out alone, at a caller's cost. Source of the statistic: Page, "Continuous Inspection Schemes", 1954.
+Detect replicas of a service that fail far more often than others, from the reports of all nodes. In
+a fleet of 195 nodes, one node uses a given replica once in 17 s, so each node would detect a bad
+replica on its own only at the expense of a caller. Source of the statistic: Page, "Continuous
+Inspection Schemes", 1954.
 """
 
 import math
@@ -13,27 +14,27 @@
 
 from chalkyoke.balancing.messages import RouteCount
 
-# The share of its requests that a bad replica is taken to fail.
+# The assumed share of requests that a bad replica fails.
 BAD_REPLICA_FAILURE_SHARE = 0.4
-# A replica is a suspect from this sum of log likelihood ratios on: two failures of a route that
-# hardly ever fails (4 each), or far more of one that fails one request in seven (1 each).
+# The sum of log likelihood ratios from which a replica is a suspect: two failures of a route that
+# hardly ever fails (4 each), or many more of a route that fails one request in seven (1 each).
 MIN_SUSPECT_EVIDENCE = 7.0
-# The sum counts up to this, so that some answers clear a replica that was bad for long.
+# Upper bound of the sum, so that a few answers clear a replica after a long period of failures.
 MAX_EVIDENCE = 12.0
-# A route is taken to have failed one of so many requests before anything is known of it.
+# Prior of a route's failure share: one failure in this many requests.
 PRIOR_REQUESTS = 20.0
-# What is known of a route counts half after so many seconds: a release may change what it does.
+# Half-life of a route's counts, in seconds: a new release may change the failure share.
 ROUTE_HALF_LIFE_S = 15.0
-# How long a suspect stays one without further failures, in seconds. Requests that may be repeated
-# try it meanwhile.
+# How long a replica stays a suspect without further failures, in seconds. Meanwhile repeatable
+# requests probe the replica.
 SUSPECT_KEPT_S = 4.0
-# The part of a service's replicas that are suspects at most: where most fail, the reason lies
-# elsewhere, and the rest would bear everything.
+# Maximum share of a service's replicas that are suspects: where most replicas fail, the cause lies
+# elsewhere, and the others would get all the load.
 MAX_SUSPECT_SHARE = 1 / 3
 
 
-class _RouteEnds(msgspec.Struct):
-    """How requests of one route ended at all replicas, the older the less."""
+class _RouteCounts(msgspec.Struct):
+    """Count the outcomes of one route over all replicas, with exponential decay."""
 
     at: float
     requests: float = 0.0
@@ -51,27 +52,28 @@
 
 
 class _Evidence(msgspec.Struct):
-    """How much speaks for a replica being bad, and when it failed last."""
+    """Hold the evidence that a replica is bad, and the time of its last failure."""
 
     weight: float = 0.0
     failed_at: float = 0.0
 
 
 class Observer:
-    """Watch the replicas of one service."""
+    """Maintain the evidence against the replicas of one service."""
 
     def __init__(self) -> None:
-        self._routes: dict[str, _RouteEnds] = {}
+        self._routes: dict[str, _RouteCounts] = {}
         self._evidence: dict[str, _Evidence] = {}
 
     def add_counts(self, counts: Iterable[RouteCount], now: float) -> None:
-        """Take a node's report."""
+        """Add the counts of one node's report."""
         for each in counts:
-            route = self._routes.setdefault(each.route, _RouteEnds(now))
+            route = self._routes.setdefault(each.route, _RouteCounts(now))
             share = route.failing_share
             route.add_outcomes(each.answers + each.failures, each.failures, now)
             if share >= BAD_REPLICA_FAILURE_SHARE:
-                # Who fails as often as the others is not bad.
+                # The whole route fails as often as a bad replica would, so its failures are no
+                # evidence against this replica.
                 continue
             evidence = self._evidence.setdefault(each.replica, _Evidence())
             evidence.weight += each.answers * math.log(
@@ -83,9 +85,9 @@
                 evidence.failed_at = now
 
     def suspects(self, replicas: int, now: float) -> tuple[str, ...]:
-        """Name the suspects, the worst first.
+        """List the suspects, the one with the most evidence first.
 
-        :param replicas: how many the service has.
+        :param replicas: number of replicas of the service.
         """
         for replica, each in list(self._evidence.items()):
             if now - each.failed_at > SUSPECT_KEPT_S:
@@ -98,7 +100,7 @@
         return tuple(found[:most])
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing is known any more."""
+        """Tell whether there is no evidence and no recent count of any route."""
         return not self._evidence and all(
             now - each.at > ROUTE_HALF_LIFE_S for each in self._routes.values()
         )
--- a/packages/chalkyoke/src/chalkyoke/balancing/state.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/state.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.balancing.state
 
-What one node sees of a replica.
+The statistics that one node keeps about a replica.
 """
 
 import math
@@ -10,27 +10,28 @@
 
 from chalkyoke.rests import bounded
 
-# How fast what others are said to have at a replica is forgotten, in seconds: it changes with each
+# Decay time of the load that other nodes have at a replica, in seconds: the load changes with each
 # answer.
 LOAD_MEMORY_S = 1.0
-# How fast failures are forgiven, in seconds.
+# Decay time of failures, in seconds.
 FAILURE_MEMORY_S = 4.0
-# The weight of one answer in the smoothed latency: five answers.
+# Weight of one answer in the smoothed latency, as a share: an average over about five answers.
 LATENCY_GAIN = 0.2
-# How long a replica that could not be connected to is put last, in seconds: at first, and at most.
+# Initial and maximum backoff of a replica after a failed connection, in seconds.
 MIN_UNREACHABLE_S = 0.5
 MAX_UNREACHABLE_S = 4.0
 
 
 class ReplicaStats(msgspec.Struct):
-    """One replica, as seen from here.
-
-    :ivar outstanding: requests that this node has at it now.
-    :ivar others: requests of other nodes, as it told last; it ages.
-    :ivar failures: recent failures; each fades within some seconds.
-    :ivar latency_s: smoothed time of an answer; 0 until one was seen.
-    :ivar resting_until: it wants nothing of this node before that.
-    :ivar limited_until: the limit that it names allows no request of this node before that.
+    """Hold this node's statistics of one replica.
+
+    :ivar outstanding: requests that this node has in flight at the replica.
+    :ivar other_load: requests of other nodes according to the last report; the value decays.
+    :ivar failures: weighted recent failures; each decays within some seconds.
+    :ivar latency_s: smoothed answer time; 0 before the first answer.
+    :ivar connect_failures: consecutive failed connections.
+    :ivar resting_until: end of the period in which the replica asked this node to send nothing.
+    :ivar limited_until: time from which the replica's announced limit allows a request.
     """
 
     outstanding: int = 0
@@ -45,12 +46,12 @@
     limited_until: float = 0.0
 
     def record_load(self, running: int, waiting: int, now: float) -> None:
-        """Take what the replica told of its load."""
+        """Record the load that the replica reported, without this node's own requests."""
         self.other_load = max(0.0, running + waiting - self.outstanding)
         self.other_load_at = now
 
     def load(self, now: float) -> float:
-        """Estimate the requests at the replica.
+        """Estimate the number of requests at the replica.
 
         :rtype: float
         """
@@ -59,38 +60,38 @@
         )
 
     def recent_failures(self, now: float) -> float:
-        """Count recent failures, faded by their age.
+        """Return the weighted number of failures, decayed to ``now``.
 
         :rtype: float
         """
         return self.failures * math.exp((self.failures_at - now) / FAILURE_MEMORY_S)
 
     def record_failure(self, weight: float, now: float) -> None:
-        """Count a failure."""
+        """Add a failure with a weight."""
         self.failures = self.recent_failures(now) + weight
         self.failures_at = now
 
     def record_answer(self, seconds: float) -> None:
-        """Learn from an answer."""
+        """Update the latency from an answer, in seconds, and reset the connection backoff."""
         self.connect_failures = 0
         self.unreachable_until = 0.0
         gain = LATENCY_GAIN if self.latency_s else 1.0
         self.latency_s += gain * (seconds - self.latency_s)
 
     def record_unreachable(self, now: float) -> None:
-        """Learn that no connection could be opened."""
+        """Record a failed connection and double the backoff."""
         pause = min(MAX_UNREACHABLE_S, MIN_UNREACHABLE_S * 2**self.connect_failures)
         self.connect_failures += 1
         self.unreachable_until = now + pause
 
     def record_rest(self, seconds: float, now: float) -> float:
-        """Learn that the replica wants nothing of this node for some time.
+        """Record that the replica asks this node to send nothing for some seconds.
 
-        :return: for how long it gets nothing, in seconds.
+        :return: remaining time of the rest in seconds, within the general bound.
         """
         self.resting_until = max(self.resting_until, now + bounded(seconds))
         return self.rest_left_s(now)
 
     def rest_left_s(self, now: float) -> float:
-        """Tell for how much longer the replica wants nothing of this node, in seconds."""
+        """Return the remaining time, in seconds, in which this node must send nothing."""
         return max(0.0, self.resting_until - now)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
@@ -1,47 +1,49 @@
 """
 chalkyoke.scheduling.estimates
 
-What is learned from finished and running work: engine speeds and output lengths. Model cards are
-only the first guess.
+Estimate engine speeds and output lengths from finished and running requests. Configured speeds are
+only the initial estimates.
 """
 
 import math
 
 import msgspec
 
-# The weight of a sample of so many tokens in the learned speed of a stream, as a part of one.
+# Weight of a full sample in the learned decode speed, as a share, and the size of a full sample in
+# tokens; smaller samples weigh proportionally less.
 SPEED_GAIN = 0.4
 FULL_SAMPLE_TOKENS = 40.0
-# The weight of a first output in the learned speed of reading prompts, as a part of one, and that
-# of the first such sample.
+# Weight of a first output in the learned prefill speed, as a share, and the weight of the first
+# such sample.
 PREFILL_GAIN = 0.15
 FIRST_PREFILL_GAIN = 0.6
-# How far one sample moves a speed, and how far it may go from the first guess, as factors.
+# Bounds, as factors, of the change by one sample and of the deviation from the initial estimate.
 MAX_STEP_FACTOR = 3.0
 MIN_FACTOR = 0.05
 MAX_FACTOR = 200.0
-# A first output that takes so many times what was expected tells of something else than speed.
+# A stream without output counts as slower once its silence exceeds the predicted time of a token by
+# this factor.
 STALL_FACTOR = 4.0
 
-# Parts of all requests that have no more output than is reckoned with.
+# Quantiles of the output length that estimates use: the share of requests with no more output.
 MEDIAN_QUANTILE = 0.5
 OPTIMISTIC_QUANTILE = 0.15
 DEFAULT_CAUTION_QUANTILE = 0.65
-# How far a tracked quantile moves with a sample, in logarithms: at first, and at least.
+# Step of a tracked quantile per sample, in natural logarithms: initial and minimum.
 QUANTILE_STEP = 0.35
 QUANTILE_MIN_STEP = 0.05
-# Samples from which on a team's own outputs are believed, in number.
+# Number of samples from which a team's own output lengths are used.
 MIN_LENGTH_SAMPLES = 8
 DEFAULT_OUTPUT_TOKENS = 128.0
 
-# The part of requests that have no more output than what is reckoned with for the end of a stream.
+# Quantile of the output length that is used to predict the end of a stream with a caller's hint.
 HINT_QUANTILE = 0.95
-# What outputs come to at that part of all, as a multiple of their callers' estimates, until it is
-# learned: two standard deviations of a logarithmic spread of a half.
+# Initial output length at that quantile, as a multiple of the caller's hint: two standard
+# deviations of a logarithmic spread of a half.
 INITIAL_HINT_FACTOR = 2.5
-# How many samples that first guess is worth.
+# Number of samples that the initial estimate counts as.
 HINT_PRIOR_SAMPLES = 50
-# Ratios are tracked in hundredths: the tracker's least value is 1.
+# Ratios are tracked in hundredths, because the tracker's minimum value is 1.
 HINT_SCALE = 100.0
 
 
@@ -50,19 +52,19 @@
 
 
 class SpeedModel:
-    """Predict how long one upstream takes, and correct the prediction by what it does.
+    """Predict the times of one upstream and correct the predictions by observed times.
 
     The time of one output token is linear in the number of streams (continuous batching), times a
     learned factor; the time of one prompt token is a constant times another learned factor. Both
     factors are exponentially weighted in the logarithm, so that five times slower and five times
     faster weigh the same.
 
-    :param prefill_tokens_per_s: first guess.
-    :param decode_tokens_per_s: first guess for a single stream.
-    :param batch_slowdown: how many times slower one stream is when all slots run.
-    :param slots: streams at most.
-    :param setup_s: first guess of what a request takes besides its tokens, in seconds.
-    :param attention_s_per_pair: first guess of what each pair of prompt tokens takes, in seconds.
+    :param prefill_tokens_per_s: initial estimate.
+    :param decode_tokens_per_s: initial estimate for a single stream.
+    :param batch_slowdown: how many times slower one stream is when all slots are in use.
+    :param slots: maximum number of concurrent streams.
+    :param setup_s: initial estimate of the time of a request besides its tokens, in seconds.
+    :param attention_s_per_pair: initial estimate of the time per pair of prompt tokens, in seconds.
     """
 
     __slots__ = (
@@ -97,7 +99,7 @@
     def token_time(self, streams: int) -> float:
         """Predict the time between two output tokens of one stream.
 
-        :param streams: how many streams run, this one included.
+        :param streams: number of concurrent streams, this one included.
         :return: seconds.
         """
         return self._base * (1.0 + self._slope * max(0, streams - 1)) * self.decode_factor
@@ -113,7 +115,7 @@
         """Predict the time until the first output token.
 
         :param tokens: prompt tokens to read.
-        :param before: prompt tokens of other requests that are read first.
+        :param before: prompt tokens of other requests that are read earlier.
         :return: seconds.
         """
         own = self.read_time(tokens, tokens)
@@ -122,7 +124,7 @@
     def read_time(self, tokens: float, context: float) -> float:
         """Predict the time to read prompt tokens against a context.
 
-        :param context: prompt tokens that each of them attends to, at most.
+        :param context: maximum number of prompt tokens that each of them attends to.
         :return: seconds.
         """
         pairs = self._attention * tokens * context * self.prefill_factor
@@ -130,11 +132,11 @@
 
     @property
     def samples(self) -> int:
-        """How many first outputs it has learned from."""
+        """The number of first outputs that the model has learned from."""
         return self._firsts
 
     def adopt_factors(self, prefill_factor: float, decode_factor: float, samples: int) -> None:
-        """Take what another one has learned, if that is more."""
+        """Replace the learned factors if the given ones have more samples."""
         if samples <= self._firsts:
             return
         self._firsts = samples
@@ -142,18 +144,18 @@
         self.decode_factor = _clamp(decode_factor, MIN_FACTOR, MAX_FACTOR)
 
     def learn_tokens(self, tokens: int, seconds: float, streams: int) -> None:
-        """Learn from output tokens that came.
+        """Update the decode speed from the output of one interval.
 
-        :param tokens: how many came.
-        :param seconds: in how long.
-        :param streams: how many streams ran meanwhile.
+        :param tokens: number of output tokens.
+        :param seconds: decode time of these tokens.
+        :param streams: number of concurrent streams meanwhile.
         """
         if seconds <= 0:
             return
 
         predicted = self.token_time(streams)
         if tokens == 0:
-            # A stall tells only that a token takes at least so long.
+            # A stall only gives a lower bound for the time of a token.
             if seconds > STALL_FACTOR * predicted:
                 self._scale_decode(min(seconds / predicted, MAX_STEP_FACTOR), SPEED_GAIN)
             return
@@ -162,10 +164,10 @@
         self._scale_decode(seconds / tokens / predicted, weight)
 
     def learn_first(self, expected_s: float, observed_s: float) -> None:
-        """Learn from the time to the first token.
+        """Update the prefill speed from the time to a first token.
 
-        :param expected_s: what was predicted when it was granted.
-        :param observed_s: what it took.
+        :param expected_s: time predicted at the grant, in seconds.
+        :param observed_s: observed time, in seconds.
         """
         if expected_s <= 0 or observed_s <= 0:
             return
@@ -181,9 +183,9 @@
 
 
 class QuantileTracker(msgspec.Struct):
-    """Follow one quantile with a single number.
+    """Estimate one quantile of a stream of samples with a single number.
 
-    A step up on each larger sample and a step down on each smaller one, in the logarithm, with a
+    The logarithm of the value steps up on each larger sample and down on each smaller one, by a
     step that shrinks. Source: Ma, Muthukrishnan and Sandler, "Frugal Streaming for Estimating
     Quantiles", 2013, here with a proportional step.
     """
@@ -193,7 +195,7 @@
     samples: int = 0
 
     def learn(self, sample: float) -> None:
-        """Move towards one more sample."""
+        """Move the estimate one step toward a sample; its value never falls below 1."""
         self.samples += 1
         step = max(QUANTILE_MIN_STEP, QUANTILE_STEP / math.sqrt(self.samples))
         up = sample > self.value
@@ -202,14 +204,14 @@
 
 
 class OutputEstimate(msgspec.Struct, frozen=True):
-    """How many output tokens one request may have, by quantiles."""
+    """Estimate the output tokens of one request by quantiles."""
 
     median: float
     optimistic: float
     cautious: float
 
     def capped(self, most: int) -> "OutputEstimate":
-        """Keep it within a bound, in tokens.
+        """Limit all quantiles to a maximum number of tokens.
 
         :rtype: OutputEstimate
         """
@@ -219,7 +221,7 @@
 
 
 class OutputModel:
-    """Predict output lengths from what routes and teams have asked for before.
+    """Predict output lengths from earlier outputs of the same route and team.
 
     :param caution: quantile of the cautious estimate.
     """
@@ -245,7 +247,7 @@
         return OutputEstimate(guess, 1.0 + guess / 4, guess).capped(max_output)
 
     def learn(self, route: str, team: str, output_tokens: int) -> None:
-        """Learn from one finished request."""
+        """Update the trackers of the team and of the route from a finished request."""
         for key in ((route, team), (route, "")):
             trackers = self._trackers.get(key)
             if trackers is None:
@@ -257,31 +259,32 @@
 
 
 class HintModel:
-    """Tell how far callers' own estimates of their output are off, by route.
+    """Learn the error of the callers' own output estimates (hints), by route.
 
-    They are right at the median. How far the longer outputs go beyond is learned: a request is
-    placed where it ends in time even so.
+    Hints are accurate at the median. The model learns how far longer outputs exceed them, so that
+    a request is placed where it ends in time even with a longer output.
     """
 
     def __init__(self) -> None:
         self._trackers: dict[str, QuantileTracker] = {}
 
     def estimate(self, route: str, hint: int) -> OutputEstimate:
-        """Estimate the output of a request by its caller's estimate.
+        """Estimate the output of a request from its caller's hint.
 
-        :param hint: in tokens.
+        :param hint: the caller's estimate in tokens.
         :rtype: OutputEstimate
         """
         factor = self._tracker(route).value / HINT_SCALE
         return OutputEstimate(hint, hint / INITIAL_HINT_FACTOR, hint * max(1.0, factor))
 
     def learn(self, route: str, hint: int, output_tokens: int, *, whole: bool) -> None:
-        """Learn from a request that has ended.
+        """Update the error from a request that has ended.
 
-        One that was cut off had at least so many tokens: that tells something only beyond what
-        was expected, and is left out elsewhere. Without those, the longest would never be learned.
+        The output of a cut request is only a lower bound. It counts if it exceeds the tracked
+        quantile and is ignored otherwise; without such samples the longest outputs would never be
+        learned.
 
-        :param whole: whether it ran to its end.
+        :param whole: whether the request ran to its end.
         """
         tracker = self._tracker(route)
         ratio = HINT_SCALE * output_tokens / hint
--- a/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.scheduling.forecast
 
-Which waiting requests would be late, and which of them are given up. The queue is played forward
-over the slots in the order in which it would be granted (list scheduling, Graham 1969).
+Predict which waiting requests would be late and which of them may be shed. The queue is simulated
+over the slots in grant order (list scheduling, Graham 1969).
 """
 
 import heapq
@@ -16,15 +16,15 @@
 from chalkyoke.scheduling.shortlist import MAX_COMPARED, MAX_FREE_COMPARED
 from chalkyoke.scheduling.state import Upstream, WaitingRequest
 
-# Waiting requests that a forecast plays forward, in number; what is behind them is late anyway.
+# Number of waiting requests that a forecast simulates; those behind them are late anyway.
 MAX_FORECAST_REQUESTS = 4000
 
 
 class Late(msgspec.Struct, frozen=True):
-    """A waiting request that is predicted to miss its deadline.
+    """Describe a waiting request that is predicted to miss its goal or deadline.
 
-    :param late_s: by how much, in seconds.
-    :param hopeless: whether nobody would wait for it any more.
+    :param late_s: predicted lateness in seconds.
+    :param hopeless: whether the caller would be gone by then.
     """
 
     item: WaitingRequest
@@ -33,9 +33,9 @@
 
 
 class SlotForecast:
-    """When the slots of the upstreams get free, as predicted now.
+    """Simulate when the slots of upstreams become free.
 
-    :param upstreams: the upstreams that take new work.
+    :param upstreams: upstreams that accept new requests.
     :param now: seconds on the scheduler's clock.
     """
 
@@ -54,9 +54,9 @@
                 self._slots[upstream.spec.id] = slots
 
     def soonest_start(self, upstreams: Iterable[Upstream]) -> tuple[Upstream, float] | None:
-        """Find the upstream whose next slot gets free first.
+        """Find the upstream whose next slot becomes free first.
 
-        :return: the upstream and the moment, or nothing where none has slots.
+        :return: the upstream and the time on the scheduler's clock; None where none has slots.
         """
         best: tuple[Upstream, float] | None = None
         limited = self._limited_until
@@ -70,9 +70,10 @@
         return best
 
     def next_start(self, upstream: Upstream) -> float:
-        """Give the moment at which an upstream's next slot gets free; infinite where it has none.
+        """Return when an upstream can start its next request; infinite where it has no slots.
 
-        One that names a limit starts nothing before that allows it, whatever its slots.
+        An upstream with an announced limit starts nothing before the limit allows it, even with
+        free slots.
 
         :rtype: float
         """
@@ -82,7 +83,7 @@
         return max(slots[0], self._limited_until.get(upstream.spec.id, slots[0]))
 
     def soonest_candidates(self, upstreams: list[Upstream]) -> list[Upstream]:
-        """Choose the upstreams of a large pool whose next slots get free first.
+        """Return the upstreams with the earliest starts; all of them in a small pool.
 
         :rtype: list[Upstream]
         """
@@ -91,7 +92,7 @@
         return heapq.nsmallest(MAX_FREE_COMPARED, upstreams, key=self.next_start)
 
     def occupy(self, upstream: Upstream, seconds: float) -> None:
-        """Use the next slot of an upstream for some time."""
+        """Occupy the next slot of an upstream for a duration in seconds."""
         start = self.next_start(upstream)
         heapq.heapreplace(self._slots[upstream.spec.id], start + seconds)
         if upstream.allowance is not None:
@@ -105,10 +106,10 @@
     forecast: SlotForecast,
     now: float,
 ) -> list[Late]:
-    """Play the queue forward and list what would be late.
+    """Simulate the queue and list the requests that would be late.
 
-    A late request is granted after all of its tier that would be in time, so it is played after
-    them too, and they are not blamed for it.
+    A late request is granted after all timely requests of its tier, so the simulation also places
+    it after them, and it does not make them late.
 
     :param ordered: waiting requests, highest tier first, in the order of their grants.
     :param eligible: upstreams by route.
@@ -118,15 +119,15 @@
     late: list[Late] = []
     bounded = itertools.islice(ordered, MAX_FORECAST_REQUESTS)
     for _, tier in itertools.groupby(bounded, key=lambda item: item.rank):
-        behind = [item for item in tier if not _plays_in_time(item, eligible, forecast, now)]
-        late += [_play_late(item, eligible, forecast, now) for item in behind]
+        late_items = [item for item in tier if not _simulate_timely(item, eligible, forecast, now)]
+        late += [_simulate_late(item, eligible, forecast, now) for item in late_items]
     return late
 
 
-def _plays_in_time(
+def _simulate_timely(
     item: WaitingRequest, eligible: dict[str, list[Upstream]], forecast: SlotForecast, now: float
 ) -> bool:
-    """Play a request where it would be in time, and tell whether it would."""
+    """Occupy a slot for a request if it would be in time; return whether it would."""
     upstreams = eligible[item.route]
     found = forecast.soonest_start(upstreams)
     if found is None:
@@ -143,10 +144,10 @@
     return False
 
 
-def _play_late(
+def _simulate_late(
     item: WaitingRequest, eligible: dict[str, list[Upstream]], forecast: SlotForecast, now: float
 ) -> Late:
-    """Play a request that would be late; one that nobody would wait for takes no slot."""
+    """Simulate a late request; a hopeless one occupies no slot."""
     upstream, start, prediction = _earliest_finish(item, eligible[item.route], forecast, now)
     hopeless = not item.has_goal or start + prediction.first_s > item.deadline
     if not hopeless:
@@ -169,7 +170,7 @@
 
 
 def _could_start(item: WaitingRequest, upstream: Upstream, now: float) -> bool:
-    """Tell whether a free slot is there and the deadline can be met with luck."""
+    """Tell whether a slot is free and the optimistic prediction meets the deadline."""
     prediction = predict(item, upstream, 0, upstream.occupied(now) + 1, now)
     optimistic = prediction.first_s if item.has_goal else prediction.optimistic_s
     return upstream.has_slot(now) and now + optimistic <= item.deadline
@@ -178,14 +179,14 @@
 def may_shed(
     late: list[Late], waiting: Iterable[WaitingRequest], overlaps: Container[tuple[str, str]]
 ) -> list[Late]:
-    """Keep, of the late requests, those that may be given up: strictly from the lowest tier up.
+    """Select the late requests that may be shed, strictly from the lowest tier up.
 
-    A request may go only when no lower tier has anything left waiting for the same upstreams.
+    A request may be shed only if no request of a lower tier remains waiting for the same upstreams.
 
-    :param late: what is predicted to be late; what somebody would still wait for is kept.
+    :param late: requests predicted to be late; those that are not hopeless are kept.
     :param waiting: all waiting requests.
     :param overlaps: pairs of routes that share an upstream.
-    :return: what may be shed, lowest tier first.
+    :return: requests that may be shed, lowest tier first.
     """
     late = [entry for entry in late if entry.hopeless]
     gone = {id(entry.item) for entry in late}
--- a/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.scheduling.granting
 
-Which waiting requests of a pool get which upstreams now.
+Assign waiting requests of a pool to upstreams with free slots.
 """
 
 import math
@@ -24,28 +24,28 @@
 from chalkyoke.scheduling.shortlist import Openings
 from chalkyoke.scheduling.state import RunningRequest, WaitingRequest
 
-# Requests of one tier that are looked at closely in one decision, in number: it bounds its time.
+# Number of requests of one tier that one decision examines; it bounds the time of the decision.
 MAX_EXAMINED_REQUESTS = 8
 
 
 class _Decision(msgspec.Struct, frozen=True):
-    """What is looked at and decided in one turn.
+    """Hold the inputs and results of one decision.
 
-    :param outs: what is decided goes here.
-    :param held: requests that are held for an upstream, by upstream.
+    :param actions: collects the grants.
+    :param held: number of requests held for a busy upstream, by upstream.
     """
 
     now: float
     openings: Openings
-    outs: list[AddressedAction]
+    actions: list[AddressedAction]
     held: dict[str, int] = msgspec.field(default_factory=dict)
 
 
 class Granter:
-    """Grant what waits.
+    """Grant waiting requests.
 
-    :param pool: the book-keeping.
-    :param headroom: tells how many slots stay free for higher tiers.
+    :param pool: state of the pool.
+    :param headroom: provides the number of slots reserved for higher tiers.
     """
 
     def __init__(
@@ -57,39 +57,39 @@
         self._headroom = headroom
 
     def grant_waiting(self, now: float) -> list[AddressedAction]:
-        """Grant what can go now: tiers strictly, teams by their shares, then deadlines.
+        """Grant all requests that can start: by strict tier, then fair share, then deadline.
 
         :rtype: list[Out]
         """
         if not self._pool.waiting:
             return []
-        outs: list[AddressedAction] = []
+        actions: list[AddressedAction] = []
         if not self._pool.has_free_slot(now):
-            return outs
-        decision = _Decision(now, Openings(self._pool.eligible, now), outs)
-        for queue, late in self._passes():
+            return actions
+        decision = _Decision(now, Openings(self._pool.eligible, now), actions)
+        for queue, late in self._tier_passes():
             wanted = queue.late if late else queue.size > queue.late
             if wanted and not self._decide_tier(queue, late, decision):
-                return outs
-        return outs
+                return actions
+        return actions
 
-    def _passes(self) -> list[tuple[TierQueue, bool]]:
-        """List tiers, highest first, each with what is in time and with what would be late."""
+    def _tier_passes(self) -> list[tuple[TierQueue, bool]]:
+        """List (queue, late) passes, highest tier first: timely requests, then late ones."""
         queues = [self._pool.queues[rank] for rank in sorted(self._pool.queues)]
         if self._features.late_last:
             return [(queue, late) for late in (False, True) for queue in queues]
         return [(queue, late) for queue in queues for late in (False, True)]
 
     def _decide_tier(self, queue: TierQueue, late: bool, decision: "_Decision") -> bool:
-        """Grant one tier's requests that are predicted in time, or, after all, its late ones.
+        """Grant the timely or the late requests of one tier.
 
-        :return: whether a slot may still be free.
+        :return: whether slots may still be free.
         """
         now = decision.now
         blocked: set[tuple[str, str]] = set()
         full: set[str] = set()
-        looked = 0
-        while looked < MAX_EXAMINED_REQUESTS:
+        examined = 0
+        while examined < MAX_EXAMINED_REQUESTS:
             granted = False
             for each in queue.ordered_queues(self._features.fair):
                 key = (each.name, each.route)
@@ -101,8 +101,8 @@
                 for item in each.front():
                     if item.late != late:
                         break
-                    looked += 1
-                    if self._try(item, decision):
+                    examined += 1
+                    if self._try_grant(item, decision):
                         granted = True
                         break
                 if granted:
@@ -114,11 +114,11 @@
                 return False
         return True
 
-    def _try(self, item: WaitingRequest, decision: "_Decision") -> bool:
+    def _try_grant(self, item: WaitingRequest, decision: "_Decision") -> bool:
         now, openings = decision.now, decision.openings
         if not openings.usable_upstreams(item.route, item.domain, item.entry):
             return False
-        if self._features.headroom and item.is_long and not self._leaves_room(item, openings):
+        if self._features.headroom and item.is_long and not self._leaves_headroom(item, openings):
             return False
         depths = self._pool.prefixes.matches(item.blocks)
         compared = openings.candidates(
@@ -133,17 +133,17 @@
             return False
         if self._features.shed and not self._may_start(item, choice, now):
             return False
-        decision.outs.append(self.grant_request(item, choice, now))
+        decision.actions.append(self.grant_request(item, choice, now))
         openings.invalidate_slots()
         return True
 
-    def _leaves_room(self, item: WaitingRequest, openings: Openings) -> bool:
-        """Tell whether enough slots stay free for higher tiers beside long work of this one."""
+    def _leaves_headroom(self, item: WaitingRequest, openings: Openings) -> bool:
+        """Tell whether enough slots stay free for higher tiers if a long request starts."""
         free = openings.free_slots(item.route, item.domain, item.entry)
         return free > self._headroom.reserved_slots(item.rank)
 
     def _may_start(self, item: WaitingRequest, choice: Placement, now: float) -> bool:
-        """Tell whether to start a request that may be cut at its deadline."""
+        """Tell whether to start a request, given its risk of being cut at its deadline."""
         prediction = choice.prediction
         assert prediction is not None
         if item.has_goal:
@@ -157,9 +157,9 @@
         return item.late or self._pool.waiting_counts[item.rank, item.route] == 1
 
     def grant_request(self, item: WaitingRequest, choice: Placement, now: float) -> AddressedAction:
-        """Grant one request what was chosen for it.
+        """Grant one request the upstream of its placement.
 
-        :raises InvariantBroken: when the upstream takes nothing now.
+        :raises InvariantBroken: when the upstream is leaving or has no free slot.
         """
         upstream, prediction = choice.upstream, choice.prediction
         assert upstream is not None and prediction is not None
@@ -209,7 +209,7 @@
         return AddressedAction(item.entry, self.grant_message(running))
 
     def grant_message(self, item: RunningRequest) -> Grant:
-        """Word a grant.
+        """Build the grant message of a running request.
 
         :rtype: Grant
         """
--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.scheduling.learning
 
-Learn from what running and finished work tells: speeds, output lengths, prefix caches, health and
-shares.
+Learn from running and finished requests: speeds, output lengths, prefix caches, upstream health and
+fair shares.
 """
 
 import msgspec
@@ -13,22 +13,22 @@
 from chalkyoke.scheduling.pool import PoolState
 from chalkyoke.scheduling.state import ReleaseOutcome, RunningRequest, TokenSample, Upstream
 
-# Failures from which on an upstream is left out: a single one may be the request's own.
+# Number of recent failures that suspends an upstream: a single one may be the request's own fault.
 FAILURES_TO_SUSPEND = 2.0
-# How much of a failure a success takes away: three successes make up for one.
+# Failures that one success cancels: three successes cancel one failure.
 FAILURES_FORGIVEN_PER_SUCCESS = 0.34
-# Failures count up to this, so that an upstream that was bad for long is tried again in time.
+# Upper bound of the failure count, so that an upstream is retried soon after a long outage.
 MAX_FAILURES = 6.0
-# How long an upstream is left out first, doubled with each further failure, and at most, in
-# seconds: a trade-off between failures met again and capacity left out.
+# Initial backoff of an upstream, doubled with each further failure, and maximum backoff, in
+# seconds: a trade-off between repeated failures and unused capacity.
 BACKOFF_S = 0.5
 MAX_BACKOFF_S = 30.0
 
 
 class RefusalChange(msgspec.Struct, frozen=True):
-    """An upstream is taken to refuse whatever it gets, or no longer.
+    """Report that an upstream starts or stops refusing all requests.
 
-    :param refuses: whether it is from now on.
+    :param refuses: whether the upstream refuses all requests from now on.
     """
 
     upstream: str
@@ -36,9 +36,9 @@
 
 
 class Learner:
-    """Correct what a pool's scheduler believes.
+    """Update the estimates of a pool from reports and outcomes.
 
-    :param pool: the book-keeping that it corrects.
+    :param pool: state of the pool, which is updated in place.
     """
 
     def __init__(self, pool: PoolState, features: Features) -> None:
@@ -49,7 +49,7 @@
         self._features = features
 
     def estimate_output(self, message: Acquire) -> OutputEstimate:
-        """Estimate the output of a request.
+        """Estimate the output of a request from its hint or from earlier outputs.
 
         :rtype: OutputEstimate
         """
@@ -62,7 +62,7 @@
         return OutputEstimate(most / 2, most / 8, most / 2)
 
     def learn_progress(self, items: tuple[ProgressItem, ...], now: float) -> None:
-        """Learn how far running work has come."""
+        """Update token speeds and expected finish times from progress reports."""
         known = [(self._pool.running.get(item.request), item) for item in items]
         for running, item in known:
             if running is not None:
@@ -70,7 +70,7 @@
         samples: dict[str, TokenSample] = {}
         for running, item in known:
             if running is not None:
-                self._note_progress(running, item, samples)
+                self._record_progress(running, item, samples)
         self._learn_samples(samples)
         for running, _ in known:
             if running is not None and running.upstream in self._pool.upstreams:
@@ -80,17 +80,17 @@
             upstream.invalidate_predictions()
 
     def learn_first_output(self, item: RunningRequest, first_s: float, now: float) -> None:
-        """Learn that the first output of a running request has come."""
+        """Update the prefill speed and the decline state from a first output."""
         self._learn_first(item, first_s, now)
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is not None:
-            self._note_served(item, upstream, now)
+            self._record_served(item, upstream, now)
             upstream.invalidate_predictions()
 
     def learn_health(
         self, upstream: Upstream, domain: str, outcome: ReleaseOutcome, now: float
     ) -> None:
-        """Learn from an outcome whether an upstream can be relied on.
+        """Update failure counts and suspensions of an upstream from an outcome.
 
         :param domain: failure domain of the entry process.
         """
@@ -111,28 +111,28 @@
     def learn_willingness(
         self, item: RunningRequest, upstream: Upstream, message: Release, now: float
     ) -> None:
-        """Learn whether an upstream takes requests at all."""
+        """Update rests and declines of an upstream from the end of a grant."""
         if message.rest_s > 0:
             upstream.declines.record_rest(item.entry, message.rest_s, now)
         if message.declined:
-            self._note_declined(item, upstream, now)
+            self._record_declined(item, upstream, now)
         elif message.outcome == ReleaseOutcome.DELIVERED:
-            self._note_served(item, upstream, now)
+            self._record_served(item, upstream, now)
 
-    def _note_declined(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
+    def _record_declined(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
         refused = upstream.declines.refuses_all
         upstream.declines.record_decline(item.domain, item.granted, now)
         if upstream.declines.refuses_all and not refused:
             self.refusal_changes.append(RefusalChange(upstream.spec.id, refuses=True))
 
-    def _note_served(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
+    def _record_served(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
         refused = upstream.declines.refuses_all
         upstream.declines.record_served(item.domain, item.granted, now)
         if refused and not upstream.declines.refuses_all:
             self.refusal_changes.append(RefusalChange(upstream.spec.id, refuses=False))
 
     def _may_suspend(self, now: float) -> bool:
-        """Tell whether one more upstream may be left out: a pool must not go empty by suspicion."""
+        """Tell whether one more upstream may be suspended; at most half of a pool may be."""
         upstreams = self._pool.upstreams.values()
         suspended = sum(1 for each in upstreams if now < each.suspended_until)
         return suspended + 1 <= max(1, len(upstreams) // 2)
@@ -145,7 +145,7 @@
         usage: Usage,
         now: float,
     ) -> None:
-        """Learn from the end of a grant, and correct the share of its team by what it used."""
+        """Correct the team's fair share by the work used, and learn lengths, speeds and caches."""
         weight = self._pool.weight(item.team)
         if outcome in (ReleaseOutcome.UNUSED, ReleaseOutcome.UNREACHABLE):
             self._pool.queues[item.rank].charge_team(item.team, -item.work, weight)
@@ -174,7 +174,7 @@
             self._pool.prefixes.correct_capacity(upstream.spec.id, int(believed), found)
 
     def _learn_first(self, item: RunningRequest, first_s: float, now: float) -> None:
-        """Learn from a first token: how fast prompts are read, and that one was."""
+        """Update the prefill speed from a first token and mark the prefill as complete."""
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is None or item.first_seen or first_s <= 0:
             return
@@ -186,7 +186,7 @@
         item.elapsed_s = first_s
         item.output_tokens = 1
 
-    def _note_progress(
+    def _record_progress(
         self, item: RunningRequest, seen: ProgressItem, samples: dict[str, TokenSample]
     ) -> None:
         upstream = self._pool.upstreams.get(item.upstream)
@@ -199,7 +199,7 @@
         item.elapsed_s = seen.elapsed_s
 
     def _learn_samples(self, samples: dict[str, TokenSample]) -> None:
-        """Learn the time of a token, once for each upstream from all of its streams."""
+        """Update the decode speeds with one sample per upstream over all its streams."""
         if not self._features.learn:
             return
         for name, sample in samples.items():
@@ -207,7 +207,7 @@
             upstream.speed.learn_tokens(sample.tokens, sample.seconds, len(upstream.running))
 
     def remaining_s(self, item: RunningRequest, upstream: Upstream, now: float) -> float:
-        """Predict the rest of a running request, in seconds."""
+        """Predict the remaining time of a running request, in seconds."""
         left = max(item.expected_output - item.output_tokens, 0.25 * item.output_tokens, 1.0)
         _, moving = upstream.prefill_outlook(now)
         seconds = left * upstream.speed.token_time(len(upstream.running)) / moving
--- a/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.scheduling.messages
 
-What entry processes and pool schedulers say to each other. All durations are in seconds, and
-relative, so that no two clocks are ever compared.
+The messages between entry processes and pool schedulers. All times are relative durations in
+seconds, so that clocks of different nodes are never compared.
 """
 
 import msgspec
@@ -11,22 +11,24 @@
 
 
 class Acquire(msgspec.Struct, frozen=True, array_like=True, tag="acquire"):
-    """Ask the scheduler of a pool for an upstream; sent again it changes nothing.
+    """Request an upstream from the scheduler of a pool; a repeated message changes nothing.
 
-    :param request: id of the request, unique over the fleet.
-    :param attempt: counts the grants that could not be used.
+    :param request: id of the request, unique in the fleet.
+    :param attempt: number of the attempt; it increases with each grant that could not be used.
     :param blocks: chained hashes of the prompt's leading blocks.
     :param budget_s: time left until the deadline.
     :param waited_s: time since the request arrived at its entry host.
-    :param goal_s: time left in which the first output is due; 0 where the whole answer is due by
-        the deadline. With a goal, the deadline is the moment by which the first output must have
-        come for the caller to be still there.
-    :param comes_back_s: how long its caller may be told to stay away and still come back in time.
-    :param gap_goal_s: the longest pause between outputs that is in time; 0 where none is named.
-    :param whole_s: time left for the whole answer, beside a goal for the first output.
-    :param fingerprint: the same for each attempt of one caller at one thing; 0 where not known.
-    :param likely_output: the caller's own estimate of its output, in tokens; 0 where it gives none.
-    :param tried: upstreams that it was sent to already; others are better.
+    :param goal_s: time left until the first output is due; 0 where the complete answer is due by
+        the deadline. With a goal, the deadline is the time by which the first output must arrive
+        before the caller disconnects.
+    :param max_retry_after_s: the longest Retry-After after which the caller can still be served in
+        time.
+    :param gap_goal_s: the longest acceptable pause between outputs; 0 where none is set.
+    :param answer_due_s: time left for the complete answer, in addition to the goal for the first
+        output.
+    :param fingerprint: identical for all attempts of one caller at one task; 0 where unknown.
+    :param likely_output: the caller's own estimate of the output, in tokens; 0 where none is given.
+    :param tried_upstreams: upstreams that the request was already sent to; others are preferred.
     """
 
     request: str
@@ -50,7 +52,7 @@
 
 
 class Queued(msgspec.Struct, frozen=True, array_like=True, tag="queued"):
-    """Tell an entry process that its request waits here, so that it need not ask elsewhere."""
+    """Confirm to an entry process that its request is queued, so that it sends no other acquire."""
 
     request: str
     attempt: int
@@ -62,7 +64,8 @@
 
     :param priority: rank of the tier, for engines that honour priorities; 0 goes first.
     :param expected_first_s: predicted time from the dispatch to the first output.
-    :param counted: whether it is counted in the limit that the upstream has named.
+    :param counts_toward_limit: whether the grant counts toward the limit that the upstream
+        announced.
     """
 
     request: str
@@ -76,7 +79,7 @@
 
 
 class Shed(msgspec.Struct, frozen=True, array_like=True, tag="shed"):
-    """Give a request up before it ran."""
+    """Refuse a request before it runs."""
 
     request: str
     attempt: int
@@ -86,18 +89,18 @@
 
 
 class Withdraw(msgspec.Struct, frozen=True, array_like=True, tag="withdraw"):
-    """Take a waiting request back."""
+    """Cancel a waiting request."""
 
     request: str
     pool: str
 
 
 class Usage(msgspec.Struct, frozen=True, array_like=True):
-    """What an upstream did for one request.
+    """Report what an upstream did for one request.
 
-    :param cached_tokens: prompt tokens found in the prefix cache; -1 where not told.
-    :param first_s: from dispatch to the first byte; -1 where none came.
-    :param total_s: from dispatch to the end.
+    :param cached_tokens: prompt tokens found in the prefix cache; -1 where not reported.
+    :param first_s: time from the dispatch to the first byte; -1 where none arrived.
+    :param total_s: time from the dispatch to the end.
     """
 
     prompt_tokens: int = 0
@@ -108,13 +111,13 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """Give a grant back.
+    """Release a grant.
 
     :param outcome: one of :class:`~chalkyoke.scheduling.state.ReleaseOutcome`.
-    :param declined: whether the upstream turned the request away and did not run it. Only the first
-        time that this happens to a request: later ones may be its own.
-    :param rest_s: how much longer the upstream wants nothing of the entry process; 0 where it did
-        not say so.
+    :param declined: whether the upstream declined the request without running it. Set only for the
+        first decline of a request: later ones may be caused by the request itself.
+    :param rest_s: remaining time for which the upstream asks the entry process to send nothing; 0
+        where it does not.
     """
 
     request: str
@@ -127,9 +130,9 @@
 
 
 class FirstOutput(msgspec.Struct, frozen=True, array_like=True, tag="first_output"):
-    """Tell at once that a request's first output has come: its prompt has been read.
+    """Report the first output of a request immediately: its prefill is complete.
 
-    :param first_s: from dispatch to the first output.
+    :param first_s: time from the dispatch to the first output.
     """
 
     request: str
@@ -138,7 +141,7 @@
 
 
 class ProgressItem(msgspec.Struct, frozen=True, array_like=True):
-    """How far one running request has come."""
+    """Report the progress of one running request."""
 
     request: str
     output_tokens: int
@@ -147,14 +150,14 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """How far the running requests of one entry process have come, sent about once a second."""
+    """Report the progress of an entry process's running requests; sent about once a second."""
 
     pool: str
     items: tuple[ProgressItem, ...]
 
 
 class RunningItem(msgspec.Struct, frozen=True, array_like=True):
-    """One request that is running, told to a new scheduler."""
+    """Describe one running request to a new scheduler."""
 
     request: str
     attempt: int
@@ -169,22 +172,22 @@
 
 
 class AdoptRequest(msgspec.Struct, frozen=True, array_like=True, tag="adopt_request"):
-    """A scheduler that has just begun asks an entry process what it has running."""
+    """Ask an entry process for its running requests; sent by a scheduler that has just started."""
 
     pool: str
 
 
 class Adopt(msgspec.Struct, frozen=True, array_like=True, tag="adopt"):
-    """Tell a new scheduler of a pool what this entry process has running."""
+    """Report the running requests of an entry process to the new scheduler of a pool."""
 
     pool: str
     items: tuple[RunningItem, ...]
 
 
 class LearnedSpeed(msgspec.Struct, frozen=True, array_like=True):
-    """How fast one upstream has been found to be, against the first guesses.
+    """Report the learned speed of one upstream, as factors of the initial estimates.
 
-    :param samples: how many first outputs this is learned from.
+    :param samples: number of first outputs that the factors are learned from.
     """
 
     upstream: str
@@ -194,17 +197,17 @@
 
 
 class Learned(msgspec.Struct, frozen=True, array_like=True, tag="learned"):
-    """What an earlier scheduler of a pool tells its successor."""
+    """Hand the learned speeds of a pool over to the next scheduler."""
 
     pool: str
     speeds: tuple[LearnedSpeed, ...]
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="load"):
-    """What an upstream says of itself; stale by the time it is read.
+    """Report an upstream's load; the values are outdated when the message arrives.
 
-    :param age_s: how old the figures are at least.
-    :param draining: whether the upstream says that it is leaving.
+    :param age_s: minimum age of the values.
+    :param draining: whether the upstream reports that it is leaving.
     """
 
     upstream: str
@@ -215,7 +218,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True, array_like=True, tag="cache"):
-    """Blocks that an engine says it dropped from its prefix cache; late and with gaps."""
+    """Report blocks that an engine evicted from its prefix cache; delayed and incomplete."""
 
     upstream: str
     dropped: tuple[int, ...]
--- a/packages/chalkyoke/src/chalkyoke/scheduling/overlaps.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/overlaps.py
@@ -1,9 +1,9 @@
 """
 chalkyoke.scheduling.overlaps
 
-Which routes of a pool share an upstream. Most routes of a pool have the same upstreams, so that
-sets are compared and not routes: 1,400 routes over 140 upstreams pair by pair took 6 s, in which a
-node's loop did nothing else.
+Determine which routes of a pool share an upstream. Most routes of a pool have the same set of
+upstreams, so the distinct sets are compared instead of the routes: comparing 1,400 routes over 140
+upstreams in pairs blocks a node's event loop for 6 s.
 """
 
 from collections.abc import Container, Iterable
@@ -12,7 +12,7 @@
 
 
 class Overlaps(Container[tuple[str, str]]):
-    """Pairs of routes that share an upstream.
+    """Contain the pairs of routes that share an upstream.
 
     Usage::
 
@@ -25,7 +25,7 @@
         self._sharing = {(one, other) for one in distinct for other in distinct if one & other}
 
     def __contains__(self, pair: object) -> bool:
-        """Tell whether two routes share an upstream; a route that is not known shares none."""
+        """Tell whether two routes share an upstream; an unknown route shares none."""
         if not isinstance(pair, tuple):
             return False
         one, other = (self._upstreams.get(name) for name in pair)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.scheduling.placement
 
-Which upstream finishes one request first, and whether to wait for a better one. Pure functions
-over explicit state.
+Select the upstream that finishes a request first, and decide whether to wait for a better one. All
+functions are pure and take their state as arguments.
 """
 
 import heapq
@@ -11,43 +11,47 @@
 
 from chalkyoke.scheduling.state import RunningRequest, Upstream, WaitingRequest
 
-# Tokens of a prompt that are compared as one, a trade-off: smaller blocks find more and cost more.
+# Size of a prefix-cache block in prompt tokens; a trade-off: smaller blocks match longer prefixes
+# and cost more to hash and compare.
 BLOCK_TOKENS = 256
-# How much sooner a busy upstream has to be for a request to wait for it: a part of the time, and
-# seconds. Predictions are off by about that.
+# Minimum advantage of a busy upstream for which a request is held, as a share of the predicted time
+# and in seconds; about as large as the error of predictions.
 HOLD_MARGIN_SHARE = 0.10
 HOLD_MARGIN_S = 0.02
-# Busy upstreams that are looked at for that: those that get free soonest. It bounds a decision.
+# Number of busy upstreams considered for holding, those with the earliest free slots; it bounds the
+# time of a decision.
 MAX_HOLD_CANDIDATES = 8
-# What opening a connection takes, in seconds: a round trip between failure domains.
+# Time to open a connection, in seconds: a round trip between failure domains.
 CONNECT_S = 0.002
-# What caution adds to the end of a request whose whole answer is due, as a part of its time.
+# Upper bound of the caution margin for a request without a goal, as a share of the time between
+# its arrival and its deadline.
 MAX_CAUTION_SHARE = 0.2
-# Scores that put an upstream that misses a goal behind all that meet it, and one that harms others
-# behind all that don't; both far beyond any time in seconds.
+# Penalties, in seconds, that rank an upstream that misses the goal after all that meet it, and one
+# where running streams would exceed their gap goals after all others; both exceed any real time.
 MISSED_GOAL_SCORE = 1e6
 HARM_SCORE = 1e3
-# The part of the longest pause in time that reading a prompt may make: the rest is the network's,
-# and tokens that come slower than predicted.
+# Share of a stream's gap goal that a prefill may use; the rest is left for the network and for
+# tokens that are slower than predicted.
 PREFILL_GAP_SHARE = 0.65
-# What harm to a tier weighs against harm to the next higher one.
+# Weight of a stalled stream relative to one of the next higher tier, as a factor.
 TIER_HARM_FACTOR = 0.5
-# How much longer than predicted a first output is reckoned with: one in ten takes twice as long.
+# Safety margin on the predicted time of the first output, as a share: one in ten takes twice as
+# long as predicted.
 FIRST_OUTPUT_RISK_SHARE = 0.5
-# What a slot of an upstream that takes no time is worth over one of the slowest, in seconds of a
-# request's end. Short work loses less than that on a slow upstream and leaves the fast ones to long
-# work, which would be cut at its deadline elsewhere.
+# Penalty for using a slot of an infinitely fast upstream instead of the slowest one, in seconds of
+# finish time. Short requests lose less than that on a slow upstream and leave the fast ones to long
+# requests, which would be cut at their deadlines elsewhere.
 SPARE_BONUS_S = 1.0
 
 
 class Prediction(msgspec.Struct, frozen=True):
-    """What one upstream would do with one request, in seconds from now.
+    """Predict the progress of one request on one upstream, in seconds from now.
 
-    :param first_s: until the first output token.
-    :param finish_s: until the last one, with the median output.
-    :param optimistic_s: until the last one, with the optimistic output.
-    :param cautious_s: until the last one, with the cautious output; where the whole is due at
-        once, what caution adds is bounded by a share of the time that the caller gave.
+    :param first_s: time until the first output token.
+    :param finish_s: time until the last token, with the median output.
+    :param optimistic_s: time until the last token, with the optimistic output.
+    :param cautious_s: time until the last token, with the cautious output; without a goal, the
+        difference to the median is bounded by a share of the caller's time budget.
     """
 
     first_s: float
@@ -57,10 +61,10 @@
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """The decision for one request.
+    """Describe the placement of one request.
 
-    :param upstream: where it goes now; ``None`` when it is held.
-    :param held_for: the busy upstream that it is held for, if any.
+    :param upstream: the upstream that gets the request now; ``None`` where it keeps waiting.
+    :param held_for: the busy upstream whose next slot the request waits for, if any.
     """
 
     upstream: Upstream | None
@@ -70,21 +74,22 @@
 
 
 class Features(msgspec.Struct, frozen=True):
-    """Parts of the policy that can be switched off, to measure what each one earns.
+    """Switch parts of the policy on or off, to compare their effects.
 
     :param hold: wait for a better upstream.
-    :param prefix: count what is left of the prompt after the cached prefix.
-    :param learn: correct speeds and lengths by finished work.
-    :param shed: give up early what would be late.
-    :param fair: fair shares among teams; else earliest deadline over all teams.
-    :param guard: do not start what would make running requests late.
-    :param predict: place by predicted finish; else by the fewest running.
-    :param late_last: what would be late waits for all that would not, whatever its tier; else for
-        its own tier only.
-    :param headroom: long work of lower tiers leaves slots free for higher ones.
-    :param spare: short work leaves fast upstreams to long work: fewer long streams are cut, and
-        first outputs come later, which costs more where goals are tight. Off by default.
-    :param early: refuse at arrival what would wait beyond its goal, while a new attempt of its
+    :param prefix: predict prefill only for the part of the prompt after the cached prefix.
+    :param learn: correct speeds and output lengths from finished requests.
+    :param shed: refuse requests early that would be late.
+    :param fair: fair shares among teams; otherwise earliest deadline first over all teams.
+    :param guard: do not start a request whose prefill would make running requests late.
+    :param predict: place by predicted finish time; otherwise by the fewest running requests.
+    :param late_last: requests predicted to be late wait for all timely ones of any tier; otherwise
+        only for those of their own tier.
+    :param headroom: long requests of lower tiers leave slots free for higher tiers.
+    :param spare: short requests leave fast upstreams to long ones: fewer long streams are cut at
+        their deadlines, but first outputs come later, which is worse where goals are tight. Off by
+        default.
+    :param early: refuse at arrival a request that would wait beyond its goal, while a retry of the
         caller can still be in time.
     """
 
@@ -102,7 +107,7 @@
 
 
 def uncached_prompt_tokens(item: WaitingRequest, cached_blocks: int) -> int:
-    """Count the prompt tokens that an upstream has to read.
+    """Count the prompt tokens that are not in an upstream's prefix cache; at least 1.
 
     :param cached_blocks: leading blocks of the prompt in the upstream's cache.
     :rtype: int
@@ -113,13 +118,13 @@
 def predict(
     item: WaitingRequest, upstream: Upstream, cached_blocks: int, streams: int, now: float
 ) -> Prediction:
-    """Predict one request on one upstream, if it started now.
+    """Predict the times of one request on one upstream if it starts now.
 
-    While a prompt is read the other streams stand still, so a token takes its own time divided by
-    the share of time that is not spent reading prompts.
+    Streams make no progress during prefill, so the predicted time per token is its decode time
+    divided by the share of time that is not spent on prefill.
 
-    :param cached_blocks: leading blocks of its prompt in the upstream's cache.
-    :param streams: streams that run there, this one included.
+    :param cached_blocks: leading blocks of the prompt in the upstream's cache.
+    :param streams: number of concurrent streams there, this one included.
     :param now: seconds on the scheduler's clock.
     :rtype: Prediction
     """
@@ -137,25 +142,27 @@
 
 
 def idle_time_s(item: WaitingRequest, upstream: Upstream, cached_blocks: int) -> float:
-    """Predict the least time that one request can take on an idle upstream.
+    """Predict the shortest time that one request can take on an idle upstream.
 
-    :return: seconds; with the optimistic output, or, where the whole is due beside the first
-        output, with the median: half of such requests would be cut at best.
+    :return: seconds. Without a goal, the time of the optimistic output. With a goal, the larger of
+        the time to the first output and the time that the median output needs, shifted to the
+        first output's deadline; with less time, at least half of such requests would be cut.
     """
     speed = upstream.speed
     first = speed.first_time(uncached_prompt_tokens(item, cached_blocks), 0)
     if item.has_goal:
-        # Against the deadline of the first output, so that one figure tells of both.
+        # Shift the end of the answer to the deadline of the first output, so that callers compare
+        # one value with one deadline.
         whole = first + item.output.median * speed.token_time(1)
         return max(first, whole - (item.answer_due - item.deadline))
     return first + item.output.optimistic * speed.token_time(1)
 
 
 def lateness_s(item: WaitingRequest, start: float, prediction: Prediction) -> float:
-    """Predict by how much a request would miss what is due, if it started at a moment.
+    """Predict by how much a request would miss its goal or deadline if it started at a given time.
 
-    :param start: on the scheduler's clock, in seconds.
-    :return: seconds; negative where it would be in time.
+    :param start: time on the scheduler's clock, in seconds.
+    :return: seconds; negative where the request would be in time.
     """
     if item.has_goal:
         return start + prediction.first_s - item.goal
@@ -163,10 +170,10 @@
 
 
 def next_slot_s(upstream: Upstream, now: float, ahead: int) -> float:
-    """Predict when a slot of a busy upstream gets free.
+    """Predict when the next unclaimed slot of a busy upstream becomes free.
 
-    :param ahead: requests that are already held for the same upstream.
-    :return: seconds from now.
+    :param ahead: number of requests already held for the same upstream.
+    :return: seconds from now; infinite where all slots are claimed.
     """
     ends = upstream.expected_finishes()
     if ahead >= len(ends):
@@ -184,9 +191,9 @@
 ) -> Placement:
     """Choose the upstream with the smallest predicted finish, or hold the request.
 
-    :param eligible: upstreams that may take it now or when a slot gets free.
+    :param eligible: upstreams that can run the request now or when a slot becomes free.
     :param depths: cached leading blocks by upstream.
-    :param held: requests already held, by upstream.
+    :param held: number of requests already held, by upstream.
     :param now: seconds on the scheduler's clock.
     :rtype: Choice
     """
@@ -199,7 +206,7 @@
             continue
         occupied = upstream.occupied(now)
         cached = depths.get(upstream.spec.id, 0)
-        if features.guard and _would_harm(item, upstream, cached, now):
+        if features.guard and _would_delay_running(item, upstream, cached, now):
             busy.append(upstream)
             continue
         prediction = predict(item, upstream, cached, occupied + 1, now)
@@ -219,9 +226,9 @@
         in_time = item.has_goal and lateness_s(item, now, prediction) <= 0
         cached = depths.get(upstream.spec.id, 0)
         if not in_time:
-            better = _worth_waiting_for(item, busy, depths, held, prediction, now)
+            better = _find_sooner_busy(item, busy, depths, held, prediction, now)
         elif streams_stalled_by(item, upstream, cached, now):
-            better = _harmless_in_time(item, busy, depths, held, now)
+            better = _find_timely_without_stalls(item, busy, depths, held, now)
         else:
             better = None
         if better is not None:
@@ -240,11 +247,11 @@
     cached_blocks: int,
     now: float,
 ) -> float:
-    """Score an upstream for a request; the least is the best.
+    """Score an upstream for a request; the lowest score is the best.
 
-    With a goal, an upstream that meets it goes before each that may not: one first output in ten
-    takes twice as long as predicted. Among those, one goes before each where reading the prompt
-    would make a pause in other streams that they can't bear.
+    With a goal, upstreams that meet it with a safety margin rank first, since one first output in
+    ten takes twice as long as predicted. Among them, upstreams where the prefill would not exceed
+    the gap goals of running streams rank first.
     """
     if not item.has_goal:
         return prediction.finish_s
@@ -261,14 +268,14 @@
 def streams_stalled_by(
     item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float
 ) -> list[RunningRequest]:
-    """List the running requests that could not bear the pause that reading a prompt makes.
+    """List the running requests whose gap goals the prefill of a request would exceed.
 
-    Those that another prompt has held up already are left out: long prompts gather where they do
-    no new harm.
+    Streams whose gap goal another prefill has already exceeded are left out, so that long prompts
+    gather on upstreams where they cause no further harm.
 
     :rtype: list[Running]
     """
-    pause = _pause(item, upstream, cached_blocks, now)
+    pause = _prefill_pause_s(item, upstream, cached_blocks, now)
     if pause <= PREFILL_GAP_SHARE * upstream.shortest_gap_goal():
         return []
     return [
@@ -278,10 +285,13 @@
     ]
 
 
-def _pause(item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float) -> float:
-    """Predict the pause that reading a prompt makes in the streams beside it, in seconds.
+def _prefill_pause_s(
+    item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float
+) -> float:
+    """Predict the pause in concurrent streams that a prefill causes, in seconds.
 
-    A chunk of the prompt is read between two tokens, and an event holds several tokens.
+    The engine reads one chunk of the prompt between two tokens, and a stream's event contains
+    several tokens.
     """
     chunk = upstream.spec.prefill_chunk_tokens
     if not chunk:
@@ -292,22 +302,24 @@
     return upstream.speed.read_time(between, left)
 
 
-def _would_harm(item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float) -> bool:
-    """Tell whether reading the prompt would make a running request of its tier or higher late."""
+def _would_delay_running(
+    item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float
+) -> bool:
+    """Tell whether a prefill would make a running request of the same or a higher tier late."""
     if not upstream.running:
         return False
     stall = upstream.speed.prefill_time(uncached_prompt_tokens(item, cached_blocks))
     return stall > upstream.finish_slack_s(item.rank, now)
 
 
-def _harmless_in_time(
+def _find_timely_without_stalls(
     item: WaitingRequest,
     busy: list[Upstream],
     depths: dict[str, int],
     held: dict[str, int],
     now: float,
 ) -> Upstream | None:
-    """Find a busy upstream that meets the goal, wait included, without holding up its streams."""
+    """Find a busy upstream that meets the goal after a wait and exceeds no stream's gap goal."""
     best: tuple[float, Upstream] | None = None
     for upstream in busy:
         wait = next_slot_s(upstream, now, held.get(upstream.spec.id, 0))
@@ -322,7 +334,7 @@
     return best[1] if best is not None else None
 
 
-def _worth_waiting_for(
+def _find_sooner_busy(
     item: WaitingRequest,
     busy: list[Upstream],
     depths: dict[str, int],
@@ -330,9 +342,10 @@
     free: Prediction,
     now: float,
 ) -> Upstream | None:
-    """Find the busy upstream that finishes the request clearly sooner, wait included.
+    """Find the busy upstream that finishes the request clearly sooner, including the wait.
 
-    Only the :data:`MOST_HELD_FOR` that get free soonest are looked at, to bound a decision's time.
+    Only the :data:`MAX_HOLD_CANDIDATES` upstreams with the earliest free slots are considered, to
+    bound the time of a decision.
     """
     reached = free.first_s if item.has_goal else free.finish_s
     limit = reached * (1.0 - HOLD_MARGIN_SHARE) - HOLD_MARGIN_S
--- a/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.scheduling.pool
 
-The book-keeping of one pool: its upstreams and routes as configured, what waits and what runs.
+The state of one pool: configured upstreams and routes, waiting requests and running requests.
 """
 
 import statistics
@@ -22,24 +22,24 @@
     WaitingRequest,
 )
 
-# So many first outputs make an upstream's speed known enough to guess a new one's from: the first
-# ones move it by six tenths and three tenths of an error (estimates.FIRST_PREFILL_GAIN).
+# Number of first outputs from which an upstream's speed is used to initialize new upstreams: the
+# first two correct six tenths and three tenths of an error (estimates.FIRST_PREFILL_GAIN).
 MIN_SPEED_SAMPLES = 3
-# A pool with less than this part of its slots taken is mostly free: operators count a refusal as
-# needless below it.
+# A pool with less than this share of its slots in use is mostly free; operators count a refusal
+# below that share as needless.
 MOSTLY_FREE_SHARE = 0.5
-# How long it is believed which upstreams are the fastest, in seconds.
+# How long the list of the fastest upstreams is cached, in seconds.
 FASTEST_CACHE_S = 1.0
 
 
 class PoolState:
-    """All that the scheduler of one pool knows.
+    """Hold the state of one pool's scheduler.
 
-    :ivar waiting: requests that wait, by id.
-    :ivar running: grants that are held, by request id.
-    :ivar counts: waiting requests by (rank, route).
-    :ivar eligible: upstreams by route, in the order of their ids.
-    :ivar overlaps: which pairs of routes share an upstream.
+    :ivar waiting: waiting requests by id.
+    :ivar running: granted requests by id.
+    :ivar waiting_counts: number of waiting requests by (rank, route).
+    :ivar eligible: upstreams by route, ordered by id.
+    :ivar overlaps: pairs of routes that share an upstream.
     """
 
     def __init__(self, spec: PoolSpec) -> None:
@@ -55,7 +55,7 @@
         self.configure(spec)
 
     def configure(self, spec: PoolSpec) -> None:
-        """Take a new configuration or host list."""
+        """Apply a new configuration or host list; learned speeds of known upstreams are kept."""
         self.spec = spec
         self._fastest.clear()
         self.ranks = {tier.name: tier.rank for tier in spec.tiers}
@@ -72,13 +72,13 @@
         self._set_reference_costs()
 
     def set_allowances(self, allowances: Mapping[str, Allowance]) -> None:
-        """Take what upstreams that name a limit may get; all others are taken to name none."""
+        """Replace the limits that upstreams announced; an upstream not listed has no limit."""
         self._allowances = allowances
         for name, upstream in self.upstreams.items():
             upstream.allowance = allowances.get(name)
 
     def rank(self, tier: str) -> int:
-        """Give the rank of a tier; an unknown one counts as the lowest.
+        """Return the rank of a tier; an unknown tier counts as the lowest.
 
         :rtype: int
         """
@@ -92,14 +92,14 @@
         return sum(1 for each in self.ranks.values() if each < rank)
 
     def weight(self, team: str) -> float:
-        """Give the weight of a team.
+        """Return the weight of a team; 1 where the team is unknown.
 
         :rtype: float
         """
         return self.weights.get(team, 1.0)
 
     def queue(self, rank: int) -> TierQueue:
-        """Give the queue of a tier.
+        """Return the queue of a tier; create it at first use.
 
         :rtype: TierQueue
         """
@@ -109,21 +109,21 @@
         return queue
 
     def work_s(self, prompt_tokens: float, output_tokens: float) -> float:
-        """Price some work, in seconds of a mean upstream.
+        """Return the cost of some tokens, in seconds on an average upstream.
 
         :rtype: float
         """
         return prompt_tokens * self._prefill_cost + output_tokens * self._decode_cost
 
     def add_waiting(self, item: WaitingRequest) -> None:
-        """Take a request in."""
+        """Add a waiting request."""
         self.queue(item.rank).push(item)
         self.waiting[item.request] = item
         key = (item.rank, item.route)
         self.waiting_counts[key] = self.waiting_counts.get(key, 0) + 1
 
     def remove_waiting(self, item: WaitingRequest) -> None:
-        """Take a request out; one that is not waiting is left alone."""
+        """Remove a waiting request; one that is not waiting is ignored."""
         if self.waiting.get(item.request) is not item:
             return
         del self.waiting[item.request]
@@ -131,7 +131,7 @@
         self.waiting_counts[item.rank, item.route] -= 1
 
     def start_running(self, item: RunningRequest, upstream: Upstream, now: float) -> None:
-        """Note a grant."""
+        """Add a granted request to the pool and to its upstream."""
         require(item.request not in self.running, "a request holds one grant", request=item.request)
         self.running[item.request] = item
         upstream.running[item.request] = item
@@ -140,28 +140,28 @@
         self.team_running[item.team] = self.team_running.get(item.team, 0) + 1
 
     def end_running(self, item: RunningRequest, now: float) -> None:
-        """Note the end of a grant."""
-        self._forget_running(item)
+        """Remove a granted request from the pool and from its upstream."""
+        self._remove_running(item)
         self.upstreams[item.upstream].record_own_load(now)
 
     def has_lower_tier_waiting(self, item: WaitingRequest) -> bool:
-        """Tell whether a lower tier waits for some of the same upstreams."""
+        """Tell whether a request of a lower tier waits for some of the same upstreams."""
         return any(
             count > 0 and rank > item.rank and (route, item.route) in self.overlaps
             for (rank, route), count in self.waiting_counts.items()
         )
 
     def has_free_slot(self, now: float) -> bool:
-        """Tell whether any upstream that takes new work has a free slot.
+        """Tell whether any upstream that accepts new requests has a free slot.
 
         :rtype: bool
         """
         return any(each.has_slot(now) and not each.leaving for each in self.upstreams.values())
 
     def is_mostly_free(self) -> bool:
-        """Tell whether nothing waits and few of the slots that take work are taken.
+        """Tell whether no request waits and less than half of the available slots are in use.
 
-        A refusal then is hard to explain to its caller, whatever its reason.
+        A refusal in this state is hard to explain to its caller, whatever its reason.
         """
         if self.waiting:
             return False
@@ -170,9 +170,9 @@
         return sum(len(each.running) for each in open_ones) < MOSTLY_FREE_SHARE * slots
 
     def fastest(self, route: str, now: float) -> list[Upstream]:
-        """List the upstreams of a route that would be the fastest if they were idle.
+        """List the upstreams of a route that would be the fastest on an idle pool.
 
-        Speeds are learned slowly, so that this is looked up anew once a second only.
+        Learned speeds change slowly, so the list is recomputed only once a second.
         """
         until, found = self._fastest.get(route, (0.0, []))
         if now >= until:
@@ -183,7 +183,7 @@
         return found
 
     def at_limit(self, team: str) -> bool:
-        """Tell whether a team holds as many grants as it may.
+        """Tell whether a team has as many grants as its limit allows.
 
         :rtype: bool
         """
@@ -191,13 +191,13 @@
         return limit is not None and self.team_running.get(team, 0) >= limit
 
     def delay_running(self, upstream: Upstream, prompt_tokens: int) -> None:
-        """Expect the running requests of an upstream to end later, for a prompt that it reads."""
+        """Postpone the expected finish of an upstream's running requests by a new prefill."""
         stall = upstream.speed.prefill_time(prompt_tokens)
         for other in upstream.running.values():
             other.expected_finish += stall
         upstream.invalidate_predictions()
 
-    def _forget_running(self, item: RunningRequest) -> None:
+    def _remove_running(self, item: RunningRequest) -> None:
         del self.running[item.request]
         upstream = self.upstreams[item.upstream]
         upstream.running.pop(item.request, None)
@@ -219,14 +219,15 @@
         gone = set(self.upstreams) - {spec.id for spec in specs}
         for name in gone:
             for item in list(self.upstreams[name].running.values()):
-                self._forget_running(item)
+                self._remove_running(item)
             del self.upstreams[name]
             self.prefixes.remove_upstream(name)
 
     def _new_speed(self, spec: UpstreamSpec) -> SpeedModel:
-        """Make the speed model of a new upstream, as fast as most of those that are known.
+        """Build the speed model of a new upstream with the median factors of similar upstreams.
 
-        Known are those with the same first guesses, which their factors correct.
+        Upstreams are similar if their initial estimates are equal, since the factors are relative
+        to these.
         """
         speed = SpeedModel(
             spec.prefill_tokens_per_s,
@@ -239,7 +240,8 @@
         known = [
             each.speed
             for each in self.upstreams.values()
-            if each.speed.samples >= MIN_SPEED_SAMPLES and _guesses(each.spec) == _guesses(spec)
+            if each.speed.samples >= MIN_SPEED_SAMPLES
+            and _initial_estimates(each.spec) == _initial_estimates(spec)
         ]
         if known:
             speed.prefill_factor = statistics.median(each.prefill_factor for each in known)
@@ -247,14 +249,14 @@
         return speed
 
     def _set_reference_costs(self) -> None:
-        """Price work alike for all upstreams, so that shares do not hang on who ran it."""
+        """Average the token costs, so that a team's share does not depend on the upstream used."""
         specs = self.spec.upstreams
         count = max(1, len(specs))
         self._prefill_cost = sum(1 / spec.prefill_tokens_per_s for spec in specs) / count
         self._decode_cost = sum(1 / spec.decode_tokens_per_s for spec in specs) / count
 
 
-def _guesses(spec: UpstreamSpec) -> tuple[float, ...]:
+def _initial_estimates(spec: UpstreamSpec) -> tuple[float, ...]:
     return (
         spec.prefill_tokens_per_s,
         spec.decode_tokens_per_s,
--- a/packages/chalkyoke/src/chalkyoke/scheduling/prefixes.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/prefixes.py
@@ -1,99 +1,103 @@
 """
 chalkyoke.scheduling.prefixes
 
-A guess at which engine holds which prompt prefix. Grants fill it, engines' events correct it, and
-what an engine says it found in its cache corrects how much it is believed to hold.
+An approximate index of the prompt prefixes in the engines' caches. Grants insert blocks, eviction
+events remove them, and the cache hits that engines report correct the assumed cache capacity.
 """
 
 from collections import OrderedDict
 
-# What one answer of an engine changes of the part of its cache that is believed, as factors.
+# Factors by which a miss or a hit changes the assumed capacity of an engine's cache, and the lower
+# bound of the assumed capacity as a share of the configured one.
 MISS_SHRINK_FACTOR = 0.95
 HIT_GROWTH_FACTOR = 1.01
 MIN_BELIEVED_SHARE = 0.1
 
 
 class PrefixIndex:
-    """Look up, for one prompt, how many of its leading blocks each engine holds."""
+    """Look up how many leading blocks of a prompt each engine has cached."""
 
     def __init__(self) -> None:
         self._holders: dict[int, set[str]] = {}
-        self._held: dict[str, OrderedDict[int, None]] = {}
+        self._blocks: dict[str, OrderedDict[int, None]] = {}
         self._capacity: dict[str, int] = {}
-        self._believed: dict[str, float] = {}
+        self._assumed_capacity: dict[str, float] = {}
 
     def add_upstream(self, upstream: str, capacity: int) -> None:
-        """Start to follow an engine.
+        """Add an engine, or update its capacity.
 
-        :param capacity: blocks that its cache holds.
+        :param capacity: number of blocks in its cache.
         """
-        self._held.setdefault(upstream, OrderedDict())
-        self._believed.setdefault(upstream, float(capacity))
+        self._blocks.setdefault(upstream, OrderedDict())
+        self._assumed_capacity.setdefault(upstream, float(capacity))
         self._capacity[upstream] = capacity
 
     def remove_upstream(self, upstream: str) -> None:
-        """Forget an engine."""
-        self.drop_blocks(upstream, tuple(self._held.get(upstream, ())))
-        for table in (self._held, self._capacity, self._believed):
+        """Remove an engine and its blocks."""
+        self.drop_blocks(upstream, tuple(self._blocks.get(upstream, ())))
+        for table in (self._blocks, self._capacity, self._assumed_capacity):
             table.pop(upstream, None)
 
     def matches(self, blocks: tuple[int, ...]) -> dict[str, int]:
-        """Count the leading blocks that each engine is believed to hold.
+        """Count the leading blocks that each engine has probably cached.
 
-        :return: upstream id to blocks; engines that hold none are left out.
+        :return: number of blocks by upstream id, without engines that have none.
         """
         depths: dict[str, int] = {}
-        alive: set[str] | None = None
+        matching: set[str] | None = None
         for depth, block in enumerate(blocks):
             holders = self._holders.get(block)
             if not holders:
                 break
-            alive = holders if alive is None else alive & holders
-            if not alive:
+            matching = holders if matching is None else matching & holders
+            if not matching:
                 break
-            for upstream in alive:
+            for upstream in matching:
                 depths[upstream] = depth + 1
         return depths
 
     def insert_blocks(self, upstream: str, blocks: tuple[int, ...]) -> None:
-        """Note that an engine reads a prompt, and so caches its blocks."""
-        held = self._held.get(upstream)
-        if held is None or self._capacity[upstream] <= 0:
+        """Record that an engine reads a prompt and caches its blocks; evict the oldest ones."""
+        blocks_held = self._blocks.get(upstream)
+        if blocks_held is None or self._capacity[upstream] <= 0:
             return
 
-        # Last block first: the shared head of many prompts is then the most recently used.
+        # Insert the last block first, so that the shared head of many prompts is the most recently
+        # used one.
         for block in reversed(blocks):
-            held[block] = None
-            held.move_to_end(block)
+            blocks_held[block] = None
+            blocks_held.move_to_end(block)
             self._holders.setdefault(block, set()).add(upstream)
-        while len(held) > self._believed[upstream]:
-            block, _ = held.popitem(last=False)
-            self._forget(upstream, block)
+        while len(blocks_held) > self._assumed_capacity[upstream]:
+            block, _ = blocks_held.popitem(last=False)
+            self._remove_holder(upstream, block)
 
     def drop_blocks(self, upstream: str, blocks: tuple[int, ...]) -> None:
-        """Note that an engine dropped blocks."""
-        held = self._held.get(upstream)
-        if held is None:
+        """Record that an engine evicted blocks."""
+        blocks_held = self._blocks.get(upstream)
+        if blocks_held is None:
             return
         for block in blocks:
-            if block in held:
-                del held[block]
-                self._forget(upstream, block)
+            if block in blocks_held:
+                del blocks_held[block]
+                self._remove_holder(upstream, block)
 
     def correct_capacity(self, upstream: str, expected_blocks: int, found_blocks: int) -> None:
-        """Learn how much an engine's cache really holds.
+        """Adjust the assumed capacity of an engine's cache after a request.
 
-        :param expected_blocks: leading blocks that were believed to be cached.
-        :param found_blocks: leading blocks that the engine found.
+        :param expected_blocks: leading blocks that the index expected to be cached.
+        :param found_blocks: leading blocks that the engine found in its cache.
         """
         capacity = self._capacity.get(upstream)
         if not capacity or expected_blocks == 0:
             return
         factor = MISS_SHRINK_FACTOR if found_blocks < expected_blocks else HIT_GROWTH_FACTOR
-        believed = self._believed[upstream] * factor
-        self._believed[upstream] = min(capacity, max(MIN_BELIEVED_SHARE * capacity, believed))
+        believed = self._assumed_capacity[upstream] * factor
+        self._assumed_capacity[upstream] = min(
+            capacity, max(MIN_BELIEVED_SHARE * capacity, believed)
+        )
 
-    def _forget(self, upstream: str, block: int) -> None:
+    def _remove_holder(self, upstream: str, block: int) -> None:
         holders = self._holders[block]
         holders.discard(upstream)
         if not holders:
--- a/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.scheduling.queues
 
-Waiting requests by tier and team: tiers strictly, teams by fair shares of measured work, and the
-earliest deadline first inside a team.
+Queues of waiting requests by tier and team: strict priority between tiers, fair shares of measured
+work between teams, and earliest deadline first within a team.
 """
 
 import heapq
@@ -11,12 +11,13 @@
 
 from chalkyoke.scheduling.state import WaitingRequest
 
-# Requests of a queue that are tried for a slot in one decision: the first may fit nowhere.
+# Number of requests at the front of a queue that are tried in one decision: the first may fit no
+# upstream.
 MAX_PEEKED_REQUESTS = 4
 
 
 class TeamQueue:
-    """One team's waiting requests of one tier and route: by deadline, late ones last."""
+    """Order one team's waiting requests of one tier and route by deadline, late ones last."""
 
     __slots__ = ("_items", "name", "route")
 
@@ -29,22 +30,22 @@
         return len(self._items)
 
     def push(self, item: WaitingRequest) -> None:
-        """Add a request."""
+        """Add a request in its order."""
         insort(self._items, (item.late, item.due, item.order, item))
 
     def discard(self, item: WaitingRequest) -> None:
-        """Take a request out."""
+        """Remove a request; its ``late`` flag must be the same as when it was added."""
         del self._items[bisect_left(self._items, (item.late, item.due, item.order))]
 
     def front(self) -> list[WaitingRequest]:
-        """List a few requests from the front; the first has the earliest deadline.
+        """List the first few requests, earliest deadline first.
 
         :rtype: list[Waiting]
         """
         return [entry[3] for entry in self._items[:MAX_PEEKED_REQUESTS]]
 
     def ordered(self) -> list[WaitingRequest]:
-        """List all waiting requests, earliest deadline first.
+        """List all requests, earliest deadline first and late ones last.
 
         :rtype: list[Waiting]
         """
@@ -52,11 +53,14 @@
 
 
 class TierQueue:
-    """The waiting requests of one tier.
+    """Hold the waiting requests of one tier.
 
-    Teams share by start-time fair queueing: the team with the least virtual time goes first, and a
-    grant adds its work divided by the team's weight. Source: Goyal, Vin and Cheng, "Start-time
-    Fair Queueing", 1996.
+    Teams share the tier by start-time fair queueing: the team with the lowest virtual time goes
+    first, and a grant adds its work divided by the team's weight. Source: Goyal, Vin and Cheng,
+    "Start-time Fair Queueing", 1996.
+
+    :ivar size: number of waiting requests.
+    :ivar late: number of waiting requests that are predicted to be late.
     """
 
     def __init__(self, rank: int) -> None:
@@ -64,13 +68,13 @@
         self.size = 0
         self.late = 0
         self._queues: dict[tuple[str, str], TeamQueue] = {}
-        self._order: list[tuple[float, str, str]] = []
+        self._team_order: list[tuple[float, str, str]] = []
         self._backlog: dict[str, int] = {}
         self._virtual: dict[str, float] = {}
         self._floor = 0.0
 
     def push(self, item: WaitingRequest) -> None:
-        """Add a request; a team that was idle starts level with the others."""
+        """Add a request; an idle team's virtual time is raised to the lowest of the others."""
         if item.team not in self._backlog:
             level = min((self._virtual[team] for team in self._backlog), default=self._floor)
             self._virtual[item.team] = max(self._virtual.get(item.team, 0.0), level)
@@ -80,13 +84,13 @@
         queue = self._queues.get(key)
         if queue is None:
             queue = self._queues[key] = TeamQueue(item.team, item.route)
-            insort(self._order, (self._virtual[item.team], *key))
+            insort(self._team_order, (self._virtual[item.team], *key))
         queue.push(item)
         self.size += 1
         self.late += item.late
 
     def discard(self, item: WaitingRequest) -> None:
-        """Take a request out."""
+        """Remove a request; empty queues are deleted."""
         key = (item.team, item.route)
         queue = self._queues[key]
         queue.discard(item)
@@ -94,16 +98,16 @@
         self.late -= item.late
         if not queue:
             del self._queues[key]
-            self._order.remove((self._virtual[item.team], *key))
+            self._team_order.remove((self._virtual[item.team], *key))
 
         self._backlog[item.team] -= 1
         if self._backlog[item.team] == 0:
             del self._backlog[item.team]
 
     def charge_team(self, team: str, work: float, weight: float) -> None:
-        """Add work to a team's share.
+        """Charge work to a team's virtual time.
 
-        :param work: seconds; negative where less was used than charged before.
+        :param work: seconds; negative to refund work that was charged before and not used.
         :param weight: the team's weight.
         """
         before = self._virtual.get(team, self._floor)
@@ -113,19 +117,19 @@
         self._virtual[team] = after
         if team not in self._backlog:
             return
-        for key in [each for each in self._order if each[1] == team]:
-            self._order.remove(key)
-            insort(self._order, (after, *key[1:]))
+        for key in [each for each in self._team_order if each[1] == team]:
+            self._team_order.remove(key)
+            insort(self._team_order, (after, *key[1:]))
 
     def virtual_time(self, team: str) -> float:
-        """Give a team's virtual time, in seconds of work per weight.
+        """Return a team's virtual time, in seconds of work per weight.
 
         :rtype: float
         """
         return self._virtual.get(team, self._floor)
 
     def set_late(self, item: WaitingRequest, late: bool) -> None:
-        """Note whether a request is predicted to be late; its place in the queue changes."""
+        """Set whether a request is predicted to be late, and move it in its queue."""
         if item.late == late:
             return
         queue = self._queues[item.team, item.route]
@@ -135,14 +139,14 @@
         queue.push(item)
 
     def ordered_queues(self, fair: bool = True) -> Iterator[TeamQueue]:
-        """Walk over the queues that wait, in the order of their teams' shares.
+        """Iterate over the non-empty queues in the order of their teams' virtual times.
 
-        Nothing may be pushed, discarded or charged during the walk.
+        Requests must not be added, removed or charged during the iteration.
 
-        :param fair: else in the order of their first deadlines.
+        :param fair: if false, the queues are ordered by their first deadlines instead.
         """
         if fair:
-            return (self._queues[key[1:]] for key in self._order)
+            return (self._queues[key[1:]] for key in self._team_order)
         return iter(
             sorted(
                 self._queues.values(),
@@ -151,16 +155,16 @@
         )
 
     def items(self) -> Iterator[WaitingRequest]:
-        """Walk over all waiting requests, team by team."""
+        """Iterate over all waiting requests, team by team."""
         for queue in self._queues.values():
             yield from queue.ordered()
 
     def fair_order(self, weights: dict[str, float]) -> Iterator[WaitingRequest]:
-        """Walk over all waiting requests in the order in which they would be granted.
+        """Iterate over all waiting requests in the order in which they would be granted.
 
-        The walk charges copies of the virtual times; nothing changes.
+        The iteration charges copies of the virtual times and changes no state.
 
-        :param weights: weight by team; 1 where a team has none.
+        :param weights: weight by team; a missing team has weight 1.
         """
         virtual = {team: self._virtual[team] for team in self._backlog}
         queues = {key: queue.ordered() for key, queue in self._queues.items()}
--- a/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.scheduling.refusals
 
-Giving up before a request ran: hopeless, expired, without an upstream, or shed. Each answer goes
-out at once, and shedding goes strictly from the lowest tier up.
+Refuse requests before they run because they are hopeless, expired, without an upstream or shed.
+Refusals are sent immediately, and shedding proceeds strictly from the lowest tier up.
 """
 
 from collections.abc import Callable
@@ -20,34 +20,38 @@
 from chalkyoke.scheduling.shortlist import MAX_COMPARED
 from chalkyoke.scheduling.state import Upstream, WaitingRequest
 
-# How often the queue is played forward, in seconds, and how much less often for each request that
-# waits: a long queue must not take the whole processor.
+# Minimum interval between forecasts of the queue, in seconds, and the interval for each waiting
+# request, in seconds: a long queue must not use the whole processor.
 FORECAST_INTERVAL_S = 0.05
 FORECAST_S_PER_WAITING = 0.0005
-# Requests that wait at most, which bounds memory; far beyond what is served within a deadline.
+# Maximum number of waiting requests, which bounds memory; far more than can be served within a
+# deadline.
 MAX_WAITING_REQUESTS = 5000
-# Bounds on when a caller is told to come back, in seconds.
+# Bounds of Retry-After, in seconds.
 MIN_RETRY_S = 0.5
 MAX_RETRY_S = 60.0
-# The same where a route has no upstream: one that starts takes seconds.
+# Retry-After where a route has no upstream, in seconds: an upstream takes seconds to start.
 NO_UPSTREAM_RETRY_S = 5.0
-# Over how long the callers are spread that come back when an upstream may take work again, in
-# seconds: a few goals, so that they are not the next burst.
+# Interval over which retries are spread after an upstream may accept requests again, in seconds: a
+# few goals, so that the retries do not form a new burst.
 REOPENING_SPREAD_S = 0.5
-# Others that have to wait before a request is refused at arrival.
+# Minimum number of waiting requests ahead for a refusal at arrival.
 MIN_REQUESTS_AHEAD = 1
-# The soonest that a caller refused at arrival comes back, in seconds, and in waits of the queue.
+# Retry-After of a request refused at arrival: its minimum in seconds, and its length as a multiple
+# of the queue's predicted wait.
 MIN_EARLY_RETRY_S = 0.4
 EARLY_RETRY_WAITS = 1.5
-# How long one that was told to come back goes before what is new, beyond that time, in seconds.
+# How long after its Retry-After a refused request still takes precedence over new ones, in seconds.
 RETRY_PRIORITY_S = 1.5
-# How far beyond its goal a wait is borne, as a part of the time left then.
+# Tolerated delay beyond the goal before a refusal at arrival, as a share of the time between goal
+# and deadline.
 GOAL_OVERRUN_SHARE = 0.5
 
 
 class Counters(msgspec.Struct):
-    """What the scheduler did, for metrics.
+    """Count the scheduler's decisions for metrics.
 
+    :param held: how often a request was held for a busy upstream.
     :param shed: refusals by (reason, rank).
     """
 
@@ -57,9 +61,9 @@
 
 
 class AddressedAction(msgspec.Struct):
-    """One action and the entry process that it goes to.
+    """Hold one action and the entry process that receives it.
 
-    :param beside_free: whether the pool was mostly free when a request was refused.
+    :param pool_mostly_free: whether the pool was mostly free when a request was refused.
     """
 
     entry: str
@@ -68,11 +72,11 @@
 
 
 class Refuser:
-    """Decide what is given up, and word it.
+    """Decide which requests are refused, and build the refusals.
 
-    :param pool: the book-keeping.
-    :param headroom: tells how fast tiers get slots.
-    :param random: source of numbers in [0, 1), to spread the callers that come back.
+    :param pool: state of the pool.
+    :param headroom: provides the rates at which tiers get slots.
+    :param random: source of numbers in [0, 1), to spread retries.
     """
 
     def __init__(
@@ -90,34 +94,37 @@
         self._headroom = headroom
         self._random = random
         self._next_forecast = now
-        self._promised: dict[int, float] = {}
+        self._promised_until: dict[int, float] = {}
 
     def check_arrival(
         self, item: WaitingRequest, now: float, *, settled: bool
     ) -> AddressedAction | None:
-        """Refuse a request that could not be done, whatever else waits.
+        """Refuse a request at arrival if it cannot be served in time.
 
-        :param settled: whether grants are given: until they are, what waits says nothing of how
-            long a wait will be, and a new scheduler refused all but the first before a free pool.
-        :rtype: Out or None
+        :param settled: whether the scheduler issues grants. Until then the queue length does not
+            predict the wait, and a new scheduler would refuse all but the first request although
+            the pool is free.
+        :rtype: AddressedAction or None
         """
-        eligible = self._open(item.route)
+        eligible = self._open_upstreams(item.route)
         if not eligible:
-            return self._word(item, Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_S)
+            return self._build_refusal(item, Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_S)
         if item.deadline <= now:
-            return self._word(item, Reason.EXPIRED, None)
-        closed = find_closure(_openings(eligible, now), item.entry, item.domain, now)
-        if closed is not None and _outlasts(closed, item, now):
-            return self._word(item, Reason.NO_UPSTREAM, self._after(closed, now))
+            return self._build_refusal(item, Reason.EXPIRED, None)
+        closed = find_closure(_open_times(eligible, now), item.entry, item.domain, now)
+        if closed is not None and _should_refuse_closed(closed, item, now):
+            return self._build_refusal(
+                item, Reason.NO_UPSTREAM, self._reopening_retry_after_s(closed, now)
+            )
         if self._features.shed and self._is_hopeless(item, now):
-            return self._word(item, Reason.HOPELESS, None)
+            return self._build_refusal(item, Reason.HOPELESS, None)
         if not self._features.early or not item.has_goal:
             return None
-        item.is_promised_retry = self._promised.pop(item.fingerprint, 0.0) > now
-        return None if item.is_promised_retry or not settled else self._too_late(item, now)
+        item.is_promised_retry = self._promised_until.pop(item.fingerprint, 0.0) > now
+        return None if item.is_promised_retry or not settled else self._refuse_early(item, now)
 
-    def _too_late(self, item: WaitingRequest, now: float) -> AddressedAction | None:
-        """Refuse at once what would wait beyond its goal, so that its caller can come back."""
+    def _refuse_early(self, item: WaitingRequest, now: float) -> AddressedAction | None:
+        """Refuse a request that would wait beyond its goal, early enough for a timely retry."""
         if self._pool.has_lower_tier_waiting(item):
             return None
         if not item.is_long and self._pool.has_free_slot(now):
@@ -127,32 +134,32 @@
         )
         if ahead < MIN_REQUESTS_AHEAD:
             return None
-        promised = self._count_promised(now)
+        promised = self._count_promised_retries(now)
         wait = self._headroom.wait_s(item.rank, ahead, now)
-        bearable = item.goal + GOAL_OVERRUN_SHARE * max(0.0, item.deadline - item.goal)
-        if now + wait + item.least_s <= bearable:
+        latest_start = item.goal + GOAL_OVERRUN_SHARE * max(0.0, item.deadline - item.goal)
+        if now + wait + item.least_s <= latest_start:
             return None
         after = self._headroom.wait_s(item.rank, ahead + promised, now)
-        retry = self._come_back(item, after)
+        retry = self._early_retry_after_s(item, after)
         if item.fingerprint:
-            self._promised[item.fingerprint] = now + retry + RETRY_PRIORITY_S
-        return self._word(item, Reason.SHED, retry)
+            self._promised_until[item.fingerprint] = now + retry + RETRY_PRIORITY_S
+        return self._build_refusal(item, Reason.SHED, retry)
 
-    def _count_promised(self, now: float) -> int:
-        """Count the refused callers that have been told to come back and have not yet."""
-        for fingerprint, until in list(self._promised.items()):
+    def _count_promised_retries(self, now: float) -> int:
+        """Count refused requests whose promised retry is still pending; drop outdated promises."""
+        for fingerprint, until in list(self._promised_until.items()):
             if until < now:
-                del self._promised[fingerprint]
-        return len(self._promised)
+                del self._promised_until[fingerprint]
+        return len(self._promised_until)
 
-    def _come_back(self, item: WaitingRequest, wait_s: float) -> float:
-        """Say when to come back: when the queue has gone, while there is time left for it."""
+    def _early_retry_after_s(self, item: WaitingRequest, wait_s: float) -> float:
+        """Return a Retry-After by which the queue should be served, within the caller's limit."""
         most = max(MIN_EARLY_RETRY_S, item.max_retry_after_s)
         base = min(most, max(MIN_EARLY_RETRY_S, EARLY_RETRY_WAITS * wait_s))
         return round(base * (0.6 + 0.4 * self._random()), 2)
 
     def make_room(self, item: WaitingRequest, now: float) -> list[AddressedAction]:
-        """Keep the queue bounded: the lowest tier that shares upstreams gives way.
+        """Shed one request when the queue is too long: from the lowest tier that shares upstreams.
 
         :rtype: list[Out]
         """
@@ -164,23 +171,25 @@
         return [self.shed(victim, Reason.SHED, self.retry_after_s(victim.deadline - now))]
 
     def refuse_without_upstream(self) -> list[AddressedAction]:
-        """Refuse what waits for a route that has no upstream any more.
+        """Refuse the waiting requests of routes that have no upstream any more.
 
         :rtype: list[Out]
         """
-        closed = {route for _, route in self._pool.waiting_counts if not self._open(route)}
+        closed = {
+            route for _, route in self._pool.waiting_counts if not self._open_upstreams(route)
+        }
         return [
             self.shed(item, Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_S)
             for item in list(self._pool.waiting.values())
             if item.route in closed
         ]
 
-    def _closed(self, now: float) -> list[AddressedAction]:
-        """Refuse what waits for upstreams that are closed to its entry process for too long."""
-        outs: list[AddressedAction] = []
+    def _refuse_closed(self, now: float) -> list[AddressedAction]:
+        """Refuse requests whose upstreams reject their entry process for too long."""
+        actions: list[AddressedAction] = []
         found: dict[tuple[str, str, str], Closure | None] = {}
         for route in {route for (_, route), count in self._pool.waiting_counts.items() if count}:
-            openings = _openings(self._open(route), now)
+            openings = _open_times(self._open_upstreams(route), now)
             if any(each.is_clear(now) and until <= now for each, until in openings):
                 continue
             for item in [each for each in self._pool.waiting.values() if each.route == route]:
@@ -188,32 +197,34 @@
                 if key not in found:
                     found[key] = find_closure(openings, item.entry, item.domain, now)
                 closed = found[key]
-                if closed is not None and _outlasts(closed, item, now):
-                    retry = self._after(closed, now)
-                    outs.append(self.shed(item, Reason.NO_UPSTREAM, retry))
-        return outs
+                if closed is not None and _should_refuse_closed(closed, item, now):
+                    retry = self._reopening_retry_after_s(closed, now)
+                    actions.append(self.shed(item, Reason.NO_UPSTREAM, retry))
+        return actions
 
-    def _after(self, closed: Closure, now: float) -> float:
-        """Say when to come back: when an upstream may take work again, spread over a while."""
+    def _reopening_retry_after_s(self, closed: Closure, now: float) -> float:
+        """Return a Retry-After at which an upstream may accept requests, plus random spread."""
         return round(closed.until - now + REOPENING_SPREAD_S * self._random(), 2)
 
     def refuse_expired(self, now: float) -> list[AddressedAction]:
-        """Refuse what has expired, become hopeless or waits where nothing is taken.
+        """Refuse requests that have expired, are hopeless or have no upstream that accepts them.
 
         :rtype: list[Out]
         """
-        outs = self.refuse_without_upstream() + self._closed(now) if self._features.shed else []
+        actions = (
+            self.refuse_without_upstream() + self._refuse_closed(now) if self._features.shed else []
+        )
         for item in list(self._pool.waiting.values()):
             if item.deadline <= now:
-                outs.append(self.shed(item, Reason.EXPIRED, None))
+                actions.append(self.shed(item, Reason.EXPIRED, None))
             elif self._features.shed and self._has_become_hopeless(item, now):
-                outs.append(self.shed(item, Reason.HOPELESS, None))
-        return outs
+                actions.append(self.shed(item, Reason.HOPELESS, None))
+        return actions
 
     def shed_by_forecast(self, now: float) -> list[AddressedAction]:
-        """Shed what would be late, and mark the late ones that have to be kept.
+        """Shed late requests if a forecast is due, and mark late ones that must be kept.
 
-        It runs less often while much waits, to bound its share of the processor.
+        Forecasts run less often with a longer queue, to bound their processor time.
 
         :rtype: list[Out]
         """
@@ -224,7 +235,7 @@
         return self.shed_late(now)
 
     def shed_late(self, now: float) -> list[AddressedAction]:
-        """Play the queue forward, and shed the late ones from the lowest tier up.
+        """Simulate the queue and shed the late requests from the lowest tier up.
 
         :rtype: list[Out]
         """
@@ -236,21 +247,22 @@
             for item in pool.queues[rank].fair_order(pool.weights)
         )
         late = find_late(ordered, pool.eligible, SlotForecast(usable, now), now)
-        outs = [
+        actions = [
             self.shed(entry.item, Reason.SHED, self.retry_after_s(entry.late_s))
             for entry in may_shed(late, pool.waiting.values(), pool.overlaps)
         ]
         kept = {entry.item.request for entry in late}
         for item in pool.waiting.values():
             pool.queues[item.rank].set_late(item, item.request in kept)
-        return outs
+        return actions
 
     def shed(
         self, item: WaitingRequest, reason: Reason, retry_after_s: float | None
     ) -> AddressedAction:
-        """Give a waiting request up.
+        """Remove a waiting request and build its refusal.
 
-        :raises InvariantBroken: when it is shed while a lower tier waits for the same upstreams.
+        :raises InvariantBroken: when the request is shed while a lower tier waits for the same
+            upstreams.
         """
         self._pool.remove_waiting(item)
         if reason is Reason.SHED:
@@ -260,27 +272,27 @@
                 request=item.request,
                 rank=item.rank,
             )
-        return self._word(item, reason, retry_after_s)
+        return self._build_refusal(item, reason, retry_after_s)
 
     def retry_after_s(self, late_s: float) -> float:
-        """Say when to come back: after the lateness, spread over as long again.
+        """Return a Retry-After between the lateness and twice the lateness, within bounds.
 
         :return: seconds.
         """
         base = min(MAX_RETRY_S, max(MIN_RETRY_S, late_s))
         return round(base * (1.0 + self._random()), 2)
 
-    def _open(self, route: str) -> list[Upstream]:
+    def _open_upstreams(self, route: str) -> list[Upstream]:
         return [each for each in self._pool.eligible.get(route, ()) if not each.leaving]
 
     def _is_hopeless(self, item: WaitingRequest, now: float) -> bool:
-        """Tell whether the deadline could not be met on an idle pool.
+        """Tell whether the deadline cannot be met even on an idle pool.
 
-        Who comes back with a fraction of its time left would be cut off in the middle, at the cost
-        of a prompt that is read in vain.
+        A retry with little time left would be cut in the middle of its answer, and its prefill
+        would be wasted.
         """
         depths = self._pool.prefixes.matches(item.blocks)
-        eligible = self._open(item.route)
+        eligible = self._open_upstreams(item.route)
         if len(eligible) > MAX_COMPARED:
             keeping = [each for each in eligible if each.spec.id in depths]
             eligible = [*self._pool.fastest(item.route, now), *keeping]
@@ -290,13 +302,13 @@
         return now + item.least_s > item.deadline
 
     def _has_become_hopeless(self, item: WaitingRequest, now: float) -> bool:
-        """Look again, with the speeds known now, once the earlier figure says so."""
+        """Check the cached minimum first, and recompute it with current speeds only if it fails."""
         if now + item.least_s <= item.deadline:
             return False
         return self._is_hopeless(item, now)
 
     def _lowest_beside(self, item: WaitingRequest) -> WaitingRequest:
-        """Find the lowest tier's last request among those that share upstreams with one."""
+        """Find the last request of the lowest tier among those that share upstreams with one."""
         beside = (
             each
             for each in self._pool.waiting.values()
@@ -304,7 +316,7 @@
         )
         return max(beside, key=lambda each: (each.rank, each.deadline, each.order))
 
-    def _word(
+    def _build_refusal(
         self, item: WaitingRequest, reason: Reason, retry_after_s: float | None
     ) -> AddressedAction:
         key = (reason, item.rank)
@@ -314,15 +326,15 @@
         return AddressedAction(item.entry, shed, pool_mostly_free=self._pool.is_mostly_free())
 
 
-def _openings(upstreams: list[Upstream], now: float) -> list[tuple[Declines, float]]:
+def _open_times(upstreams: list[Upstream], now: float) -> list[tuple[Declines, float]]:
     return [(each.declines, each.limit_opens_at(now)) for each in upstreams]
 
 
-def _outlasts(closed: Closure, item: WaitingRequest, now: float) -> bool:
-    """Tell whether to answer a request at once rather than hold it for closed upstreams.
+def _should_refuse_closed(closed: Closure, item: WaitingRequest, now: float) -> bool:
+    """Tell whether to refuse a request immediately instead of holding it for closed upstreams.
 
-    What would start within its goal is held, and what would still be served where its caller can't
-    be told to stay away for so long.
+    A request is held if it can start within its goal, or if it can still be served and the caller
+    cannot wait for so long a Retry-After.
     """
     if closed.refused:
         return True
--- a/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
@@ -1,8 +1,9 @@
 """
 chalkyoke.scheduling.scheduler
 
-The scheduler of one pool: events with an explicit time go in, grants and refusals come out. It
-decides quality only; that a request runs at most once is kept by its entry process.
+The scheduler of one pool. Events with an explicit time are passed in; grants and refusals are
+returned. The scheduler affects quality only: the entry process guarantees that a request runs at
+most once.
 """
 
 import math
@@ -38,38 +39,40 @@
     WaitingRequest,
 )
 
-# The deadline assumed for what runs under an earlier scheduler, in seconds: it is not told.
+# Assumed deadline of requests adopted from a previous scheduler, in seconds: the adopt message
+# does not contain the deadline.
 ADOPTED_DEADLINE_S = 5.0
-# How long a new scheduler waits for entry processes to tell what they have running, in seconds.
-# They answer within a few milliseconds; those that are lost never do, and an aim may be 0.3 s.
-# What is told later costs some overcommit for a moment.
+# How long a new scheduler waits for the adopt messages of entry processes, in seconds. Live ones
+# answer within a few milliseconds and lost ones never, while a goal may be as short as 0.3 s. An
+# adopt message that arrives later causes brief overcommitment.
 SETTLE_S = 0.1
-# A grant that its holder no longer lists is over after so long, in seconds: three reports.
+# Age from which a grant counts as ended if its entry process no longer lists it, in seconds: three
+# progress reports.
 LOST_RELEASE_S = 3.0
-# An entry process that has said nothing for so long is gone, in seconds: ten reports.
+# An entry process that has sent nothing for this long counts as dead, in seconds: ten reports.
 ENTRY_TIMEOUT_S = 10.0
-# How often silent entry processes are looked for, in seconds.
+# Interval between checks for silent entry processes, in seconds.
 SWEEP_S = 1.0
-# How long a load report is believed, in seconds: some times between two of them.
+# Validity of a load report, in seconds: several report intervals.
 FOREIGN_VALID_S = 5.0
-# Ends of grants under which a request may never have left its node.
+# Outcomes after which the request may never have been sent.
 UNSENT_OUTCOMES = frozenset((ReleaseOutcome.UNUSED, ReleaseOutcome.UNREACHABLE))
 
 
 class PoolScheduler:
-    """Decide for one pool which request goes where, what waits and what is given up.
+    """Decide for one pool which requests are granted, kept waiting or refused.
 
     :param spec: upstreams, tiers, teams and routes of the pool.
-    :param random: source of numbers in [0, 1), to spread the callers that come back.
+    :param random: source of numbers in [0, 1), to spread retries.
     :param now: seconds on this process's monotonic clock.
-    :param expected: entry processes that will tell what they have running; until all have, or
-        :data:`SETTLE_S` has passed, nothing is granted.
-    :param features: parts of the policy, for ablation.
+    :param expected: entry processes that will report their running requests; nothing is granted
+        until all have reported or :data:`SETTLE_S` has passed.
+    :param features: switches of the policy, for ablation.
 
     Usage::
 
       >>> scheduler = PoolScheduler(spec, random.random, now=0.0)
-      >>> outs = scheduler.acquire("h1/7", "zone-a", acquire, now=0.1)
+      >>> actions = scheduler.acquire("h1/7", "zone-a", acquire, now=0.1)
     """
 
     def __init__(
@@ -92,49 +95,49 @@
         self._order = 0
         self._unsettled = set(expected)
         self._settle_at = now + SETTLE_S
-        self._heard: dict[str, float] = {}
+        self._last_message_at: dict[str, float] = {}
         self._next_sweep = now
 
-    # What the shell and the benches may look at.
+    # Read access for the node and for benchmarks.
 
     @property
     def spec(self) -> PoolSpec:
-        """The pool as configured."""
+        """The current configuration of the pool."""
         return self._pool.spec
 
     @property
     def waiting(self) -> int:
-        """Count the requests that wait."""
+        """The number of waiting requests."""
         return len(self._pool.waiting)
 
     @property
     def running(self) -> int:
-        """Count the grants that are held."""
+        """The number of grants in use."""
         return len(self._pool.running)
 
     @property
     def upstreams(self) -> dict[str, Upstream]:
-        """The upstreams as seen now, by id."""
+        """The state of the upstreams, by id."""
         return self._pool.upstreams
 
     def is_waiting(self, request: str) -> bool:
-        """Tell whether a request waits here.
+        """Tell whether a request is waiting for a grant.
 
         :rtype: bool
         """
         return request in self._pool.waiting
 
     def waiting_items(self) -> list[WaitingRequest]:
-        """List what waits, in no order.
+        """List the waiting requests in no particular order.
 
         :rtype: list[Waiting]
         """
         return list(self._pool.waiting.values())
 
     def take_refusal_changes(self) -> list[RefusalChange]:
-        """Take what has changed since the last call of the upstreams that refuse all.
+        """Return and clear the changes of upstreams that start or stop refusing all requests.
 
-        :rtype: list[Closing]
+        :rtype: list[RefusalChange]
         """
         closings, self._learner.refusal_changes = self._learner.refusal_changes, []
         return closings
@@ -142,9 +145,9 @@
     # Events.
 
     def configure(self, spec: PoolSpec, now: float) -> list[AddressedAction]:
-        """Take a new configuration or host list.
+        """Apply a new configuration or host list.
 
-        :return: refusals of requests whose route or tier is gone, and new grants.
+        :return: refusals of requests whose route has no upstream any more, and new grants.
         """
         self._pool.configure(spec)
         return self._refuser.refuse_without_upstream() + self._decide(now)
@@ -152,9 +155,9 @@
     def set_allowances(
         self, allowances: Mapping[str, Allowance], now: float
     ) -> list[AddressedAction]:
-        """Take what upstreams that name a limit may get; all others are taken to name none.
+        """Replace the limits that upstreams announced; an upstream not listed has no limit.
 
-        :param allowances: by upstream.
+        :param allowances: token buckets by upstream.
         :return: new grants.
         """
         self._pool.set_allowances(allowances)
@@ -163,13 +166,13 @@
     def acquire(
         self, entry: str, domain: str, message: Acquire, now: float
     ) -> list[AddressedAction]:
-        """Take a request in; the same message again changes nothing.
+        """Admit a request: grant, queue or refuse it; a repeated message changes nothing.
 
         :param entry: id of the entry process.
         :param domain: its failure domain.
         :rtype: list[Out]
         """
-        self._heard[entry] = now
+        self._last_message_at[entry] = now
         known = self._pool.waiting.get(message.request)
         if known is not None and known.attempt >= message.attempt:
             return []
@@ -189,13 +192,13 @@
         return self._refuser.make_room(item, now) + self._decide(now)
 
     def withdraw(self, message: Withdraw) -> None:
-        """Forget a request that waits."""
+        """Remove a waiting request; an unknown one is ignored."""
         item = self._pool.waiting.get(message.request)
         if item is not None:
             self._pool.remove_waiting(item)
 
     def release(self, domain: str, message: Release, now: float) -> list[AddressedAction]:
-        """Take a grant back and learn from it.
+        """End a grant and update the estimates from its outcome.
 
         :param domain: failure domain of the entry process.
         :rtype: list[Out]
@@ -207,26 +210,27 @@
         outcome = ReleaseOutcome(message.outcome)
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is not None:
-            self._give_back(item, upstream, message)
+            self._refund_limit(item, upstream, message)
             self._learner.learn_health(upstream, domain, outcome, now)
             self._learner.learn_willingness(item, upstream, message, now)
             self._learner.learn_usage(item, upstream, outcome, message.usage, now)
         self._pool.end_running(item, now)
         return self._decide(now)
 
-    def _give_back(self, item: RunningRequest, upstream: Upstream, message: Release) -> None:
-        """Give back to an upstream's limit what was granted and never sent."""
+    def _refund_limit(self, item: RunningRequest, upstream: Upstream, message: Release) -> None:
+        """Refund the upstream's limit for a request that was granted but never sent."""
         unsent = message.outcome in UNSENT_OUTCOMES and message.usage.total_s == 0.0
         if unsent and item.counts_toward_limit and upstream.allowance is not None:
             upstream.allowance.give_back()
 
     def apply_progress(self, entry: str, message: Progress, now: float) -> list[AddressedAction]:
-        """Learn how far running work has come, and find releases that were lost.
+        """Update running requests from a progress report and end grants whose release was lost.
 
-        :param entry: id of the entry process; the message lists all that it has running here.
+        :param entry: id of the entry process; the message lists all its running requests in this
+            pool.
         :rtype: list[Out]
         """
-        self._heard[entry] = now
+        self._last_message_at[entry] = now
         self._learner.learn_progress(message.items, now)
         listed = {item.request for item in message.items}
         lost = [
@@ -241,17 +245,17 @@
         return self._decide(now) if lost else []
 
     def apply_first_output(self, message: FirstOutput, now: float) -> None:
-        """Learn that a prompt has been read."""
+        """Record that the prefill of a request is complete."""
         running = self._pool.running.get(message.request)
         if running is not None:
             self._learner.learn_first_output(running, message.first_s, now)
 
     def adopt(self, entry: str, message: Adopt, now: float) -> list[AddressedAction]:
-        """Take over what an entry process has running under an earlier scheduler.
+        """Adopt the requests that an entry process runs under a previous scheduler's grants.
 
         :rtype: list[Out]
         """
-        self._heard[entry] = now
+        self._last_message_at[entry] = now
         for item in message.items:
             upstream = self._pool.upstreams.get(item.upstream)
             waiting = self._pool.waiting.get(item.request)
@@ -260,12 +264,14 @@
             if waiting is not None:
                 self._pool.remove_waiting(waiting)
             if upstream is not None and item.request not in self._pool.running:
-                self._pool.start_running(self._adopted(entry, item, upstream, now), upstream, now)
+                self._pool.start_running(
+                    self._make_running(entry, item, upstream, now), upstream, now
+                )
         self._unsettled.discard(entry)
         return self._decide(now)
 
     def export_learned(self) -> Learned:
-        """Tell a successor what is known of the upstreams' speeds.
+        """Export the learned speeds of the upstreams for the successor of this scheduler.
 
         :rtype: Learned
         """
@@ -282,7 +288,7 @@
         return Learned(self.spec.name, speeds)
 
     def import_learned(self, message: Learned) -> None:
-        """Take what an earlier scheduler has learned."""
+        """Apply the speeds that a previous scheduler learned, where they have more samples."""
         for each in message.speeds:
             upstream = self._pool.upstreams.get(each.upstream)
             if upstream is not None:
@@ -290,15 +296,17 @@
                 upstream.invalidate_predictions()
 
     def remove_entry(self, entry: str, now: float) -> list[AddressedAction]:
-        """Drop what a dead entry process had waiting and running.
+        """Remove the waiting and running requests of a dead entry process.
 
         :rtype: list[Out]
         """
-        self._drop_entry(entry, now)
+        self._remove_entry_requests(entry, now)
         return self._decide(now)
 
     def apply_load_report(self, message: LoadReport, now: float) -> list[AddressedAction]:
-        """Learn from what an upstream says of itself: only what cannot be seen from here.
+        """Update an upstream's draining flag and foreign load from its load report.
+
+        The scheduler's own grants are subtracted from the reported load.
 
         :rtype: list[Out]
         """
@@ -313,35 +321,36 @@
         return self._decide(now)
 
     def apply_cache_event(self, message: CacheEvent) -> None:
-        """Note what an engine dropped from its prefix cache; a hint, late and with gaps."""
+        """Remove evicted blocks from the prefix index; events are delayed and incomplete."""
         self._pool.prefixes.drop_blocks(message.upstream, message.dropped)
 
     def tick(self, now: float) -> list[AddressedAction]:
-        """Give up what has expired, is hopeless or would be late; call about every 50 ms.
+        """Refuse expired, hopeless and late requests and grant others; call about every 50 ms.
 
         :rtype: list[Out]
         """
-        self._drop_silent(now)
+        self._remove_silent_entries(now)
         self._headroom.observe_running((each.rank for each in self._pool.running.values()), now)
-        outs = self._refuser.refuse_expired(now)
+        actions = self._refuser.refuse_expired(now)
         if self._settled(now):
-            outs += self._refuser.shed_by_forecast(now)
-        return outs + self._decide(now)
+            actions += self._refuser.shed_by_forecast(now)
+        return actions + self._decide(now)
 
-    def _drop_silent(self, now: float) -> None:
-        """Drop what processes hold that say nothing any more.
+    def _remove_silent_entries(self, now: float) -> None:
+        """Remove the requests of entry processes that have sent nothing for a while.
 
-        Membership tells of a death once; a message that was under way may come after that.
+        Membership reports a death only once, and a message that was in flight may arrive after
+        that.
         """
         if now < self._next_sweep:
             return
         self._next_sweep = now + SWEEP_S
-        for entry, heard in list(self._heard.items()):
-            if now - heard > ENTRY_TIMEOUT_S:
-                del self._heard[entry]
-                self._drop_entry(entry, now)
+        for entry, last_message_at in list(self._last_message_at.items()):
+            if now - last_message_at > ENTRY_TIMEOUT_S:
+                del self._last_message_at[entry]
+                self._remove_entry_requests(entry, now)
 
-    def _drop_entry(self, entry: str, now: float) -> None:
+    def _remove_entry_requests(self, entry: str, now: float) -> None:
         for waiting in [each for each in self._pool.waiting.values() if each.entry == entry]:
             self._pool.remove_waiting(waiting)
         for running in [each for each in self._pool.running.values() if each.entry == entry]:
@@ -390,7 +399,7 @@
         self._unsettled.clear()
         return True
 
-    def _adopted(
+    def _make_running(
         self, entry: str, item: RunningItem, upstream: Upstream, now: float
     ) -> RunningRequest:
         rank = self._pool.rank(item.tier)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/state.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/state.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.scheduling.state
 
-What the scheduler of one pool knows: its upstreams, what waits and what runs.
+The state of one pool's scheduler: upstreams, waiting requests and running requests.
 """
 
 import math
@@ -14,25 +14,26 @@
 from chalkyoke.scheduling.declines import Declines
 from chalkyoke.scheduling.estimates import DEFAULT_CAUTION_QUANTILE, OutputEstimate, SpeedModel
 
-# A request of a usual size, in tokens: the mean prompt and answer of the callers' sheets. Only the
-# order of upstreams hangs on it.
+# The size of a typical request, in tokens: the mean prompt and the mean answer. These sizes only
+# affect the order in which upstreams are compared.
 TYPICAL_PROMPT_TOKENS = 2000
 TYPICAL_OUTPUT_TOKENS = 60
-# How long a scheduler remembers what it had at an upstream, in seconds: beyond the age of any load
-# report that it is compared with.
+# How long the scheduler keeps its own past load at an upstream, in seconds: longer than the age of
+# any load report that this load is subtracted from.
 OWN_LOAD_MEMORY_S = 15.0
-# Over how long the share of time that an upstream reads prompts is averaged, in seconds.
+# Averaging window for the share of time that an upstream spends on prefill, in seconds.
 STALL_MEMORY_S = 10.0
-# The largest such share that is reckoned with: streams go on between two prompts.
+# Upper bound of that share in predictions: streams continue between two prompts.
 MAX_STALLED_SHARE = 0.6
-# The least part of a stream's time that counts as its own, whatever was read beside it.
+# Lower bound of the share of a stream's time that counts as decoding, whatever prefill ran during
+# that time.
 MIN_OWN_SHARE = 0.2
-# How much earlier what comes back as it was told counts as due, in seconds: the longest goals seen.
+# How much earlier a promised retry counts as due, in seconds: as long as the longest goals.
 RETRY_DUE_ADVANCE_S = 1.0
 
 
 class ReleaseOutcome(StrEnum):
-    """How a grant ended."""
+    """Enumerate the outcomes of a grant."""
 
     DELIVERED = "delivered"
     FAILED = "failed"
@@ -42,19 +43,20 @@
 
 
 class UpstreamSpec(msgspec.Struct, frozen=True):
-    """What configuration and host list say of one upstream.
-
-    :param slots: how many requests it runs at once.
-    :param prefill_tokens_per_s: first guess, until work has been measured.
-    :param decode_tokens_per_s: first guess for a single stream.
-    :param batch_slowdown: first guess: how many times slower a stream is when all slots run.
-    :param cache_blocks: prompt blocks that its prefix cache holds.
-    :param setup_s: first guess of what a request takes besides its tokens.
-    :param attention_s_per_pair: first guess of what each pair of prompt tokens takes; it makes long
-        prompts dearer than in proportion.
-    :param prefill_chunk_tokens: prompt tokens that are read between two tokens of the streams that
-        run beside; 0 where this is not known.
-    :param tokens_per_event: output tokens that a stream gives out at once.
+    """Describe one upstream as configuration and host list define it.
+
+    :param slots: number of requests that the upstream runs concurrently.
+    :param prefill_tokens_per_s: initial estimate, used until samples arrive.
+    :param decode_tokens_per_s: initial estimate for a single stream.
+    :param batch_slowdown: initial estimate of how many times slower a stream is when all slots are
+        in use.
+    :param cache_blocks: capacity of the prefix cache, in prompt blocks.
+    :param setup_s: initial estimate of the time that a request takes besides its tokens.
+    :param attention_s_per_pair: initial estimate of the time for each pair of prompt tokens; the
+        cost of a prompt therefore grows faster than its length.
+    :param prefill_chunk_tokens: prompt tokens that are read between two tokens of concurrent
+        streams; 0 where unknown.
+    :param tokens_per_event: output tokens that a stream emits in one event.
     """
 
     id: str
@@ -73,17 +75,17 @@
 
 
 class TierSpec(msgspec.Struct, frozen=True):
-    """One tier; rank 0 is the highest."""
+    """Describe one tier; rank 0 is the highest."""
 
     name: str
     rank: int
 
 
 class TeamSpec(msgspec.Struct, frozen=True):
-    """One team's share and limit in a pool.
+    """Describe one team's share and limit in a pool.
 
-    :param weight: share against the other teams of the same tier.
-    :param max_running: grants held at once; 0 is no limit.
+    :param weight: share relative to the other teams of the same tier.
+    :param max_running: maximum number of concurrent grants; 0 means no limit.
     """
 
     name: str
@@ -92,17 +94,18 @@
 
 
 class RouteSpec(msgspec.Struct, frozen=True):
-    """One route and the upstreams that its selector matches."""
+    """Describe one route and the upstreams that its selector matches."""
 
     name: str
     upstreams: frozenset[str]
 
 
 class PoolSpec(msgspec.Struct, frozen=True):
-    """All that configuration and host list say of one pool.
+    """Describe one pool as configuration and host list define it.
 
-    :param caution: how sure a request's deadline must be before it is started while others wait:
-        a quantile of the output length. More wastes less prompt work, and delivers a little less.
+    :param caution: quantile of the output length with which a request must still meet its deadline
+        to be started while others wait. A higher quantile wastes less prefill work and delivers
+        slightly fewer answers.
     """
 
     name: str
@@ -114,23 +117,24 @@
 
 
 class WaitingRequest(msgspec.Struct, eq=False):
-    """One request that waits for a grant.
+    """Hold one request that waits for a grant.
 
-    :param deadline: on the scheduler's own clock.
-    :param output: output tokens, as learned.
-    :param work: seconds that it is expected to take on a typical upstream; its fair-share cost.
-    :ivar least_s: the least time that it could take on an idle upstream, as last worked out.
-    :ivar late: whether it is predicted to miss its deadline; such a request is tried last.
+    :param deadline: time on the scheduler's own clock.
+    :param output: learned estimate of the output tokens.
+    :param work: expected duration on a typical upstream, in seconds; the fair-share cost.
+    :ivar least_s: the shortest possible duration on an idle upstream, as last computed.
+    :ivar late: whether the request is predicted to miss its deadline; late requests are tried last.
     :param goal: when the first output is due, on the scheduler's own clock; infinite where the
-        whole answer is due by the deadline.
-    :param comes_back_s: how long its caller may be told to stay away.
-    :param gap_goal: the longest pause between its outputs that is in time, in seconds.
-    :param whole: when the whole answer is due, on the scheduler's own clock.
-    :param fingerprint: the same for each attempt of one caller at one thing; 0 where not known.
-    :param hint: its caller's own estimate of its output, in tokens; 0 where it gave none.
-    :param tried: upstreams that it was sent to already.
-    :param returning: whether it comes back after a refusal that told it when.
-    :param long: whether it holds a slot for long beside what higher tiers wait for.
+        complete answer is due by the deadline.
+    :param max_retry_after_s: the longest Retry-After after which the caller can still be served in
+        time.
+    :param gap_goal: the longest acceptable pause between two outputs, in seconds.
+    :param answer_due: when the complete answer is due, on the scheduler's own clock.
+    :param fingerprint: identical for all attempts of one caller at one task; 0 where unknown.
+    :param hint: the caller's own estimate of the output, in tokens; 0 where none is given.
+    :param tried_upstreams: upstreams that the request was already sent to.
+    :param is_promised_retry: whether the request follows a refusal with Retry-After.
+    :param is_long: whether the request holds its slot long enough to delay higher tiers.
     """
 
     request: str
@@ -161,28 +165,29 @@
 
     @property
     def has_goal(self) -> bool:
-        """Whether the first output is due by a time of its own."""
+        """Whether the first output has its own due time."""
         return self.goal < math.inf
 
     @property
     def due(self) -> float:
-        """When it should be done: the first output where it has a goal, else the whole.
+        """When the first output (with a goal) or the complete answer (without one) is due.
 
-        What comes back as it was told goes before what is new.
+        A promised retry counts as due earlier and so precedes new requests.
         """
         due = min(self.goal, self.deadline)
         return due - RETRY_DUE_ADVANCE_S if self.is_promised_retry else due
 
 
 class RunningRequest(msgspec.Struct, eq=False):
-    """One request that holds a grant.
-
-    :param prefill_left: prompt tokens to be read when it was granted.
-    :param tier_index: how many tiers of the pool are higher than its own.
-    :param domain: failure domain of its entry process; empty where that is not known.
-    :param counted: whether it is counted in the limit that its upstream has named.
-    :ivar held_up: whether a prompt beside it has made a pause already that it can't bear.
-    :ivar stalls_seen: the upstream's stall seconds when its progress was last told.
+    """Hold one request that has a grant.
+
+    :param prefill_left: uncached prompt tokens at the time of the grant.
+    :param tier_index: number of tiers in the pool above the request's own.
+    :param domain: failure domain of the entry process; empty where unknown.
+    :param counts_toward_limit: whether the grant counts toward the limit that the upstream
+        announced.
+    :ivar gap_exceeded: whether the prefill of another request has already exceeded the gap goal.
+    :ivar stalls_seen: the upstream's ``stall_s`` at the last progress report.
     """
 
     request: str
@@ -213,13 +218,15 @@
 
 
 class Upstream(msgspec.Struct, eq=False):
-    """One upstream as the scheduler sees it now.
-
-    :ivar failures: failures lately; each success takes a part of one away.
-    :ivar unreachable: connections that could not be opened, one after the other.
-    :ivar allowance: what it takes from all nodes; nothing where it names no limit.
-    :ivar stall_s: seconds that it has spent reading prompts; its other streams stand still then.
-    :ivar stall_share: the share of its time that this took lately.
+    """Hold the current state of one upstream.
+
+    :ivar failures: recent failures; each success subtracts a fraction of one.
+    :ivar unreachable: consecutive connection failures.
+    :ivar foreign_load: requests from other nodes, according to the last load report.
+    :ivar allowance: token bucket of the limit that the upstream announced to all nodes; None where
+        it announced none.
+    :ivar stall_s: total seconds of prefill, during which the other streams make no progress.
+    :ivar stall_share: recent share of time spent on prefill, as of ``stall_updated_at``.
     """
 
     spec: UpstreamSpec
@@ -245,11 +252,11 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether any signal says that it gets no new work."""
+        """Whether the upstream gets no new work: it leaves the host list or drains."""
         return self.spec.leaving or self.draining
 
     def occupied(self, now: float) -> int:
-        """Count the slots in use: granted here, and seen in load reports from elsewhere.
+        """Count the slots in use by this scheduler's grants and by reported foreign load.
 
         :rtype: int
         """
@@ -257,7 +264,7 @@
         return len(self.running) + foreign
 
     def has_slot(self, now: float) -> bool:
-        """Tell whether a grant would find a free slot, and be within the limit that it names.
+        """Tell whether the upstream has a free slot and its announced limit allows a request.
 
         :rtype: bool
         """
@@ -266,14 +273,16 @@
         return self.allowance is None or self.allowance.is_open(now)
 
     def limit_opens_at(self, now: float) -> float:
-        """Tell when it takes one more request by the limit that it names, slots aside.
+        """Return when the announced limit allows one more request, regardless of slots.
 
-        :return: on the scheduler's clock.
+        :return: time on the scheduler's clock; ``now`` where there is no limit.
         """
         return now if self.allowance is None else now + self.allowance.opens_in_s(now)
 
     def is_usable(self, domain: str, now: float) -> bool:
-        """Tell whether an entry process of a failure domain may be sent here, rests aside.
+        """Tell whether entry processes of a failure domain may be granted this upstream.
+
+        Rests are checked separately, as they concern single entry processes.
 
         :rtype: bool
         """
@@ -286,13 +295,13 @@
         return now >= self.unreachable_from.get(domain, 0.0)
 
     def record_own_load(self, now: float) -> None:
-        """Remember how much was granted here, to tell it apart in lagged reports."""
+        """Record the current number of grants, to subtract it from delayed load reports."""
         self.own_load.append((now, len(self.running)))
         while self.own_load and self.own_load[0][0] < now - OWN_LOAD_MEMORY_S:
             self.own_load.popleft()
 
     def max_own_load_since(self, since: float) -> int:
-        """Give the highest number of grants held at any time since a moment.
+        """Return the maximum number of concurrent grants since a given time.
 
         :rtype: int
         """
@@ -301,23 +310,24 @@
         return max([*recent, *before[-1:], len(self.running)])
 
     def record_stall(self, seconds: float, now: float) -> None:
-        """Note that it has read a prompt."""
+        """Record the duration of a prefill, during which other streams made no progress."""
         self.stall_share = self.stalled_share(now) + seconds / STALL_MEMORY_S
         self.stall_updated_at = now
         self.stall_s += seconds
         self.invalidate_predictions()
 
     def stalled_share(self, now: float) -> float:
-        """Give the share of its time that reading prompts took lately.
+        """Return the recent share of time spent on prefill, decayed to ``now``.
 
         :rtype: float
         """
         return self.stall_share * math.exp((self.stall_updated_at - now) / STALL_MEMORY_S)
 
     def finish_slack_s(self, rank: int, now: float) -> float:
-        """Give the delay that its running requests of a tier or higher bear, in seconds.
+        """Return the longest delay, in seconds, that makes no running request miss its deadline.
 
-        Requests that miss their deadlines anyway are left out.
+        Only requests of the given tier or a higher one count, and only those that are predicted to
+        meet their deadlines; infinite where there are none.
 
         :rtype: float
         """
@@ -329,14 +339,14 @@
         return min((each for each in slacks if each > 0), default=math.inf)
 
     def invalidate_predictions(self) -> None:
-        """Forget what is kept of the running requests; call after each change of them."""
+        """Clear values cached from the running requests; call after each change to them."""
         self._ends = None
         self._outlook = None
         self._shortest_gap = None
         self._typical_s = None
 
     def idle_s(self) -> float:
-        """Predict a request of a usual size here if nothing else ran, in seconds.
+        """Predict the duration of a typical request on the idle upstream, in seconds.
 
         :rtype: float
         """
@@ -346,9 +356,10 @@
         ) + TYPICAL_OUTPUT_TOKENS * speed.token_time(1)
 
     def typical_s(self) -> float:
-        """Predict a request of a usual size that starts here now, in seconds.
+        """Predict the duration of a typical request that starts now, in seconds.
 
-        It is kept until what runs here changes, to compare many upstreams at little cost.
+        The value is cached until the running requests change, so that many upstreams can be
+        compared cheaply.
 
         :rtype: float
         """
@@ -360,7 +371,7 @@
         return self._typical_s
 
     def shortest_gap_goal(self) -> float:
-        """Give the shortest pause that one of its running requests can bear, in seconds.
+        """Return the shortest gap goal of the running requests, in seconds.
 
         :rtype: float
         """
@@ -370,7 +381,7 @@
         return self._shortest_gap
 
     def expected_finishes(self) -> list[float]:
-        """List when the running requests are expected to end, earliest first.
+        """List the expected finish times of the running requests, earliest first.
 
         :rtype: list[float]
         """
@@ -379,10 +390,10 @@
         return self._ends
 
     def prefill_outlook(self, now: float) -> tuple[float, float]:
-        """Say what stands before a new request.
+        """Return the prefill backlog and the share of time left for decoding.
 
-        :return: prompt tokens that are granted and not yet read, and the share of time in which
-            streams move on, that is, in which no prompt is read.
+        :return: granted prompt tokens that are not yet read, and the share of time in which no
+            prompt is read, so that streams make progress.
         """
         if self._outlook is None or self._outlook[0] != now:
             backlog = sum(
@@ -394,7 +405,7 @@
 
 
 class TokenSample(msgspec.Struct):
-    """Output tokens of one upstream's streams and the seconds that they took."""
+    """Accumulate output tokens of one upstream's streams and their decode time in seconds."""
 
     tokens: int = 0
     seconds: float = 0.0
@@ -402,9 +413,9 @@
     def add(
         self, item: RunningRequest, upstream: Upstream, output_tokens: int, elapsed_s: float
     ) -> None:
-        """Add what one stream did since its progress was last told.
+        """Add the tokens and the time of one stream since its last progress report.
 
-        The seconds in which the upstream read other prompts are left out.
+        Time in which the upstream read other prompts is excluded.
         """
         seconds = elapsed_s - item.elapsed_s
         stalled = upstream.stall_s - item.stalls_seen
--- a/packages/chalkyoke/src/chalkyoke/tokens/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/__init__.py
@@ -1,5 +1,5 @@
 """
 chalkyoke.tokens
 
-Request tokens and their one-way life.
+Request tokens and their one-way life cycle.
 """
--- a/packages/chalkyoke/src/chalkyoke/tokens/codec.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/codec.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.tokens.codec
 
-Write request tokens as text and read them back, sealed under the fleet's key.
+Encode request tokens as text and decode them, authenticated with the fleet key.
 """
 
 import base64
@@ -21,7 +21,7 @@
 
 
 class TokenCodec:
-    """Seal and open tokens with one fleet key.
+    """Encode, sign and verify tokens with one fleet key.
 
     :param fleet_key: secret shared by all hosts of the fleet, 16 to 64 bytes.
     """
@@ -30,30 +30,30 @@
         self._key = fleet_key
 
     def encode(self, token: Token) -> str:
-        """Write a token as text that fits an HTTP header.
+        """Encode and sign a token as text that fits an HTTP header.
 
         :rtype: str
         """
         body: bytes = msgpack.packb(msgspec.to_builtins(token))
-        sealed = body + self._mac(body)
-        return PREFIX + base64.urlsafe_b64encode(sealed).rstrip(b"=").decode()
+        signed_body = body + self._mac(body)
+        return PREFIX + base64.urlsafe_b64encode(signed_body).rstrip(b"=").decode()
 
     def decode(self, text: str) -> Result[Token, TokenProblem]:
-        """Read a token back.
+        """Decode a token and verify its signature.
 
-        :param text: what a caller sent.
+        :param text: the token as the caller sent it.
         :return: the token, or ``MALFORMED`` or ``FORGED``.
         """
         if not text.startswith(PREFIX) or len(text) > MAX_TEXT_CHARS:
             return Err(TokenProblem.MALFORMED)
 
-        sealed = _unwrap(text)
-        if sealed is None:
+        signed_body = _decode_base64(text)
+        if signed_body is None:
             return Err(TokenProblem.MALFORMED)
-        body, mac = sealed[:-MAC_BYTES], sealed[-MAC_BYTES:]
+        body, mac = signed_body[:-MAC_BYTES], signed_body[-MAC_BYTES:]
         if not hmac.compare_digest(mac, self._mac(body)):
             return Err(TokenProblem.FORGED)
-        token = _read(body)
+        token = _parse_token(body)
         return Err(TokenProblem.MALFORMED) if token is None else Ok(token)
 
     def _mac(self, body: bytes) -> bytes:
@@ -61,17 +61,17 @@
 
 
 def request_id_of(text: str) -> str:
-    """Give the id of a token's request, for looking it up; the seal is not checked.
+    """Return the request id of a token for a look-up, without verifying the signature.
 
     :param text: a token, or a request id.
-    :return: the request id; ``text`` itself where it is no token.
+    :return: the request id; ``text`` itself where it is not a token.
     """
-    sealed = _unwrap(text) if text.startswith(PREFIX) else None
-    token = _read(sealed[:-MAC_BYTES]) if sealed is not None else None
+    signed_body = _decode_base64(text) if text.startswith(PREFIX) else None
+    token = _parse_token(signed_body[:-MAC_BYTES]) if signed_body is not None else None
     return text if token is None else token.request
 
 
-def _unwrap(text: str) -> bytes | None:
+def _decode_base64(text: str) -> bytes | None:
     encoded = text[len(PREFIX) :]
     try:
         return base64.b64decode(encoded + "=" * (-len(encoded) % 4), b"-_", validate=True)
@@ -79,7 +79,7 @@
         return None
 
 
-def _read(body: bytes) -> Token | None:
+def _parse_token(body: bytes) -> Token | None:
     try:
         return msgspec.convert(msgpack.unpackb(body), Token)
     except (ValueError, msgpack.UnpackException, msgspec.ValidationError):
--- a/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.tokens.ledger
 
-The issuer's record of its own tokens: the one place that decides whether a request may be
-dispatched. It needs no lease, no store and no clock but its own.
+The issuer's ledger of its own tokens: the only place that decides whether a request may be
+dispatched. The ledger needs no lease, no store and no clock of another node.
 """
 
 from collections import OrderedDict
@@ -14,17 +14,18 @@
 from chalkyoke.tokens.messages import Token, TokenProblem
 from chalkyoke.tokens.state import ALLOWED_TRANSITIONS, FINAL_STATES, TokenState
 
+# Default time for which a token can be used, in seconds.
 DEFAULT_LIFETIME_S = 900.0
-# Tokens that are remembered, in number.
+# Default maximum number of used tokens that are kept.
 DEFAULT_CAPACITY_TOKENS = 100_000
 
 
 @dataclass(slots=True)
 class TokenRecord:
-    """What the issuer knows of one token that was used.
+    """Hold the state of one used token.
 
-    :param digest: hash of the request that first used it; another request is not served.
-    :param dispatches: how often bytes may have left for an upstream; never above one.
+    :param digest: hash of the request that first used the token; another request is refused.
+    :param dispatches: how often bytes may have been sent to an upstream; at most one.
     """
 
     token: Token
@@ -34,17 +35,17 @@
 
 
 class TokenLedger:
-    """Issue tokens and move them one way.
+    """Issue tokens and track their one-way state transitions.
 
-    An unspent token costs no memory: a sequence number below the next one that has no record is
-    still ``issued``. A used one is kept until it expires, and an expired one stays refused even
-    when the clock steps back.
+    An unused token needs no memory: a sequence number below the next one that has no record is
+    still ``issued``. A used token is kept until it expires, and an expired one stays refused even
+    if the clock steps back.
 
     :param host: id of this host.
     :param address: ``ip:port`` of this host's link listener.
     :param incarnation: random number of this process.
     :param lifetime_s: how long a token can be used, in seconds.
-    :param capacity: how many used tokens are kept at most.
+    :param capacity: maximum number of used tokens that are kept.
 
     Usage::
 
@@ -75,7 +76,7 @@
         return len(self._records)
 
     def issue(self, now: float) -> Token:
-        """Issue a token.
+        """Issue a token that expires after the ledger's lifetime.
 
         :param now: seconds on the monotonic clock since this process started.
         :rtype: Token
@@ -86,18 +87,19 @@
         return Token(self.host, self.address, self.incarnation, sequence, expires_ms)
 
     def is_issued_here(self, token: Token) -> bool:
-        """Tell whether this process issued a token, and nobody else may run it.
+        """Tell whether this process issued a token; no other process may dispatch its request.
 
         :rtype: bool
         """
         return token.host == self.host and token.incarnation == self.incarnation
 
     def admit(self, token: Token, digest: bytes, now: float) -> Result[TokenRecord, TokenProblem]:
-        """Find the record of a token, or make one at its first use.
+        """Return the record of a token; create it at the token's first use.
 
-        :param digest: hash of the request that comes with it.
+        :param digest: hash of the request that is sent with the token.
         :param now: seconds on the monotonic clock since this process started.
-        :return: the record, or why the token is not taken; then nothing has changed.
+        :return: the record, or the reason for which the token is rejected; a rejected token changes
+            no state.
         """
         if not self.is_issued_here(token):
             return Err(TokenProblem.OTHER_INCARNATION)
@@ -120,8 +122,8 @@
         """Move a token to its next state.
 
         :param state: the new state.
-        :raises InvariantBroken: when the move is not one of :data:`ALLOWED_MOVES`, or would be a
-            second dispatch.
+        :raises InvariantBroken: when the transition is not one of :data:`ALLOWED_TRANSITIONS`, or
+            would be a second dispatch.
         """
         require(
             state in ALLOWED_TRANSITIONS[record.state],
@@ -140,9 +142,9 @@
         record.state = state
 
     def check_not_run(self, record: TokenRecord) -> None:
-        """Check, before a caller is told "not run", that it is true and stays true.
+        """Check that a request was not dispatched and never can be, before a "not run" answer.
 
-        :raises InvariantBroken: when bytes may have left, or the token could still run.
+        :raises InvariantBroken: when bytes may have been sent, or the request could still run.
         """
         require(
             record.dispatches == 0 and record.state is TokenState.REFUSED,
@@ -153,19 +155,19 @@
         )
 
     def expire(self, now: float) -> list[TokenRecord]:
-        """Forget the final records whose tokens have expired.
+        """Remove the records in a final state whose tokens have expired.
 
         :param now: seconds on the monotonic clock since this process started.
-        :return: the records that were forgotten.
+        :return: the removed records.
         """
         now_ms = int(now * 1000)
-        forgotten: list[TokenRecord] = []
+        removed: list[TokenRecord] = []
         for sequence, record in list(self._records.items()):
             if record.token.expires_ms > now_ms:
                 break
             if record.state in FINAL_STATES:
-                forgotten.append(self._records.pop(sequence))
+                removed.append(self._records.pop(sequence))
 
-        for record in forgotten:
+        for record in removed:
             self._expired_up_to_ms = max(self._expired_up_to_ms, record.token.expires_ms)
-        return forgotten
+        return removed
--- a/packages/chalkyoke/src/chalkyoke/tokens/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/messages.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.tokens.messages
 
-The request token, and the reasons for which one is not taken.
+The request token, and the reasons for which a token is rejected.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Token(msgspec.Struct, frozen=True, array_like=True):
-    """The identity of one request; it names the only process that may dispatch it.
+    """Identify one request and the only process that may dispatch it.
 
     :param host: id of the issuing host.
     :param address: ``ip:port`` of the issuer's link listener, so that any host can forward a retry
@@ -28,12 +28,12 @@
 
     @property
     def request(self) -> str:
-        """The id of its request over the whole fleet; it holds no secret."""
+        """The id of the token's request, unique in the fleet; it contains no secret."""
         return f"{self.host}-{self.incarnation:x}-{self.sequence}"
 
 
 class TokenProblem(StrEnum):
-    """Why a token is not taken."""
+    """Enumerate the reasons for which a token is rejected."""
 
     MALFORMED = "malformed"
     FORGED = "forged"
--- a/packages/chalkyoke/src/chalkyoke/tokens/state.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/state.py
@@ -1,14 +1,14 @@
 """
 chalkyoke.tokens.state
 
-The states of a request token, and the only moves allowed between them.
+The states of a request token and the allowed transitions between them.
 """
 
 from enum import StrEnum
 
 
 class TokenState(StrEnum):
-    """Where a token stands; it moves one way only."""
+    """Enumerate the states of a token; transitions are one-way."""
 
     ISSUED = "issued"
     QUEUED = "queued"
