--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_local.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_local.py
@@ -17,14 +17,14 @@
     assert balancer.choose(replicas(), 0.0).id == "r2"
 
 
-def test_what_was_told_of_load_fades():
+def test_reported_load_decays():
     balancer = make()
     balancer.stats("r0").record_load(6, 6, now=0.0)
     assert balancer.choose(replicas(), 0.0).id != "r0"
     assert balancer.choose(replicas(), 10.0).id == "r0"
 
 
-def test_a_replica_that_fails_or_is_not_reached_comes_last_and_is_never_shut_out():
+def test_failing_or_unreachable_replica_ranks_last_but_is_never_excluded():
     balancer = make()
     balancer.stats("r0").record_failure(1.0, 0.0)
     balancer.stats("r1").record_unreachable(0.0)
@@ -34,19 +34,19 @@
     assert balancer.choose(replicas(), 0.2) is not None
 
 
-def test_failures_are_forgotten_after_a_while():
+def test_failures_decay():
     balancer = make()
     balancer.stats("r0").record_failure(1.0, 0.0)
     assert balancer.choose(replicas(), 0.1).id != "r0"
     assert balancer.choose(replicas(), 60.0).id == "r0"
 
 
-def test_another_replica_is_tried_before_the_same_again():
+def test_other_replicas_are_tried_before_avoided_ones():
     assert make().choose(replicas(), 0.0, avoid=["r0", "r1"]).id == "r2"
     assert make().choose(replicas(1), 0.0, avoid=["r0"]).id == "r0"
 
 
-def test_a_slow_replica_gets_less():
+def test_faster_replica_is_preferred():
     balancer = make()
     balancer.stats("r0").record_answer(0.5)
     balancer.stats("r1").record_answer(0.05)
@@ -54,14 +54,14 @@
     assert balancer.choose(replicas(), 0.0).id == "r1"
 
 
-def test_a_bound_on_what_this_node_has_out_is_kept():
+def test_no_replica_is_chosen_beyond_outstanding_bound():
     balancer = make()
     for each in replicas():
         balancer.stats(each.id).outstanding = 1
     assert balancer.choose(replicas(), 0.0, max_outstanding=lambda _: 1) is None
 
 
-def test_a_full_replica_is_waited_for_rather_than_one_that_is_not_reached():
+def test_full_replica_is_preferred_over_unreachable_one():
     balancer = make()
     balancer.stats("r0").outstanding = 1
     balancer.stats("r1").record_unreachable(0.0)
@@ -70,7 +70,7 @@
     assert balancer.choose(replicas(2), 0.1, max_outstanding=lambda _: 1).id == "r0"
 
 
-def test_where_none_is_reached_one_is_tried_all_the_same():
+def test_unreachable_replica_is_tried_if_all_are_unreachable():
     balancer = make()
     for name in ("r0", "r1"):
         balancer.stats(name).record_unreachable(0.0)
--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_rests.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_rests.py
@@ -8,7 +8,7 @@
     return LocalBalancer("z0", lambda: 0.5), some_replicas(count)
 
 
-def test_a_replica_that_wants_rest_is_not_chosen_before_it_is_over():
+def test_resting_replica_is_not_chosen_before_rest_ends():
     balancer, replicas = make(2)
     assert balancer.record_rest("r0", 3.0, 10.0) == (True, 3.0)
     assert {balancer.choose(replicas, 12.9).id for _ in range(20)} == {"r1"}
@@ -23,7 +23,7 @@
     assert balancer.rest_left_s(replicas, 12.0) == 1.0
 
 
-def test_all_rest_until_the_first_is_back():
+def test_common_rest_lasts_until_first_replica_returns():
     balancer, replicas = make(2)
     balancer.record_rest("r0", 3.0, 10.0)
     assert balancer.rest_left_s(replicas, 10.0) == 0.0
@@ -32,7 +32,7 @@
     assert balancer.rest_left_s([], 10.0) == 0.0
 
 
-def test_a_rest_is_bounded_and_outlasts_a_record_that_lapses():
+def test_rest_is_bounded_and_survives_lapsed_record():
     balancer, replicas = make(1)
     assert balancer.record_rest("r0", float("inf"), 0.0) == (True, MOST_REST_S)
     balancer.prune((), 1.0)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_declines.py
@@ -1,4 +1,4 @@
-"""An upstream that turns requests away looks free to its scheduler; what it is taken to mean."""
+"""Handling of upstreams that decline requests: they look free to the scheduler."""
 
 import math
 
@@ -24,7 +24,7 @@
     return outs[0].action if outs else None
 
 
-def test_the_pause_doubles_with_each_decline_up_to_one_a_second():
+def test_pause_doubles_with_each_decline_up_to_one_second():
     declines, now, pauses = Declines(), 0.0, []
     for _ in range(7):
         declines.record_decline("a", now, now)
@@ -35,14 +35,14 @@
     assert declines.refuses_all
 
 
-def test_declines_of_requests_that_were_under_way_together_count_once():
+def test_declines_of_concurrent_requests_count_once():
     declines = Declines()
     for at in (1.0, 1.001, 1.002):
         declines.record_decline("a", 0.9, at)
     assert declines.opens_at("a", 1.002) == 1.0 + FIRST_PAUSE_S
 
 
-def test_a_request_from_before_the_last_decline_does_not_open_it():
+def test_request_granted_before_last_decline_does_not_reset_pause():
     declines = Declines()
     declines.record_decline("a", 1.0, 1.0)
     declines.record_served("a", 0.5, 1.05)
@@ -55,7 +55,7 @@
     assert (declines.is_clear(4.3), declines.resting(4.3)) == (True, [])
 
 
-def test_a_domain_that_is_turned_away_alone_is_left_out_alone():
+def test_decline_of_one_domain_pauses_only_that_domain():
     declines = Declines()
     declines.record_decline("a", 1.0, 1.0)
     assert declines.opens_at("b", 1.05) > 1.05
@@ -66,7 +66,7 @@
     assert declines.opens_at("b", 2.0) == -math.inf
 
 
-def test_an_upstream_that_declines_does_not_draw_the_work_of_its_pool():
+def test_declining_upstream_does_not_attract_requests_of_its_pool():
     scheduler = make([upstream("u1", 4), upstream("u2", 4)])
     granted = []
     for number in range(200):
@@ -83,11 +83,11 @@
             attempt = action.attempt
             done = Release(name, attempt, "p", ReleaseOutcome.DELIVERED, USAGE)
             scheduler.release("z", done, now + 0.01)
-    # Four pauses that double, then one request a second: 0.1 + 0.2 + 0.4 + 0.8 s, of 4 s.
+    # Within 4 s: four doubling pauses of 0.1 + 0.2 + 0.4 + 0.8 s, then one request a second.
     assert 4 <= len(granted) <= 8
 
 
-def test_what_it_wants_nothing_of_is_an_entry_process_and_no_other():
+def test_rest_applies_only_to_the_entry_process_that_it_names():
     scheduler = make([upstream("u1", 4)])
     assert ask(scheduler, "x", 0.0).upstream == "u1"
     outcome = Release("x", 1, "p", ReleaseOutcome.DELIVERED, USAGE, rest_s=3.0)
@@ -100,7 +100,7 @@
     assert ask(scheduler, "w", 3.2, entry="e").upstream == "u1"
 
 
-def test_a_request_is_held_for_an_upstream_that_is_back_within_its_goal():
+def test_request_waits_for_upstream_whose_rest_ends_within_its_goal():
     scheduler = make([upstream("u1", 4)])
     ask(scheduler, "x", 0.0)
     scheduler.release("z", Release("x", 1, "p", "delivered", USAGE, rest_s=0.6), 0.1)
@@ -109,9 +109,9 @@
     assert [type(each) for each in granted] == [Grant]
 
 
-def test_a_pool_that_refuses_all_answers_at_once_and_is_tried_once_a_second():
+def test_pool_that_declines_all_refuses_at_once_and_is_probed_once_a_second():
     scheduler = make([upstream("u1", 4), upstream("u2", 4)])
-    tries, told = [], []
+    tries, refusals = [], []
     for number in range(500):
         now, name = number * 0.02, f"x{number}"
         first = ask(scheduler, name, now, goal_s=1.0, budget_s=4.0, max_retry_after_s=2.0)
@@ -122,19 +122,19 @@
                 tries.append(now)
                 actions += decline(scheduler, action.request, now)
             elif isinstance(action, Shed):
-                told.append(action)
+                refusals.append(action)
     late = [at for at in tries if at > 4.0]
     assert len(late) <= 2 * 6 + 2
     assert scheduler.waiting == 0
-    assert all(0 < each.retry_after_s <= MAX_PAUSE_S + 0.5 for each in told)
+    assert all(0 < each.retry_after_s <= MAX_PAUSE_S + 0.5 for each in refusals)
 
 
-def test_all_are_closed_only_while_none_is_open():
+def test_closure_requires_every_upstream_to_be_closed():
     open_one, closed_one = Declines(), Declines()
     closed_one.record_decline("a", 0.0, 0.0)
     assert find_closure([(open_one, 0.0), (closed_one, 0.0)], "e", "a", 0.0) is None
     assert find_closure([(closed_one, 0.0)], "e", "a", 0.0).until == FIRST_PAUSE_S
-    # One that its limit holds up is closed as well, and refuses nothing.
+    # An upstream at its announced limit counts as closed, but not as refusing.
     limited = find_closure([(open_one, 0.4), (closed_one, 0.0)], "e", "a", 0.0)
     assert (limited.until, limited.refused) == (FIRST_PAUSE_S, False)
     assert find_closure([], "e", "a", 0.0) is None
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
@@ -1,4 +1,4 @@
-"""Requests whose first output is due: order, headroom, pauses, early refusals and promises."""
+"""Requests with a goal for the first output: order, headroom, pauses, early refusals, retries."""
 
 import math
 
@@ -96,7 +96,7 @@
     return [out.action for out in scheduler.release("z", message, now)]
 
 
-def test_a_higher_tier_goes_first_even_when_it_is_late_already():
+def test_higher_tier_goes_first_even_if_already_late():
     scheduler = make([upstream(FAST, slots=1)])
     ask(scheduler, name="holder", tier="0")
     ask(scheduler, name="low", tier="1", now=0.1)
@@ -104,7 +104,7 @@
     assert [each.request for each in release(scheduler, "holder", 0.2)] == ["high"]
 
 
-def test_a_late_request_is_kept_while_its_caller_is_still_there_and_shed_after():
+def test_late_request_waits_until_its_deadline_and_then_expires():
     scheduler = make([upstream(FAST, slots=1)])
     ask(scheduler, name="holder", tier="0", likely_output=600)
     ask(scheduler, name="waits", tier="0", now=0.1)
@@ -114,7 +114,7 @@
     assert [(each.request, each.reason) for each in gone] == [("waits", Reason.EXPIRED)]
 
 
-def test_long_work_of_a_lower_tier_leaves_slots_free_for_higher_ones():
+def test_long_requests_of_lower_tier_leave_slots_for_higher_tiers():
     scheduler = make([upstream(FAST, slots=8)])
     for number in range(4):
         ask(scheduler, name=f"h{number}", tier="0", likely_output=400)
@@ -130,9 +130,9 @@
     assert granted(short) == [FAST]
 
 
-def test_long_low_work_takes_the_upstream_that_finishes_it_soonest():
-    """It held a slow upstream's slot for several times as long before, and its streams had pauses
-    that they could not bear.
+def test_long_low_tier_request_gets_upstream_with_earliest_finish():
+    """On a slow upstream, the request would occupy its slot several times as long, and streams
+    would exceed their gap goals.
     """
     scheduler = make([upstream(FAST), upstream(SLOW, prefill=14_000.0, decode=100.0)])
     assert granted(ask(scheduler, name="long", likely_output=300)) == [FAST]
@@ -140,12 +140,12 @@
     assert granted(ask(scheduler, name="third", likely_output=300)) == [SLOW]
 
 
-def test_an_answer_that_a_slow_upstream_could_not_finish_in_time_goes_to_a_fast_one():
+def test_answer_too_long_for_slow_upstream_goes_to_fast_one():
     scheduler = make([upstream(FAST), upstream(SLOW, prefill=14_000.0, decode=60.0)])
     assert granted(ask(scheduler, name="long", likely_output=400)) == [FAST]
 
 
-def test_a_prompt_that_would_hold_streams_up_goes_where_none_or_the_least_run():
+def test_long_prompt_avoids_upstream_with_running_stream():
     specs = [
         upstream("a", prefill=14_000.0, decode=100.0),
         upstream("b", prefill=14_000.0, decode=100.0),
@@ -157,7 +157,7 @@
     assert other != first
 
 
-def test_a_first_output_that_is_told_at_once_takes_the_prompt_off_the_backlog():
+def test_first_output_removes_prompt_from_prefill_backlog():
     scheduler = make([upstream(FAST, slots=8)])
     ask(scheduler, name="big", prompt_tokens=16_000, goal_s=2.0)
     (before,) = [a for a in ask(scheduler, name="x", now=0.5) if isinstance(a, Grant)]
@@ -166,17 +166,17 @@
     assert after.expected_first_s < before.expected_first_s / 2
 
 
-def crowd(scheduler, count, now, start=0, **fields):
+def send_requests(scheduler, count, now, start=0, **fields):
     return [
         ask(scheduler, name=f"c{start + number}", fingerprint=start + number + 1, now=now, **fields)
         for number in range(count)
     ]
 
 
-def test_what_would_wait_beyond_its_goal_is_refused_at_once_and_let_in_when_it_comes_back():
+def test_request_that_would_miss_its_goal_is_refused_early_and_its_retry_goes_first():
     scheduler = make([upstream(FAST, slots=1)])
     ask(scheduler, name="holder", likely_output=400)
-    answers = crowd(scheduler, 6, now=0.1, max_retry_after_s=1.0)
+    answers = send_requests(scheduler, 6, now=0.1, max_retry_after_s=1.0)
     shed = [each for actions in answers for each in actions if isinstance(each, Shed)]
     assert shed and all(0 < each.retry_after_s <= 1.0 for each in shed)
 
@@ -192,7 +192,7 @@
     assert next(each.request for each in queue if isinstance(each, Grant)) == "again"
 
 
-def test_a_higher_tier_is_not_refused_early_while_a_lower_one_waits():
+def test_higher_tier_is_not_refused_early_while_lower_tier_waits():
     scheduler = make([upstream(FAST, slots=1)])
     ask(scheduler, name="holder", tier="0", likely_output=1000)
     ask(scheduler, name="low", now=0.1)
@@ -201,19 +201,19 @@
         assert not [each for each in actions if isinstance(each, Shed)]
 
 
-def test_a_successor_starts_with_what_was_learned():
+def test_successor_imports_learned_speeds():
     old = make([upstream(FAST)])
     old.import_learned(Learned("p", (LearnedSpeed(FAST, 2.0, 3.0, 7),)))
-    told = old.export_learned()
-    assert told.speeds == (LearnedSpeed(FAST, 2.0, 3.0, 7),)
+    exported = old.export_learned()
+    assert exported.speeds == (LearnedSpeed(FAST, 2.0, 3.0, 7),)
     new = make([upstream(FAST)])
-    new.import_learned(told)
+    new.import_learned(exported)
     new.import_learned(Learned("p", (LearnedSpeed(FAST, 9.0, 9.0, 3),)))
     new.import_learned(Learned("p", (LearnedSpeed("unknown", 9.0, 9.0, 3),)))
-    assert new.export_learned() == told
+    assert new.export_learned() == exported
 
 
-def test_headroom_grows_with_what_higher_tiers_use():
+def test_headroom_grows_with_usage_of_higher_tiers():
     headroom = Headroom(0.0)
     assert headroom.reserved_slots(1) == 0
     for step in range(200):
@@ -227,7 +227,7 @@
     assert headroom.reserved_slots(1) == 0
 
 
-def test_a_tiers_wait_is_predicted_from_how_fast_it_gets_slots():
+def test_wait_is_predicted_from_grant_rate_of_tier():
     headroom = Headroom(0.0)
     for step in range(100):
         headroom.record_grant(1, 0.1 * step)
@@ -236,14 +236,14 @@
     assert headroom.wait_s(1, 10, 60.0) > 20
 
 
-def test_without_goals_nothing_of_this_changes_the_order():
+def test_request_without_goal_gets_fast_upstream():
     features = msgspec.structs.replace(FEATURES, late_last=True)
     scheduler = make([upstream(FAST), upstream(SLOW, decode=100.0)], features)
     actions = ask(scheduler, name="plain", goal_s=0.0, likely_output=300, budget_s=30.0)
     assert granted(actions) == [FAST]
 
 
-def test_long_prompts_gather_where_streams_are_held_up_already():
+def test_long_prompts_gather_where_gap_goals_are_already_exceeded():
     specs = [
         upstream("a", slots=6, prefill=14_000.0, decode=100.0),
         upstream("b", slots=6, prefill=14_000.0, decode=100.0),
@@ -260,8 +260,8 @@
     assert first == second
 
 
-def test_late_requests_of_a_tier_make_no_timely_one_behind_them_late():
-    """They are granted after it, so they are played after it too."""
+def test_late_requests_do_not_make_later_timely_request_late():
+    """Late requests are granted after it, so the forecast must simulate them after it too."""
     features = msgspec.structs.replace(FEATURES, early=False, fair=False)
     scheduler = make([upstream(FAST, slots=1)], features)
     ask(scheduler, name="holder", tier="1", likely_output=60)
@@ -274,7 +274,7 @@
     assert [each.request for each in release(scheduler, "holder", 0.2)] == ["timely"]
 
 
-def test_a_prompt_that_would_hold_streams_up_waits_for_an_upstream_that_bears_it():
+def test_long_prompt_waits_for_upstream_where_it_stalls_no_stream():
     fast = upstream(FAST, slots=1, prefill=80_000.0)
     slow = upstream(SLOW, slots=4, prefill=20_000.0)
     scheduler = make([fast, slow])
@@ -286,7 +286,7 @@
     assert granted(release(scheduler, "soon done", 0.2)) == [FAST]
 
 
-def test_a_prompt_that_no_other_upstream_could_read_in_time_does_not_wait():
+def test_long_prompt_starts_at_once_if_no_other_upstream_meets_its_goal():
     fast = upstream(FAST, slots=1, prefill=60_000.0)
     slow = upstream(SLOW, slots=4, prefill=20_000.0)
     scheduler = make([fast, slow])
@@ -296,7 +296,7 @@
     assert granted(ask(scheduler, name="long", now=0.0, **long)) == [SLOW]
 
 
-def test_a_new_scheduler_waits_no_longer_than_a_short_aim_for_those_that_are_lost():
+def test_new_scheduler_waits_for_lost_entries_less_than_a_short_goal():
     pool = make([upstream(FAST)])
     lost = PoolScheduler(pool.spec, lambda: 0.5, 0.0, ["e1", "gone"], FEATURES)
     assert lost.acquire("e1", "z", acquire("q1", goal_s=0.3), 0.01) == []
@@ -304,12 +304,12 @@
     assert [out.action.request for out in outs] == ["q1"]
 
 
-def test_nobody_is_refused_for_a_queue_that_only_waits_for_a_new_scheduler_to_settle():
+def test_no_request_is_refused_early_before_new_scheduler_has_settled():
     spec = make([upstream("u1"), upstream("u2")]).spec
     scheduler = PoolScheduler(spec, lambda: 0.5, 0.0, ["h", "other"], FEATURES)
-    # Long answers, each of which keeps a slot for seconds.
+    # Long answers, each of which occupies a slot for seconds.
     long_ones = {"likely_output": 0, "max_output": 2000, "gap_goal_s": 0.3, "goal_s": 1.0}
     asked = [ask(scheduler, 0.01, name=f"x{number}", **long_ones) for number in range(3)]
     assert asked == [[], [], []]
-    told = [out.action for out in scheduler.tick(0.11)]
-    assert [type(each) for each in told] == [Grant] * 3
+    actions = [out.action for out in scheduler.tick(0.11)]
+    assert [type(each) for each in actions] == [Grant] * 3
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
@@ -1,4 +1,4 @@
-"""A pool's scheduler before upstreams that name how many requests a second they take."""
+"""Scheduling for upstreams that announce a limit of requests per second."""
 
 import pytest
 from chalkyoke.limits.allowance import Allowance
@@ -17,8 +17,8 @@
     return scheduler
 
 
-def play(scheduler, demand_per_s, seconds, run_s=0.2):
-    """Let requests come evenly; give what was granted, and what was refused, with its moment."""
+def simulate(scheduler, demand_per_s, seconds, run_s=0.2):
+    """Send requests at a constant rate; return grants and refusals with their times."""
     granted, refused, ends = [], [], []
     number, now = 0, 0.0
     while now < seconds:
@@ -41,8 +41,8 @@
     return granted, refused
 
 
-def test_a_limited_upstream_is_granted_at_its_limit_and_others_take_the_rest():
-    granted, refused = play(limited({FAST}), demand_per_s=20.0, seconds=10.0)
+def test_limited_upstream_gets_its_limit_and_others_take_the_rest():
+    granted, refused = simulate(limited({FAST}), demand_per_s=20.0, seconds=10.0)
     counted = [at for at, name, counted in granted if counted]
     assert all(counted == (name == FAST) for _, name, counted in granted)
     assert len(counted) <= 10 * LIMIT_PER_S + 2
@@ -51,18 +51,18 @@
 
 
 @pytest.mark.parametrize("times", [1.2, 2.0, 10.0])
-def test_where_limits_bind_all_of_them_is_used_and_the_rest_refused_in_time(times):
+def test_limits_are_fully_used_under_overload_and_excess_is_refused(times):
     sum_per_s = 2 * LIMIT_PER_S
     scheduler = limited({FAST, SLOW}, slots=50)
-    granted, refused = play(scheduler, demand_per_s=times * sum_per_s, seconds=20.0)
+    granted, refused = simulate(scheduler, demand_per_s=times * sum_per_s, seconds=20.0)
     later = [at for at, _, _ in granted if at >= 5.0]
     assert 0.9 <= len(later) / (15.0 * sum_per_s) <= 1.1
     assert all(action.retry_after_s is None or action.retry_after_s > 0 for _, action in refused)
-    # What waits is a goal's worth of the sum and not what came in seconds.
+    # The queue is bounded by what the limits serve within a goal, not by the demand of seconds.
     assert scheduler.waiting <= 2 * sum_per_s
 
 
-def test_what_was_granted_and_never_sent_is_given_back():
+def test_limit_is_refunded_for_grant_that_was_never_sent():
     scheduler = limited({FAST, SLOW}, limit_per_s=1.0)
     outs = scheduler.acquire("h", "z", acquire("a"), 1.0)
     (grant,) = [each.action for each in outs if isinstance(each.action, Grant)]
@@ -73,12 +73,12 @@
     unused = Release("a", 1, "p", ReleaseOutcome.UNUSED, Usage())
     granted = [each.action for each in scheduler.release("z", unused, 1.01)]
     assert [(each.request, each.upstream) for each in granted] == [("c", grant.upstream)]
-    # One that the upstream has turned away did reach it.
+    # A declined request has reached the upstream, so it is not refunded.
     declined = Release("b", 1, "p", ReleaseOutcome.UNUSED, Usage(total_s=0.01), declined=True)
     assert not scheduler.release("z", declined, 1.02)
 
 
-def test_an_upstream_that_comes_back_is_still_limited():
+def test_limit_still_applies_to_upstream_that_returns():
     scheduler = limited({FAST}, limit_per_s=1.0)
     spec = scheduler.spec
     empty = make([upstream(SLOW)]).spec
@@ -87,7 +87,7 @@
     assert scheduler.upstreams[FAST].allowance is not None
 
 
-def test_a_limit_that_is_over_is_forgotten():
+def test_removed_limit_no_longer_applies():
     scheduler = limited({FAST, SLOW}, limit_per_s=0.2)
     assert not scheduler.acquire("h", "z", acquire("a", goal_s=2.0, budget_s=6.0), 0.0)
     (out,) = scheduler.set_allowances({}, 0.1)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_overlaps.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_overlaps.py
@@ -10,7 +10,7 @@
 
 
 @given(st.lists(NAMES, max_size=8))
-def test_routes_overlap_where_they_share_an_upstream(sets):
+def test_routes_overlap_if_they_share_an_upstream(sets):
     routes = [RouteSpec(f"r{number}", names) for number, names in enumerate(sets)]
     overlaps = Overlaps(routes)
     for one in routes:
@@ -19,13 +19,13 @@
             assert ((one.name, other.name) in overlaps) == shared
 
 
-def test_a_route_that_is_not_known_overlaps_none():
+def test_unknown_route_overlaps_none():
     overlaps = Overlaps([RouteSpec("r", frozenset("u"))])
     assert ("r", "gone") not in overlaps and ("gone", "gone") not in overlaps
 
 
 class CountedSet(frozenset):
-    """A set of upstreams that counts how often it is compared with others."""
+    """A set of upstreams that counts intersections with other sets."""
 
     compared = 0
 
@@ -34,8 +34,8 @@
         return frozenset.__and__(self, other)
 
 
-def test_a_configuration_of_many_routes_is_taken_without_comparing_each_with_each():
-    """Taking 1,400 routes over 140 upstreams held a node's loop up for 6 s."""
+def test_configuration_of_many_routes_compares_only_distinct_sets():
+    """Comparing 1,400 routes over 140 upstreams in pairs would block an event loop for 6 s."""
     names = CountedSet(f"u{number}" for number in range(140))
     routes = tuple(RouteSpec(f"r{number}", names) for number in range(1400))
     CountedSet.compared = 0
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_parts.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_parts.py
@@ -4,14 +4,14 @@
 from hypothesis import strategies as st
 
 
-def test_a_slowed_engine_is_believed_slow_after_a_few_reports():
+def test_slowed_engine_is_predicted_slow_after_a_few_reports():
     speed = SpeedModel(8000, 50, 1.5, 8)
     for _ in range(12):
         speed.learn_tokens(40, 4.0, 1)
     assert 4.0 < speed.token_time(1) / (1 / 50) < 5.5
 
 
-def test_a_stalled_engine_is_believed_slower_without_any_token():
+def test_stalled_engine_is_predicted_slower_without_any_token():
     speed = SpeedModel(8000, 50, 1.5, 8)
     before = speed.token_time(1)
     for _ in range(5):
@@ -20,14 +20,14 @@
 
 
 @given(st.lists(st.floats(1, 4000), min_size=40, max_size=60), st.sampled_from([0.15, 0.5]))
-def test_a_quantile_tracker_stays_within_what_it_saw(samples, quantile):
+def test_quantile_tracker_stays_near_range_of_samples(samples, quantile):
     tracker = QuantileTracker(quantile, samples[0])
     for sample in samples:
         tracker.learn(sample)
     assert 0.3 * min(samples) <= tracker.value <= 3 * max(samples)
 
 
-def test_lengths_are_learned_by_team_before_by_route():
+def test_team_output_lengths_take_precedence_over_route_lengths():
     model = OutputModel()
     for _ in range(50):
         model.learn("r", "short", 20)
@@ -48,7 +48,7 @@
     assert index.matches((1, 2, 3)) == {"b": 1}
 
 
-def test_a_cache_that_is_full_drops_the_least_recently_used():
+def test_full_cache_evicts_least_recently_used_blocks():
     index = PrefixIndex()
     index.add_upstream("a", 2)
     index.insert_blocks("a", (1, 2))
@@ -58,7 +58,7 @@
     assert index.matches((1,)) == {}
 
 
-def test_a_cache_that_disappoints_is_believed_smaller():
+def test_cache_misses_shrink_assumed_capacity():
     index = PrefixIndex()
     index.add_upstream("a", 100)
     for _ in range(30):
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_scheduler.py
@@ -32,65 +32,68 @@
     return Acquire(name, attempt, "pool", "r", tier, team, 100, most, (), budget, 0.0)
 
 
-def take(scheduler, now, *messages):
+def send_acquires(scheduler, now, *messages):
     outs = []
     for message in messages:
         outs += scheduler.acquire("e1", "d", message, now)
     return [out.action for out in outs]
 
 
-def end(scheduler, name, now, outcome="delivered", attempt=1):
+def send_release(scheduler, name, now, outcome="delivered", attempt=1):
     usage = Usage(100, 0, 20, 0.1, 0.5)
     release = Release(name, attempt, "pool", outcome, usage)
     return [out.action for out in scheduler.release("d", release, now)]
 
 
-def held(name, upstream="u1", attempt=1):
+def make_running_item(name, upstream="u1", attempt=1):
     return RunningItem(name, attempt, upstream, "high", "a", "r", 100, 100, 0, 0.0)
 
 
-def test_the_same_message_again_changes_nothing_and_repeats_the_grant():
+def test_repeated_acquire_changes_nothing_and_repeats_the_grant():
     scheduler = make()
-    first = take(scheduler, 0.0, acquire("x"))
-    assert take(scheduler, 0.1, acquire("x")) == first
+    first = send_acquires(scheduler, 0.0, acquire("x"))
+    assert send_acquires(scheduler, 0.1, acquire("x")) == first
     assert (scheduler.running, scheduler.waiting) == (1, 0)
 
 
-def test_a_request_that_waits_and_is_told_as_running_is_not_granted_again():
+def test_waiting_request_that_is_adopted_as_running_is_not_granted_again():
     scheduler = make(expected=["e1", "e2"])
-    assert take(scheduler, 0.0, acquire("x")) == []
-    scheduler.adopt("e1", Adopt("pool", (held("x"),)), 0.1)
+    assert send_acquires(scheduler, 0.0, acquire("x")) == []
+    scheduler.adopt("e1", Adopt("pool", (make_running_item("x"),)), 0.1)
     scheduler.adopt("e2", Adopt("pool", ()), 0.1)
     assert (scheduler.running, scheduler.waiting) == (1, 0)
 
 
-def test_a_grant_that_was_given_back_is_not_adopted_over_a_newer_wait():
+def test_released_grant_is_not_adopted_over_newer_attempt():
     scheduler = make(expected=["e1", "e2"])
-    take(scheduler, 0.0, acquire("x", attempt=2))
-    scheduler.adopt("e1", Adopt("pool", (held("x", attempt=1),)), 0.05)
+    send_acquires(scheduler, 0.0, acquire("x", attempt=2))
+    scheduler.adopt("e1", Adopt("pool", (make_running_item("x", attempt=1),)), 0.05)
     assert (scheduler.running, scheduler.waiting) == (0, 1)
 
 
-def test_nothing_is_granted_until_all_have_told_what_runs_or_time_is_up():
+def test_nothing_is_granted_until_all_entries_report_or_settle_time_passes():
     scheduler = make(expected=["e1", "e2"])
-    assert take(scheduler, 0.0, acquire("x")) == []
-    scheduler.adopt("e1", Adopt("pool", (held("y"),)), 0.1)
+    assert send_acquires(scheduler, 0.0, acquire("x")) == []
+    scheduler.adopt("e1", Adopt("pool", (make_running_item("y"),)), 0.1)
     assert scheduler.tick(0.2) == []
     scheduler.adopt("e2", Adopt("pool", ()), 0.3)
     assert scheduler.running == 1
     silent = make(expected=["e1", "e2"])
-    take(silent, 0.0, acquire("x"))
+    send_acquires(silent, 0.0, acquire("x"))
     assert isinstance(silent.tick(1.0)[0].action, Grant)
 
 
 def test_higher_tiers_go_first_and_teams_share_a_tier():
     scheduler = make()
-    take(scheduler, 0.0, acquire("first"), acquire("low", "low"), acquire("high"))
-    assert end(scheduler, "first", 1.0)[0].request == "high"
-    assert end(scheduler, "high", 2.0)[0].request == "low"
-    take(scheduler, 3.0, *(acquire(f"a{i}") for i in range(3)), acquire("b0", team="b"))
-    assert end(scheduler, "low", 4.0)[0].request.startswith(("a", "b"))
-    order = [end(scheduler, name, 5.0 + i)[0].request for i, name in enumerate(_walk(scheduler, 2))]
+    send_acquires(scheduler, 0.0, acquire("first"), acquire("low", "low"), acquire("high"))
+    assert send_release(scheduler, "first", 1.0)[0].request == "high"
+    assert send_release(scheduler, "high", 2.0)[0].request == "low"
+    send_acquires(scheduler, 3.0, *(acquire(f"a{i}") for i in range(3)), acquire("b0", team="b"))
+    assert send_release(scheduler, "low", 4.0)[0].request.startswith(("a", "b"))
+    order = [
+        send_release(scheduler, name, 5.0 + i)[0].request
+        for i, name in enumerate(_walk(scheduler, 2))
+    ]
     assert "b0" in [*order, *scheduler._pool.running]
 
 
@@ -99,76 +102,76 @@
         yield next(iter(scheduler._pool.running))
 
 
-def test_a_team_holds_no_more_grants_than_it_may():
+def test_team_gets_no_more_grants_than_its_limit():
     scheduler = make(slots=5, max_running=2)
-    take(scheduler, 0.0, *(acquire(f"a{i}") for i in range(4)), acquire("b", team="b"))
+    send_acquires(scheduler, 0.0, *(acquire(f"a{i}") for i in range(4)), acquire("b", team="b"))
     assert sorted(scheduler._pool.running) == ["a0", "a1", "b"]
 
 
-def test_a_request_that_no_idle_upstream_could_do_is_hopeless_at_once():
-    action = take(make(), 0.0, acquire("x", budget=0.05))[0]
+def test_request_that_no_idle_upstream_can_finish_is_refused_as_hopeless():
+    action = send_acquires(make(), 0.0, acquire("x", budget=0.05))[0]
     assert isinstance(action, Shed)
     assert (action.reason, action.retry_after_s) == (Reason.HOPELESS, None)
 
 
-def test_an_upstream_that_is_not_reached_is_passed_over_and_tried_again_later():
+def test_unreachable_upstream_is_avoided_and_retried_later():
     scheduler = make(upstreams=("u1", "u2"))
-    first = take(scheduler, 0.0, acquire("x"))[0].upstream
-    end(scheduler, "x", 0.1, "unreachable")
-    again = take(scheduler, 0.2, acquire("x", attempt=2))[0]
+    first = send_acquires(scheduler, 0.0, acquire("x"))[0].upstream
+    send_release(scheduler, "x", 0.1, "unreachable")
+    again = send_acquires(scheduler, 0.2, acquire("x", attempt=2))[0]
     assert again.upstream != first
-    end(scheduler, "x", 0.3, attempt=2)
+    send_release(scheduler, "x", 0.3, attempt=2)
     assert scheduler.upstreams[first].is_usable("d", 5.0)
     assert scheduler.upstreams[first].is_usable("another-domain", 0.2)
 
 
-def test_an_upstream_that_keeps_failing_is_suspended():
+def test_repeatedly_failing_upstream_is_suspended():
     scheduler = make()
     for index in range(3):
-        take(scheduler, index, acquire(f"x{index}"))
-        end(scheduler, f"x{index}", index + 0.5, "failed")
+        send_acquires(scheduler, index, acquire(f"x{index}"))
+        send_release(scheduler, f"x{index}", index + 0.5, "failed")
     assert not scheduler.upstreams["u1"].is_usable("d", 2.6)
     assert scheduler.upstreams["u1"].is_usable("d", 10.0)
 
 
-def test_a_grant_whose_release_was_lost_is_found_by_progress():
+def test_progress_report_ends_grant_whose_release_was_lost():
     scheduler = make()
-    take(scheduler, 0.0, acquire("x"), acquire("y"))
+    send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     assert scheduler.apply_progress("e1", Progress("pool", ()), 1.0) == []
     outs = scheduler.apply_progress("e1", Progress("pool", ()), 5.0)
     assert outs[0].action.request == "y"
 
 
-def test_load_reports_count_only_what_cannot_be_seen_from_here():
+def test_load_report_adds_only_foreign_load():
     scheduler = make(slots=3)
-    take(scheduler, 0.0, acquire("x"), acquire("y"))
+    send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     scheduler.apply_load_report(LoadReport("u1", 2, 0, 0.5), 0.5)
     assert scheduler.upstreams["u1"].foreign_load == 0
     scheduler.apply_load_report(LoadReport("u1", 3, 0, 0.5), 0.6)
-    assert take(scheduler, 0.7, acquire("z")) == []
+    assert send_acquires(scheduler, 0.7, acquire("z")) == []
     assert isinstance(scheduler.tick(10.0)[0].action, Grant)
 
 
-def test_a_dead_entry_process_leaves_nothing_behind():
+def test_requests_of_dead_entry_process_are_removed():
     scheduler = make()
-    take(scheduler, 0.0, acquire("x"), acquire("y"))
+    send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     scheduler.remove_entry("e1", 1.0)
     assert (scheduler.running, scheduler.waiting) == (0, 0)
     assert scheduler.upstreams["u1"].running == {}
 
 
-def test_a_route_that_is_taken_away_refuses_what_waits_for_it():
+def test_requests_of_removed_route_are_refused():
     scheduler = make()
-    take(scheduler, 0.0, acquire("x"), acquire("y"))
+    send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     outs = scheduler.configure(PoolSpec("pool", make_spec().upstreams, make_spec().tiers), 1.0)
     assert [out.action.reason for out in outs] == [Reason.NO_UPSTREAM]
 
 
-def test_what_a_process_holds_that_has_fallen_silent_is_given_back():
+def test_grants_of_silent_entry_process_are_ended():
     scheduler = make()
     scheduler.remove_entry("e1", 0.0)
-    # A message that was under way when its sender died comes after the news of its death.
-    take(scheduler, 0.1, acquire("x"))
+    # A message that was in flight when its sender died arrives after the report of its death.
+    send_acquires(scheduler, 0.1, acquire("x"))
     scheduler.acquire("e2", "d", acquire("y"), 0.2)
     granted = []
     for second in range(1, 20):
@@ -177,10 +180,10 @@
     assert granted == ["y"]
 
 
-def test_a_refusal_beside_free_places_is_told_from_one_for_want_of_them():
+def test_refusal_states_whether_pool_is_mostly_free():
     scheduler = make(slots=4)
     hopeless = acquire("x", budget=0.01)
     assert [out.pool_mostly_free for out in scheduler.acquire("e1", "d", hopeless, 0.0)] == [True]
-    take(scheduler, 0.0, acquire("a"), acquire("b"))
+    send_acquires(scheduler, 0.0, acquire("a"), acquire("b"))
     hopeless = acquire("y", budget=0.01)
     assert [out.pool_mostly_free for out in scheduler.acquire("e1", "d", hopeless, 0.0)] == [False]
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_shortlist.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_shortlist.py
@@ -14,7 +14,7 @@
 
 
 def scheduler_of(count):
-    """Make a scheduler over engines of which each third one is three times slower."""
+    """Make a scheduler over engines of which every third one is three times slower."""
     speeds = [40_000.0, 13_000.0, 40_000.0]
     upstreams = tuple(
         upstream(f"u{number:03d}", prefill=speeds[number % 3]) for number in range(count)
@@ -34,12 +34,12 @@
     return Openings(eligible, now)
 
 
-def test_in_a_pool_of_a_usual_size_all_are_compared():
+def test_small_pool_compares_all_upstreams():
     openings = openings_of(scheduler_of(MAX_COMPARED))
     assert len(openings.candidates("r", "d", {})) == MAX_COMPARED
 
 
-def test_in_a_large_pool_the_likely_ones_are_compared_and_those_that_keep_the_prompt():
+def test_large_pool_compares_fastest_upstreams_and_those_with_cached_prefix():
     scheduler = scheduler_of(140)
     depths = {f"u{number:03d}": number for number in range(1, 140, 3)}
     compared = openings_of(scheduler).candidates("r", "d", depths)
@@ -49,7 +49,7 @@
     assert set(sorted(depths)[-MAX_CACHED_COMPARED:]) <= set(names)
 
 
-def test_busy_ones_are_compared_by_when_they_get_free():
+def test_busy_upstreams_are_compared_by_earliest_finish():
     scheduler = scheduler_of(60)
     for number in range(200):
         scheduler.acquire("e", "d", acquire(f"x{number}"), 0.0)
@@ -60,7 +60,7 @@
     assert sorted(each.expected_finishes()[0] for each in compared if each in busy) == soonest
 
 
-def test_a_grant_is_seen_by_the_next_request_of_the_same_decision():
+def test_invalidated_openings_count_a_new_grant():
     scheduler = scheduler_of(40)
     openings = openings_of(scheduler)
     free = openings.free_slots("r", "d")
@@ -70,6 +70,6 @@
     assert openings.free_slots("r", "d") == free - 1
 
 
-def test_the_fastest_are_those_that_an_idle_pool_would_offer():
+def test_fastest_upstreams_have_lowest_idle_time():
     chosen = fastest_upstreams(scheduler_of(90).upstreams.values())
     assert all(int(each.spec.id[1:]) % 3 != 1 for each in chosen)
--- a/packages/chalkyoke/src/chalkyoke/tokens/tests/test_ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/tests/test_ledger.py
@@ -15,27 +15,27 @@
     return TokenLedger("h1", "127.0.0.1:7000", incarnation=5, **options)
 
 
-def test_an_unspent_token_costs_no_memory():
+def test_unused_token_needs_no_memory():
     ledger = make_ledger()
     for _ in range(1000):
         ledger.issue(0.0)
     assert len(ledger) == 0
 
 
-def test_a_token_with_another_request_is_not_taken():
+def test_token_is_rejected_with_another_request():
     ledger = make_ledger()
     token = ledger.issue(0.0)
     assert ledger.admit(token, b"one", 1.0).is_ok()
     assert ledger.admit(token, b"two", 1.0).unwrap_err() is TokenProblem.OTHER_REQUEST
 
 
-def test_a_token_of_another_incarnation_is_never_run():
+def test_token_of_another_incarnation_is_rejected():
     token = make_ledger().issue(0.0)
     restarted = TokenLedger("h1", "127.0.0.1:7000", incarnation=6)
     assert restarted.admit(token, b"", 0.0).unwrap_err() is TokenProblem.OTHER_INCARNATION
 
 
-def test_a_token_that_was_never_issued_is_not_taken():
+def test_token_that_was_never_issued_is_rejected():
     token = Token("h1", "127.0.0.1:7000", 5, 99, 10**9)
     assert make_ledger().admit(token, b"", 0.0).unwrap_err() is TokenProblem.NEVER_ISSUED
 
@@ -49,7 +49,7 @@
     assert ledger.admit(token, b"", 2.0).unwrap_err() is TokenProblem.EXPIRED
 
 
-def test_a_running_token_is_kept_beyond_its_expiry():
+def test_active_token_is_kept_beyond_its_expiry():
     ledger = make_ledger(lifetime_s=10)
     record = ledger.admit(ledger.issue(0.0), b"", 1.0).unwrap()
     ledger.transition(record, TokenState.QUEUED)
@@ -57,7 +57,7 @@
     assert ledger.admit(record.token, b"", 100.0).unwrap() is record
 
 
-def test_a_full_ledger_takes_no_new_token_and_keeps_the_old():
+def test_full_ledger_rejects_new_tokens_and_keeps_old_ones():
     ledger = make_ledger(capacity=1)
     first = ledger.issue(0.0)
     assert ledger.admit(first, b"", 0.0).is_ok()
@@ -65,7 +65,7 @@
     assert ledger.admit(first, b"", 0.0).is_ok()
 
 
-def test_a_second_dispatch_stops_the_process():
+def test_second_dispatch_breaks_an_invariant():
     ledger = make_ledger()
     record = ledger.admit(ledger.issue(0.0), b"", 0.0).unwrap()
     ledger.transition(record, TokenState.QUEUED)
@@ -74,7 +74,7 @@
         ledger.transition(record, TokenState.DISPATCHED)
 
 
-def test_not_run_is_not_told_of_a_dispatched_request():
+def test_dispatched_request_fails_not_run_check():
     ledger = make_ledger()
     record = ledger.admit(ledger.issue(0.0), b"", 0.0).unwrap()
     ledger.transition(record, TokenState.QUEUED)
@@ -83,7 +83,7 @@
         ledger.check_not_run(record)
 
 
-def test_a_token_survives_its_text_form():
+def test_token_round_trips_through_text():
     codec = TokenCodec(KEY)
     token = make_ledger().issue(3.0)
     assert codec.decode(codec.encode(token)).unwrap() == token
@@ -91,13 +91,13 @@
     assert request_id_of("h1-5-1") == "h1-5-1"
 
 
-def test_a_token_of_another_fleet_is_forged():
+def test_token_of_another_fleet_is_forged():
     text = TokenCodec(b"x" * 16).encode(make_ledger().issue(0.0))
     assert TokenCodec(KEY).decode(text).unwrap_err() is TokenProblem.FORGED
 
 
 @given(st.text(max_size=80), st.integers(0, 200))
-def test_a_broken_token_is_an_error_value_and_never_an_exception(junk, position):
+def test_malformed_token_is_an_error_value_and_never_an_exception(junk, position):
     codec = TokenCodec(KEY)
     text = codec.encode(make_ledger().issue(0.0))
     assert codec.decode(junk).is_err()
@@ -108,7 +108,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """The ledger against a naive list of what was done with each token."""
+    """Compare the ledger with a plain list of the transitions of each token."""
 
     tokens = Bundle("tokens")
 
