--- a/packages/chalkyoke/src/chalkyoke/balancing/local.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/local.py
@@ -44,7 +44,7 @@
     def stats(self, replica: str) -> ReplicaStats:
         """Return the statistics of a replica; create them at first use.
 
-        :rtype: Seen
+        :rtype: ReplicaStats
         """
         found = self._stats.get(replica)
         if found is None:
--- a/packages/chalkyoke/src/chalkyoke/balancing/observer.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/observer.py
@@ -96,8 +96,8 @@
             name for name, each in self._evidence.items() if each.weight >= MIN_SUSPECT_EVIDENCE
         ]
         found.sort(key=lambda name: (-self._evidence[name].weight, name))
-        most = max(1, int(replicas * MAX_SUSPECT_SHARE)) if replicas > 1 else 0
-        return tuple(found[:most])
+        max_suspects = max(1, int(replicas * MAX_SUSPECT_SHARE)) if replicas > 1 else 0
+        return tuple(found[:max_suspects])
 
     def is_idle(self, now: float) -> bool:
         """Tell whether there is no evidence and no recent count of any route."""
--- a/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
@@ -97,14 +97,14 @@
         now = self._now()
         suspects = observer.suspects(self._replicas(service), now)
         last = self._broadcasts.setdefault(service, _BroadcastState())
-        same = set(suspects) == set(last.suspects)
-        if same and (not suspects or now - last.at < REBROADCAST_INTERVAL_S):
+        unchanged = set(suspects) == set(last.suspects)
+        if unchanged and (not suspects or now - last.at < REBROADCAST_INTERVAL_S):
             return
         self._broadcasts[service] = _BroadcastState(suspects, now)
         message = SuspectReplicas(service, suspects)
         self._apply_suspects(message)
         told_to = tell_all(self._view, self._send, message)
-        if not same:
+        if not unchanged:
             log.notice("suspects_named", service=service, replicas=suspects, told_to=told_to)
 
     def _apply_suspects(self, message: SuspectReplicas) -> None:
--- a/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
@@ -80,25 +80,25 @@
         :param domain: failure domain of the entry process that sent the request.
         :param granted: time of the grant, on the scheduler's clock.
         """
-        closed = self._domains.setdefault(domain, _DeclineStreak())
-        closed.record_decline(granted, now)
+        streak = self._domains.setdefault(domain, _DeclineStreak())
+        streak.record_decline(granted, now)
         served_elsewhere = (at for other, at in self._served.items() if other != domain)
-        if max(served_elsewhere, default=-math.inf) <= closed.since:
+        if max(served_elsewhere, default=-math.inf) <= streak.since:
             self._all.record_decline(granted, now)
 
     def record_served(self, domain: str, granted: float, now: float) -> None:
-        """Record that a request was served."""
+        """Record that a request was served, which ends the pause unless it was granted earlier."""
         self._all.record_served(granted)
-        if (closed := self._domains.get(domain)) is not None:
-            closed.record_served(granted)
+        if (streak := self._domains.get(domain)) is not None:
+            streak.record_served(granted)
         if self._domains:
             self._served[domain] = now
 
     def record_probe(self, domain: str, now: float) -> None:
         """Record a grant: while the upstream declines, the next one follows after a pause."""
-        for closed in (self._all, self._domains.get(domain)):
-            if closed is not None and closed.count:
-                closed.start_pause(now)
+        for streak in (self._all, self._domains.get(domain)):
+            if streak is not None and streak.count:
+                streak.start_pause(now)
 
     def record_rest(self, entry: str, seconds: float, now: float) -> None:
         """Record that the upstream asks one entry process to send nothing for some seconds."""
@@ -111,8 +111,8 @@
 
         :return: time on the scheduler's clock; negative infinity where it may be granted now.
         """
-        closed = self._domains.get(domain)
-        until = max(self._all.until, closed.until if closed is not None else -math.inf)
+        streak = self._domains.get(domain)
+        until = max(self._all.until, streak.until if streak is not None else -math.inf)
         return until if until > now else -math.inf
 
     def rests_until(self, entry: str) -> float:
@@ -125,7 +125,7 @@
 
     def is_clear(self, now: float) -> bool:
         """Tell whether the upstream neither declines requests nor asks any process for rest."""
-        counts = (closed.count for closed in (self._all, *self._domains.values()))
+        counts = (streak.count for streak in (self._all, *self._domains.values()))
         return not any(counts) and not self.resting(now)
 
     @property
--- a/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
@@ -189,10 +189,10 @@
     :return: requests that may be shed, lowest tier first.
     """
     late = [entry for entry in late if entry.hopeless]
-    gone = {id(entry.item) for entry in late}
+    shed_ids = {id(entry.item) for entry in late}
     left: dict[str, int] = {}
     for item in waiting:
-        if id(item) not in gone:
+        if id(item) not in shed_ids:
             left[item.route] = max(left.get(item.route, -1), item.rank)
 
     allowed: list[Late] = []
--- a/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
@@ -59,7 +59,7 @@
     def grant_waiting(self, now: float) -> list[AddressedAction]:
         """Grant all requests that can start: by strict tier, then fair share, then deadline.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         if not self._pool.waiting:
             return []
@@ -121,19 +121,19 @@
         if self._features.headroom and item.is_long and not self._leaves_headroom(item, openings):
             return False
         depths = self._pool.prefixes.matches(item.blocks)
-        compared = openings.candidates(
+        candidates = openings.candidates(
             item.route, item.domain, depths, item.entry, item.tried_upstreams
         )
-        choice = choose_upstream(item, compared, depths, decision.held, now, self._features)
-        if choice.upstream is None:
-            if choice.held_for is not None:
-                name = choice.held_for.spec.id
+        placement = choose_upstream(item, candidates, depths, decision.held, now, self._features)
+        if placement.upstream is None:
+            if placement.held_for is not None:
+                name = placement.held_for.spec.id
                 decision.held[name] = decision.held.get(name, 0) + 1
                 self._counters.held += 1
             return False
-        if self._features.shed and not self._may_start(item, choice, now):
+        if self._features.shed and not self._may_start(item, placement, now):
             return False
-        decision.actions.append(self.grant_request(item, choice, now))
+        decision.actions.append(self.grant_request(item, placement, now))
         openings.invalidate_slots()
         return True
 
@@ -142,9 +142,9 @@
         free = openings.free_slots(item.route, item.domain, item.entry)
         return free > self._headroom.reserved_slots(item.rank)
 
-    def _may_start(self, item: WaitingRequest, choice: Placement, now: float) -> bool:
+    def _may_start(self, item: WaitingRequest, placement: Placement, now: float) -> bool:
         """Tell whether to start a request, given its risk of being cut at its deadline."""
-        prediction = choice.prediction
+        prediction = placement.prediction
         assert prediction is not None
         if item.has_goal:
             return now + prediction.first_s <= item.deadline
@@ -156,12 +156,14 @@
             return False
         return item.late or self._pool.waiting_counts[item.rank, item.route] == 1
 
-    def grant_request(self, item: WaitingRequest, choice: Placement, now: float) -> AddressedAction:
+    def grant_request(
+        self, item: WaitingRequest, placement: Placement, now: float
+    ) -> AddressedAction:
         """Grant one request the upstream of its placement.
 
         :raises InvariantBroken: when the upstream is leaving or has no free slot.
         """
-        upstream, prediction = choice.upstream, choice.prediction
+        upstream, prediction = placement.upstream, placement.prediction
         assert upstream is not None and prediction is not None
         require(
             not upstream.leaving, "a leaving upstream gets no new work", upstream=upstream.spec.id
@@ -169,9 +171,9 @@
         require(upstream.has_slot(now), "a grant finds a free slot", upstream=upstream.spec.id)
 
         self._pool.remove_waiting(item)
-        for each in streams_stalled_by(item, upstream, choice.cached_blocks, now):
+        for each in streams_stalled_by(item, upstream, placement.cached_blocks, now):
             each.gap_exceeded = True
-        cached = min(choice.cached_blocks * BLOCK_TOKENS, item.prompt_tokens)
+        cached = min(placement.cached_blocks * BLOCK_TOKENS, item.prompt_tokens)
         left = max(1, item.prompt_tokens - cached)
         work = self._pool.work_s(left, item.output.median)
         self._pool.queues[item.rank].charge_team(item.team, work, self._pool.weight(item.team))
--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -105,10 +105,10 @@
         elif outcome is ReleaseOutcome.FAILED:
             upstream.failures = min(MAX_FAILURES, upstream.failures + 1.0)
             if upstream.failures >= FAILURES_TO_SUSPEND and self._may_suspend(now):
-                excess = int(upstream.failures - FAILURES_TO_SUSPEND)
-                upstream.suspended_until = now + min(MAX_BACKOFF_S, BACKOFF_S * 2**excess)
+                excess_failures = int(upstream.failures - FAILURES_TO_SUSPEND)
+                upstream.suspended_until = now + min(MAX_BACKOFF_S, BACKOFF_S * 2**excess_failures)
 
-    def learn_willingness(
+    def learn_declines(
         self, item: RunningRequest, upstream: Upstream, message: Release, now: float
     ) -> None:
         """Update rests and declines of an upstream from the end of a grant."""
@@ -169,9 +169,9 @@
             sample.add(item, upstream, usage.output_tokens, usage.total_s)
             self._learn_samples({item.upstream: sample})
         if usage.cached_tokens >= 0:
-            believed = (item.prompt_tokens - item.prefill_left) // BLOCK_TOKENS
+            expected = (item.prompt_tokens - item.prefill_left) // BLOCK_TOKENS
             found = usage.cached_tokens // BLOCK_TOKENS
-            self._pool.prefixes.correct_capacity(upstream.spec.id, int(believed), found)
+            self._pool.prefixes.correct_capacity(upstream.spec.id, int(expected), found)
 
     def _learn_first(self, item: RunningRequest, first_s: float, now: float) -> None:
         """Update the prefill speed from a first token and mark the prefill as complete."""
@@ -209,8 +209,8 @@
     def remaining_s(self, item: RunningRequest, upstream: Upstream, now: float) -> float:
         """Predict the remaining time of a running request, in seconds."""
         left = max(item.expected_output - item.output_tokens, 0.25 * item.output_tokens, 1.0)
-        _, moving = upstream.prefill_outlook(now)
-        seconds = left * upstream.speed.token_time(len(upstream.running)) / moving
+        _, decode_share = upstream.prefill_outlook(now)
+        seconds = left * upstream.speed.token_time(len(upstream.running)) / decode_share
         if not item.first_seen:
             seconds += upstream.speed.prefill_time(item.prefill_left)
         return seconds
--- a/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
@@ -130,9 +130,9 @@
     """
     speed = upstream.speed
     left = uncached_prompt_tokens(item, cached_blocks)
-    backlog, moving = upstream.prefill_outlook(now)
+    backlog, decode_share = upstream.prefill_outlook(now)
     first = CONNECT_S + speed.first_time(left, backlog)
-    token = speed.token_time(streams) / moving
+    token = speed.token_time(streams) / decode_share
     output = item.output
     margin = (output.cautious - output.median) * token
     if not item.has_goal:
@@ -195,7 +195,7 @@
     :param depths: cached leading blocks by upstream.
     :param held: number of requests already held, by upstream.
     :param now: seconds on the scheduler's clock.
-    :rtype: Choice
+    :rtype: Placement
     """
     best: tuple[float, Upstream, Prediction] | None = None
     busy: list[Upstream] = []
@@ -259,9 +259,9 @@
     overrun = now + prediction.cautious_s - item.answer_due
     if missed > -prediction.first_s * FIRST_OUTPUT_RISK_SHARE or overrun > 0:
         return MISSED_GOAL_SCORE + max(missed, overrun)
-    harmed = streams_stalled_by(item, upstream, cached_blocks, now)
+    stalled = streams_stalled_by(item, upstream, cached_blocks, now)
     return prediction.finish_s + HARM_SCORE * sum(
-        TIER_HARM_FACTOR**each.tier_index for each in harmed
+        TIER_HARM_FACTOR**each.tier_index for each in stalled
     )
 
 
@@ -273,7 +273,7 @@
     Streams whose gap goal another prefill has already exceeded are left out, so that long prompts
     gather on upstreams where they cause no further harm.
 
-    :rtype: list[Running]
+    :rtype: list[RunningRequest]
     """
     pause = _prefill_pause_s(item, upstream, cached_blocks, now)
     if pause <= PREFILL_GAP_SHARE * upstream.shortest_gap_goal():
--- a/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
@@ -216,8 +216,8 @@
                 known.spec = spec
             self.prefixes.add_upstream(spec.id, spec.cache_blocks)
 
-        gone = set(self.upstreams) - {spec.id for spec in specs}
-        for name in gone:
+        removed = set(self.upstreams) - {spec.id for spec in specs}
+        for name in removed:
             for item in list(self.upstreams[name].running.values()):
                 self._remove_running(item)
             del self.upstreams[name]
--- a/packages/chalkyoke/src/chalkyoke/scheduling/prefixes.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/prefixes.py
@@ -11,7 +11,7 @@
 # bound of the assumed capacity as a share of the configured one.
 MISS_SHRINK_FACTOR = 0.95
 HIT_GROWTH_FACTOR = 1.01
-MIN_BELIEVED_SHARE = 0.1
+MIN_ASSUMED_SHARE = 0.1
 
 
 class PrefixIndex:
@@ -92,10 +92,8 @@
         if not capacity or expected_blocks == 0:
             return
         factor = MISS_SHRINK_FACTOR if found_blocks < expected_blocks else HIT_GROWTH_FACTOR
-        believed = self._assumed_capacity[upstream] * factor
-        self._assumed_capacity[upstream] = min(
-            capacity, max(MIN_BELIEVED_SHARE * capacity, believed)
-        )
+        assumed = self._assumed_capacity[upstream] * factor
+        self._assumed_capacity[upstream] = min(capacity, max(MIN_ASSUMED_SHARE * capacity, assumed))
 
     def _remove_holder(self, upstream: str, block: int) -> None:
         holders = self._holders[block]
--- a/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
@@ -40,14 +40,14 @@
     def front(self) -> list[WaitingRequest]:
         """List the first few requests, earliest deadline first.
 
-        :rtype: list[Waiting]
+        :rtype: list[WaitingRequest]
         """
         return [entry[3] for entry in self._items[:MAX_PEEKED_REQUESTS]]
 
     def ordered(self) -> list[WaitingRequest]:
         """List all requests, earliest deadline first and late ones last.
 
-        :rtype: list[Waiting]
+        :rtype: list[WaitingRequest]
         """
         return [entry[3] for entry in self._items]
 
@@ -155,7 +155,7 @@
         )
 
     def items(self) -> Iterator[WaitingRequest]:
-        """Iterate over all waiting requests, team by team."""
+        """Iterate over all waiting requests, queue by queue."""
         for queue in self._queues.values():
             yield from queue.ordered()
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
@@ -111,10 +111,10 @@
             return self._build_refusal(item, Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_S)
         if item.deadline <= now:
             return self._build_refusal(item, Reason.EXPIRED, None)
-        closed = find_closure(_open_times(eligible, now), item.entry, item.domain, now)
-        if closed is not None and _should_refuse_closed(closed, item, now):
+        closure = find_closure(_open_times(eligible, now), item.entry, item.domain, now)
+        if closure is not None and _should_refuse_closed(closure, item, now):
             return self._build_refusal(
-                item, Reason.NO_UPSTREAM, self._reopening_retry_after_s(closed, now)
+                item, Reason.NO_UPSTREAM, self._reopening_retry_after_s(closure, now)
             )
         if self._features.shed and self._is_hopeless(item, now):
             return self._build_refusal(item, Reason.HOPELESS, None)
@@ -154,14 +154,14 @@
 
     def _early_retry_after_s(self, item: WaitingRequest, wait_s: float) -> float:
         """Return a Retry-After by which the queue should be served, within the caller's limit."""
-        most = max(MIN_EARLY_RETRY_S, item.max_retry_after_s)
-        base = min(most, max(MIN_EARLY_RETRY_S, EARLY_RETRY_WAITS * wait_s))
+        longest = max(MIN_EARLY_RETRY_S, item.max_retry_after_s)
+        base = min(longest, max(MIN_EARLY_RETRY_S, EARLY_RETRY_WAITS * wait_s))
         return round(base * (0.6 + 0.4 * self._random()), 2)
 
     def make_room(self, item: WaitingRequest, now: float) -> list[AddressedAction]:
         """Shed one request when the queue is too long: from the lowest tier that shares upstreams.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         if len(self._pool.waiting) <= MAX_WAITING_REQUESTS:
             return []
@@ -173,15 +173,15 @@
     def refuse_without_upstream(self) -> list[AddressedAction]:
         """Refuse the waiting requests of routes that have no upstream any more.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
-        closed = {
+        closed_routes = {
             route for _, route in self._pool.waiting_counts if not self._open_upstreams(route)
         }
         return [
             self.shed(item, Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_S)
             for item in list(self._pool.waiting.values())
-            if item.route in closed
+            if item.route in closed_routes
         ]
 
     def _refuse_closed(self, now: float) -> list[AddressedAction]:
@@ -189,27 +189,27 @@
         actions: list[AddressedAction] = []
         found: dict[tuple[str, str, str], Closure | None] = {}
         for route in {route for (_, route), count in self._pool.waiting_counts.items() if count}:
-            openings = _open_times(self._open_upstreams(route), now)
-            if any(each.is_clear(now) and until <= now for each, until in openings):
+            open_times = _open_times(self._open_upstreams(route), now)
+            if any(each.is_clear(now) and until <= now for each, until in open_times):
                 continue
             for item in [each for each in self._pool.waiting.values() if each.route == route]:
                 key = (route, item.domain, item.entry)
                 if key not in found:
-                    found[key] = find_closure(openings, item.entry, item.domain, now)
-                closed = found[key]
-                if closed is not None and _should_refuse_closed(closed, item, now):
-                    retry = self._reopening_retry_after_s(closed, now)
+                    found[key] = find_closure(open_times, item.entry, item.domain, now)
+                closure = found[key]
+                if closure is not None and _should_refuse_closed(closure, item, now):
+                    retry = self._reopening_retry_after_s(closure, now)
                     actions.append(self.shed(item, Reason.NO_UPSTREAM, retry))
         return actions
 
-    def _reopening_retry_after_s(self, closed: Closure, now: float) -> float:
+    def _reopening_retry_after_s(self, closure: Closure, now: float) -> float:
         """Return a Retry-After at which an upstream may accept requests, plus random spread."""
-        return round(closed.until - now + REOPENING_SPREAD_S * self._random(), 2)
+        return round(closure.until - now + REOPENING_SPREAD_S * self._random(), 2)
 
     def refuse_expired(self, now: float) -> list[AddressedAction]:
         """Refuse requests that have expired, are hopeless or have no upstream that accepts them.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         actions = (
             self.refuse_without_upstream() + self._refuse_closed(now) if self._features.shed else []
@@ -226,7 +226,7 @@
 
         Forecasts run less often with a longer queue, to bound their processor time.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         if not self._features.shed or now < self._next_forecast or not self._pool.waiting:
             return []
@@ -237,7 +237,7 @@
     def shed_late(self, now: float) -> list[AddressedAction]:
         """Simulate the queue and shed the late requests from the lowest tier up.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         pool = self._pool
         usable = (each for each in pool.upstreams.values() if each.is_usable("", now))
@@ -294,8 +294,8 @@
         depths = self._pool.prefixes.matches(item.blocks)
         eligible = self._open_upstreams(item.route)
         if len(eligible) > MAX_COMPARED:
-            keeping = [each for each in eligible if each.spec.id in depths]
-            eligible = [*self._pool.fastest(item.route, now), *keeping]
+            with_prefix = [each for each in eligible if each.spec.id in depths]
+            eligible = [*self._pool.fastest(item.route, now), *with_prefix]
         item.least_s = min(
             idle_time_s(item, each, depths.get(each.spec.id, 0)) for each in eligible
         )
@@ -330,15 +330,15 @@
     return [(each.declines, each.limit_opens_at(now)) for each in upstreams]
 
 
-def _should_refuse_closed(closed: Closure, item: WaitingRequest, now: float) -> bool:
+def _should_refuse_closed(closure: Closure, item: WaitingRequest, now: float) -> bool:
     """Tell whether to refuse a request immediately instead of holding it for closed upstreams.
 
     A request is held if it can start within its goal, or if it can still be served and the caller
     cannot wait for so long a Retry-After.
     """
-    if closed.refused:
+    if closure.refused:
         return True
-    if closed.until <= item.due:
+    if closure.until <= item.due:
         return False
-    comes_back = closed.until - now <= item.max_retry_after_s
-    return comes_back or closed.until + item.least_s > item.deadline
+    comes_back = closure.until - now <= item.max_retry_after_s
+    return comes_back or closure.until + item.least_s > item.deadline
--- a/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
@@ -130,7 +130,7 @@
     def waiting_items(self) -> list[WaitingRequest]:
         """List the waiting requests in no particular order.
 
-        :rtype: list[Waiting]
+        :rtype: list[WaitingRequest]
         """
         return list(self._pool.waiting.values())
 
@@ -170,7 +170,7 @@
 
         :param entry: id of the entry process.
         :param domain: its failure domain.
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         self._last_message_at[entry] = now
         known = self._pool.waiting.get(message.request)
@@ -201,7 +201,7 @@
         """End a grant and update the estimates from its outcome.
 
         :param domain: failure domain of the entry process.
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         item = self._pool.running.get(message.request)
         if item is None or item.attempt != message.attempt:
@@ -212,7 +212,7 @@
         if upstream is not None:
             self._refund_limit(item, upstream, message)
             self._learner.learn_health(upstream, domain, outcome, now)
-            self._learner.learn_willingness(item, upstream, message, now)
+            self._learner.learn_declines(item, upstream, message, now)
             self._learner.learn_usage(item, upstream, outcome, message.usage, now)
         self._pool.end_running(item, now)
         return self._decide(now)
@@ -228,7 +228,7 @@
 
         :param entry: id of the entry process; the message lists all its running requests in this
             pool.
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         self._last_message_at[entry] = now
         self._learner.learn_progress(message.items, now)
@@ -253,7 +253,7 @@
     def adopt(self, entry: str, message: Adopt, now: float) -> list[AddressedAction]:
         """Adopt the requests that an entry process runs under a previous scheduler's grants.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         self._last_message_at[entry] = now
         for item in message.items:
@@ -298,7 +298,7 @@
     def remove_entry(self, entry: str, now: float) -> list[AddressedAction]:
         """Remove the waiting and running requests of a dead entry process.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         self._remove_entry_requests(entry, now)
         return self._decide(now)
@@ -308,7 +308,7 @@
 
         The scheduler's own grants are subtracted from the reported load.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         upstream = self._pool.upstreams.get(message.upstream)
         if upstream is None:
@@ -327,7 +327,7 @@
     def tick(self, now: float) -> list[AddressedAction]:
         """Refuse expired, hopeless and late requests and grant others; call about every 50 ms.
 
-        :rtype: list[Out]
+        :rtype: list[AddressedAction]
         """
         self._remove_silent_entries(now)
         self._headroom.observe_running((each.rank for each in self._pool.running.values()), now)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/state.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/state.py
@@ -245,9 +245,9 @@
     stall_s: float = 0.0
     stall_share: float = 0.0
     stall_updated_at: float = 0.0
-    _ends: list[float] | None = None
-    _outlook: tuple[float, float, float] | None = None
-    _shortest_gap: float | None = None
+    _expected_finishes: list[float] | None = None
+    _prefill_outlook: tuple[float, float, float] | None = None
+    _shortest_gap_goal: float | None = None
     _typical_s: float | None = None
 
     @property
@@ -340,9 +340,9 @@
 
     def invalidate_predictions(self) -> None:
         """Clear values cached from the running requests; call after each change to them."""
-        self._ends = None
-        self._outlook = None
-        self._shortest_gap = None
+        self._expected_finishes = None
+        self._prefill_outlook = None
+        self._shortest_gap_goal = None
         self._typical_s = None
 
     def idle_s(self) -> float:
@@ -375,19 +375,19 @@
 
         :rtype: float
         """
-        if self._shortest_gap is None:
+        if self._shortest_gap_goal is None:
             gaps = (item.gap_goal for item in self.running.values())
-            self._shortest_gap = min(gaps, default=math.inf)
-        return self._shortest_gap
+            self._shortest_gap_goal = min(gaps, default=math.inf)
+        return self._shortest_gap_goal
 
     def expected_finishes(self) -> list[float]:
         """List the expected finish times of the running requests, earliest first.
 
         :rtype: list[float]
         """
-        if self._ends is None:
-            self._ends = sorted(item.expected_finish for item in self.running.values())
-        return self._ends
+        if self._expected_finishes is None:
+            self._expected_finishes = sorted(item.expected_finish for item in self.running.values())
+        return self._expected_finishes
 
     def prefill_outlook(self, now: float) -> tuple[float, float]:
         """Return the prefill backlog and the share of time left for decoding.
@@ -395,13 +395,13 @@
         :return: granted prompt tokens that are not yet read, and the share of time in which no
             prompt is read, so that streams make progress.
         """
-        if self._outlook is None or self._outlook[0] != now:
+        if self._prefill_outlook is None or self._prefill_outlook[0] != now:
             backlog = sum(
                 item.prefill_left for item in self.running.values() if not item.first_seen
             )
-            moving = 1.0 - min(MAX_STALLED_SHARE, self.stalled_share(now))
-            self._outlook = (now, backlog, moving)
-        return self._outlook[1:]
+            decode_share = 1.0 - min(MAX_STALLED_SHARE, self.stalled_share(now))
+            self._prefill_outlook = (now, backlog, decode_share)
+        return self._prefill_outlook[1:]
 
 
 class TokenSample(msgspec.Struct):
--- a/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
@@ -127,7 +127,7 @@
         """
         require(
             state in ALLOWED_TRANSITIONS[record.state],
-            "a token moves one way",
+            "token state transitions are one-way",
             sequence=record.token.sequence,
             held=record.state,
             asked=state,
@@ -148,7 +148,7 @@
         """
         require(
             record.dispatches == 0 and record.state is TokenState.REFUSED,
-            "a caller that is told 'not run' had no dispatch and can have none later",
+            "a request reported as not run was never dispatched and never will be",
             sequence=record.token.sequence,
             state=record.state,
             dispatches=record.dispatches,
