--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -132,7 +132,11 @@
             self.refusal_changes.append(RefusalChange(upstream.spec.id, refuses=False))
 
     def _may_suspend(self, now: float) -> bool:
-        """Tell whether one more upstream may be suspended; at most half of a pool may be."""
+        """Tell whether one more upstream may be suspended.
+
+        At most half of the upstreams (but at least one) may be, so that a pool does not lose all
+        its upstreams on suspicion.
+        """
         upstreams = self._pool.upstreams.values()
         suspended = sum(1 for each in upstreams if now < each.suspended_until)
         return suspended + 1 <= max(1, len(upstreams) // 2)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
@@ -169,7 +169,7 @@
         """Admit a request: grant, queue or refuse it; a repeated message changes nothing.
 
         :param entry: id of the entry process.
-        :param domain: its failure domain.
+        :param domain: failure domain of the entry process.
         :rtype: list[AddressedAction]
         """
         self._last_message_at[entry] = now
--- a/packages/chalkyoke/src/chalkyoke/scheduling/state.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/state.py
@@ -252,7 +252,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the upstream gets no new work: it leaves the host list or drains."""
+        """Whether the host list or a load report excludes the upstream from new requests."""
         return self.spec.leaving or self.draining
 
     def occupied(self, now: float) -> int:
@@ -324,7 +324,7 @@
         return self.stall_share * math.exp((self.stall_updated_at - now) / STALL_MEMORY_S)
 
     def finish_slack_s(self, rank: int, now: float) -> float:
-        """Return the longest delay, in seconds, that makes no running request miss its deadline.
+        """Return the largest delay, in seconds, with which no running request becomes late.
 
         Only requests of the given tier or a higher one count, and only those that are predicted to
         meet their deadlines; infinite where there are none.
