--- a/packages/chalkyoke/src/chalkyoke/catalog/records.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/records.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.catalog.records
 
-The records in force on this node: replicas, orders of roll-outs, their answers and requests that
+The records in force on this node: replicas, roll-out orders, roll-out statuses and requests that
 are held back.
 """
 
@@ -11,7 +11,7 @@
 from result import Err, Result
 
 from chalkyoke.catalog.resources import Replica
-from chalkyoke.catalog.starts import StartMemory
+from chalkyoke.catalog.starts import RetainedStarts
 from chalkyoke.quarantine.messages import HeldRecord
 from chalkyoke.rollouts.resources import RolloutOrder, RolloutStatus
 from chalkyoke.storage.messages import Item
@@ -20,10 +20,11 @@
 ReadRecord = Callable[[Item], Result[Record, str]]
 
 
-class Ordered(msgspec.Struct, frozen=True):
-    """An order of a roll-out, and when it may have been given at the earliest.
+class ReceivedOrder(msgspec.Struct, frozen=True):
+    """A roll-out order with the time from which it counts.
 
-    :param since: on this node's clock, in seconds.
+    :param since: earliest time at which the order may have been written, on this node's clock, in
+        seconds.
     """
 
     order: RolloutOrder
@@ -31,10 +32,10 @@
 
 
 class RemovedReplica(msgspec.Struct):
-    """A replica whose record is gone.
+    """A replica whose record was removed.
 
-    :param since: when it may have gone at the earliest, on this node's clock, in seconds. A late
-        update counts from the change, not from its arrival.
+    :param since: earliest time of the removal, on this node's clock, in seconds. For a late update
+        this is the time of the change, not of its arrival.
     """
 
     replica: Replica
@@ -42,57 +43,57 @@
 
 
 class Records:
-    """Hold what the records in force name.
-
-    :param read: reads a replica's record, an order of a roll-out, the answer to one or the record
-        of a request that is held back.
-    :ivar replicas: by id of the start.
-    :ivar departed: replicas whose record is gone, by id of the start.
-    :ivar orders: orders of roll-outs, by service.
-    :ivar statuses: the answers to them, by service.
-    :ivar held: requests that are held back, as far as the store says so.
-    :ivar released: those of them that operators have released.
-    :ivar unreadable: why a record can't be read, by key.
+    """Hold the records in force, parsed and indexed.
+
+    :param read: parses a replica record, a roll-out order, a roll-out status or the record of a
+        request that is held back.
+    :ivar replicas: replicas by start id.
+    :ivar removed_replicas: replicas whose record was removed, by start id.
+    :ivar orders: roll-out orders, by service.
+    :ivar statuses: roll-out statuses, by service.
+    :ivar held_requests: identities of the requests that the store lists as held back.
+    :ivar released_requests: identities of the requests that operators have released.
+    :ivar unreadable: the reason why a record can't be parsed, by key.
     """
 
     def __init__(self, read: ReadRecord) -> None:
         self.replicas: dict[str, Replica] = {}
-        self.departed: dict[str, RemovedReplica] = {}
-        self.orders: dict[str, Ordered] = {}
+        self.removed_replicas: dict[str, RemovedReplica] = {}
+        self.orders: dict[str, ReceivedOrder] = {}
         self.statuses: dict[str, RolloutStatus] = {}
-        self.held: set[bytes] = set()
-        self.released: set[bytes] = set()
+        self.held_requests: set[bytes] = set()
+        self.released_requests: set[bytes] = set()
         self.unreadable: dict[str, str] = {}
         self._read = read
         self._items: dict[str, Item] = {}
-        self._leaving: StartMemory[None] = StartMemory()
-        self._kept_leaving: set[str] = set()
+        self._leaving: RetainedStarts[None] = RetainedStarts()
+        self._retained_leaving: set[str] = set()
         self._restarted: list[Replica] = []
 
     def __iter__(self) -> Iterator[str]:
         return iter(list(self._items))
 
-    def item(self, key: str) -> Item | None:
-        """Give a record in force as it was written."""
+    def get(self, key: str) -> Item | None:
+        """Return a record in force as it was written; None if there is none."""
         return self._items.get(key)
 
     def put(self, item: Item, since: float, epoch: int, *, again: bool = False) -> bool:
-        """Put a record into force.
+        """Put a record into force in place of the earlier one under its key.
 
-        :param since: when it may have been written at the earliest, on this node's clock.
-        :param epoch: the store's epoch of its revision.
-        :param again: whether it may be one that a restored store had lost, written once more.
-        :return: whether it changes anything.
+        :param since: earliest time of the write, on this node's clock, in seconds.
+        :param epoch: the store epoch of the record's revision.
+        :param again: whether the record may be a rewrite of one that a restored store had lost.
+        :return: whether anything changed.
         """
         read = self._read(item)
         if isinstance(read, Err):
-            return self._refuse(item.key, read.err_value)
+            return self._mark_unreadable(item.key, read.err_value)
         self.unreadable.pop(item.key, None)
         before = self._items.get(item.key)
         self._items[item.key] = item
         record = read.ok_value
         if isinstance(record, RolloutOrder):
-            return self._put_order(record.named_in(epoch), since, again=again)
+            return self._put_order(record.with_name(epoch), since, again=again)
         if isinstance(record, RolloutStatus):
             changed = self.statuses.get(record.service) != record
             self.statuses[record.service] = record
@@ -102,97 +103,98 @@
         return self._put_replica(before, record)
 
     def remove(self, key: str, since: float) -> bool:
-        """Take a record out of force.
+        """Remove a record from force.
 
-        :param since: when it may have gone at the earliest, on this node's clock.
-        :return: whether there was one.
+        :param since: earliest time of the removal, on this node's clock, in seconds.
+        :return: whether there was a record.
         """
         self.unreadable.pop(key, None)
         item = self._items.pop(key, None)
         if item is None:
             return False
-        if (gone := self._drop(item)) is not None:
-            self.departed[gone.id] = RemovedReplica(gone, since)
+        if (gone := self._remove_from_indexes(item)) is not None:
+            self.removed_replicas[gone.id] = RemovedReplica(gone, since)
         return True
 
-    def is_foreign(self, item: Item) -> bool:
-        """Tell whether a record is written by a replica or an operator.
+    def is_externally_written(self, item: Item) -> bool:
+        """Return whether a replica or an operator writes the record.
 
-        The others are this system's own: it is to see at once that a restored store has lost them,
-        and write them again.
+        The scheduler writes the other records itself: it must see at once that a restored store
+        has lost them, so that it writes them again.
         """
         read = self._read(item)
         return not isinstance(read, Err) and isinstance(read.ok_value, Replica | RolloutOrder)
 
     # Replicas.
 
-    def note_leaving(self, start: str, now: float) -> bool:
-        """Note that a replica has said itself that it leaves; no record of that start undoes it.
+    def mark_leaving(self, start: str, now: float) -> bool:
+        """Mark a replica start as leaving, as it has announced; no record of it reverts this.
 
-        :param start: the replica's id.
-        :return: whether it was taken to stay until now.
+        :param start: id of the replica start.
+        :param now: the node's clock, in seconds.
+        :return: whether the start was not known to leave before.
         """
         is_new = start not in self._leaving
-        self._leaving.keep(start, None, now)
+        self._leaving.put(start, None, now)
         replica = self.replicas.get(start)
         if replica is not None:
             self.replicas[start] = self._with_leaving(replica)
-        if (gone := self.departed.get(start)) is not None:
+        if (gone := self.removed_replicas.get(start)) is not None:
             gone.replica = self._with_leaving(gone.replica)
         return is_new and (replica is None or not replica.draining)
 
-    def keep_leaving(self, now: float) -> None:
-        """Let no older record undo that the replicas leave that say so now."""
-        kept = {each.id for each in self.replicas.values() if each.draining}
-        for start in kept:
-            self._leaving.keep(start, None, now)
-        self._kept_leaving = kept
+    def retain_leaving(self, now: float) -> None:
+        """Keep all draining replica starts leaving, whatever older records of a backup say."""
+        draining = {each.id for each in self.replicas.values() if each.draining}
+        for start in draining:
+            self._leaving.put(start, None, now)
+        self._retained_leaving = draining
 
     def leaving_despite_restore(self) -> set[str]:
-        """List the replicas that leave though a restored store may say otherwise.
+        """List the replica starts that stay leaving although a restored store may list them ready.
 
         :rtype: set[str]
         """
-        return {each for each in self._kept_leaving if each in self._leaving}
+        return {each for each in self._retained_leaving if each in self._leaving}
 
-    def leaves(self, start: str) -> bool:
-        """Tell whether a replica has said itself that it leaves.
+    def is_leaving(self, start: str) -> bool:
+        """Return whether a replica start has announced that it leaves.
 
-        :param start: the replica's id.
+        :param start: id of the replica start.
         """
         return start in self._leaving
 
-    def take_restarted(self) -> list[Replica]:
-        """Take the starts of replicas that later ones have taken the place of since the last call.
+    def pop_restarted(self) -> list[Replica]:
+        """Return and clear the replica starts that a later start has replaced since the last call.
 
         :rtype: list[Replica]
         """
         restarted, self._restarted = self._restarted, []
         return restarted
 
-    def forget_removed(self, now: float, keep_s: float) -> None:
-        """Drop the memory of replicas that went long ago."""
-        self._leaving.forget(self.replicas.keys(), now)
-        for name, each in list(self.departed.items()):
+    def expire_removed(self, now: float, keep_s: float) -> None:
+        """Forget replicas that were removed more than ``keep_s`` seconds ago."""
+        self._leaving.expire(self.replicas.keys(), now)
+        for name, each in list(self.removed_replicas.items()):
             if now - each.since > keep_s:
-                del self.departed[name]
+                del self.removed_replicas[name]
 
     def _put_replica(self, before: Item | None, replica: Replica) -> bool:
-        self._end_start_before(before, replica)
+        self._remove_earlier_start(before, replica)
         replica = self._with_leaving(replica)
         changed = self.replicas.get(replica.id) != replica
         self.replicas[replica.id] = replica
-        self.departed.pop(replica.id, None)
+        self.removed_replicas.pop(replica.id, None)
         return changed
 
     def _with_leaving(self, replica: Replica) -> Replica:
-        """Give a replica as its record and its answers declare it."""
+        """Return the replica with ``draining`` set if it has announced that it leaves."""
         if replica.draining or replica.id not in self._leaving:
             return replica
         return msgspec.structs.replace(replica, draining=True)
 
-    def _end_start_before(self, before: Item | None, replica: Replica) -> None:
-        """Let go of the start of a replica that this record takes the place of."""
+    def _remove_earlier_start(self, before: Item | None, replica: Replica) -> None:
+        """Remove the earlier start of a replica if this record is of a later start."""
         if before is None:
             return
         read = self._read(before)
@@ -204,21 +206,21 @@
         if ended is not None:
             self._restarted.append(ended)
 
-    # Others.
+    # Other records.
 
-    def _refuse(self, key: str, why: str) -> bool:
-        """Take a record that can't be read: it names nothing, whatever it named before.
+    def _mark_unreadable(self, key: str, why: str) -> bool:
+        """Note that a record can't be parsed, and remove what was in force under its key.
 
-        :return: whether this is another reason than before.
+        :return: whether the reason differs from the previous one.
         """
         is_new = self.unreadable.get(key) != why
         self.unreadable[key] = why
         if (item := self._items.pop(key, None)) is not None:
-            self._drop(item)
+            self._remove_from_indexes(item)
         return is_new
 
     def _put_held(self, record: HeldRecord) -> bool:
-        mine, other = self.held, self.released
+        mine, other = self.held_requests, self.released_requests
         if record.is_released:
             mine, other = other, mine
         is_new = record.request not in mine
@@ -233,11 +235,11 @@
             since = held.since
         if held is not None and held.order == order:
             return False
-        self.orders[order.service] = Ordered(order, since)
+        self.orders[order.service] = ReceivedOrder(order, since)
         return True
 
-    def _drop(self, item: Item) -> Replica | None:
-        """Forget what a record that was read before has named; give the replica, if it was one."""
+    def _remove_from_indexes(self, item: Item) -> Replica | None:
+        """Remove a record from the indexes; return the replica if it was a replica record."""
         read = self._read(item)
         if isinstance(read, Err):
             return None
@@ -247,8 +249,8 @@
         elif isinstance(record, RolloutStatus):
             self.statuses.pop(record.service, None)
         elif isinstance(record, HeldRecord):
-            self.held.discard(record.request)
-            self.released.discard(record.request)
+            self.held_requests.discard(record.request)
+            self.released_requests.discard(record.request)
         else:
             return self.replicas.pop(record.id, None)
         return None
--- a/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
@@ -179,7 +179,7 @@
         self._pool.queues[item.rank].charge_team(item.team, work, self._pool.weight(item.team))
         self._pool.prefixes.insert_blocks(upstream.spec.id, item.blocks)
         if upstream.allowance is not None:
-            upstream.allowance.take(now)
+            upstream.allowance.consume(now)
         running = RunningRequest(
             request=item.request,
             attempt=item.attempt,
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,7 +16,7 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.clock import HybridClock
 from chalkyoke.configuration.messages import ListedHost
-from chalkyoke.configuration.resources import build, read_document
+from chalkyoke.configuration.resources import build_resources, read_document
 from chalkyoke.entry.acquirer import Acquirer
 from chalkyoke.entry.answers import LocalAnswer, issuer_gone
 from chalkyoke.entry.dispatcher import Dispatcher
@@ -132,7 +132,7 @@
             self.runs, self.acquirer, ends, dispatcher, port, self.events, self.metrics, self.now
         )
         self.schedulers.deliver = self.acquirer.receive
-        self.schedulers.tell_running = self.acquirer.tell_running
+        self.schedulers.report_running = self.acquirer.tell_running
         self.every(self.view.interval_s, self.beat)
         self.every(0.05, self.tick)
         self.every(1.0, self.keep_house)
@@ -149,7 +149,7 @@
         self.tasks.append(task)
 
     def beat(self):
-        for send in self.view.beat(self.now()):
+        for send in self.view.due_messages(self.now()):
             self.send(send.address, send.message)
 
     def tick(self):
@@ -198,7 +198,7 @@
         elif isinstance(message, AdoptRequest):
             self.acquirer.tell_running(message.pool, sender.process)
         else:
-            self.schedulers.note_address(sender.process, sender.address)
+            self.schedulers.remember_address(sender.process, sender.address)
             self.schedulers.receive(sender.process, sender.domain, message)
 
     def wake(self):
@@ -220,7 +220,7 @@
         self.random = random.Random(seed)
         self.chaos = chaos
         self.loop = asyncio.get_running_loop()
-        self.resources = build(read_document(DOCUMENT).unwrap()).unwrap()
+        self.resources = build_resources(read_document(DOCUMENT).unwrap()).unwrap()
         self.upstreams = {
             f"e{i}": FakeUpstream(f"e{i}", DOMAINS[i % 3], False, 0.01 * (1 + i % 3))
             for i in range(5)
