--- a/packages/chalkyoke/src/chalkyoke/membership/inside.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/inside.py
@@ -1,9 +1,9 @@
 """
 chalkyoke.membership.inside
 
-The members of one failure domain. A few send each other their signs of life. Of many, each sends
-them to a few monitors, which tell all others whom they hear: what a host spends on it does not
-grow with the domain.
+The members of this process's failure domain. In a small domain all members send heartbeats to each
+other. In a large one each member sends them to a few monitors, which broadcast their rosters of
+live members, so that the cost per host does not grow with the domain.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,18 +20,23 @@
 )
 from chalkyoke.membership.state import NEVER_HEARD_S, Candidate, Change, Joined, Left, Member
 
-# Members that all others send their signs of life to: three, so that a lost one and a frozen one
-# leave one. The first of them report the domain to the others.
+# Number of members that receive the heartbeats of all others in a large domain: three, so that one
+# remains when one is lost and another is frozen. The best ranked of them report the domain to other
+# domains.
 MONITORS = 3
-# A process that knows few of its domain asks the monitors that there may be, and so many others in
-# turn: asked all at once, 44 hosts that start together open 1,900 links.
+# A process that knows few members of its domain contacts the likely monitors and, per heartbeat,
+# this many other hosts in rotation. If each contacted all, 44 hosts that start together would open
+# 1,900 links.
 CONTACTS_PER_BEAT = 1
-# Hosts that are dead and no longer listed are forgotten after so many intervals.
+# Number of heartbeat intervals after which dead hosts that are no longer candidates are removed.
 FORGET_INTERVALS = 2400
 
 
 def announced_state(record: MemberRecord) -> tuple[object, ...]:
-    """Give what others go by in a record; versions of the catalog change far more often."""
+    """Return the fields of a record whose changes are announced at once.
+
+    Catalog versions are not among them, because they change far more often.
+    """
     return (
         record.incarnation,
         record.address,
@@ -43,11 +48,11 @@
 
 
 class OwnDomain:
-    """Follow the members of this process's failure domain.
+    """Track the members of this process's failure domain.
 
-    :param record: this process.
+    :param record: the record of this process.
     :param interval_s: time between heartbeats, in seconds.
-    :ivar generation: grows with each change of who is alive and how they stand.
+    :ivar generation: grows with each change of the live members or their announced state.
     """
 
     def __init__(self, record: MemberRecord, interval_s: float) -> None:
@@ -62,7 +67,7 @@
         self._probe_count = 0
         self._ranking: tuple[int, list[MemberRecord]] = (-1, [])
 
-    # What the view asks.
+    # Queries of the view.
 
     def live(self) -> list[MemberRecord]:
         """List the members that are believed alive, this process first."""
@@ -75,33 +80,33 @@
 
     @property
     def spacing_s(self) -> float:
-        """The time between two heartbeats, by the domain's size, in seconds."""
+        """Time between two heartbeats for the present size of the domain, in seconds."""
         return spacing_s(self._size(), self._interval_s)
 
     @property
     def is_large(self) -> bool:
-        """Whether signs of life go to monitors only."""
+        """Whether the domain is so large that heartbeats go to monitors only."""
         return self._size() > MAX_FULL_MESH_MEMBERS
 
     @property
     def is_monitor(self) -> bool:
-        """Whether this process is a monitor."""
+        """Whether this process is a monitor; False in a small domain."""
         return self.is_large and self.record.host in self._monitors()
 
     def monitor_ranking(self) -> list[MemberRecord]:
-        """Rank the members for hearing and reporting their domain, best first."""
+        """Rank the members for monitoring and reporting their domain, best first."""
         if self._ranking[0] != self.generation:
             own = self.live()
-            # Where all of a failure domain stop on plan, others still have to hear of it.
+            # If all members are in a planned stop, some of them still report that.
             staying = [each for each in own if not each.leaving] or own
             order = ranked_hosts(reporter_duty(self.record.failure_domain), staying)
             self._ranking = (self.generation, order)
         return self._ranking[1]
 
     def knows_senior_member(self, beat: int) -> bool:
-        """Tell whether a member is alive that was there before this process.
+        """Return whether a live member was started before this process.
 
-        :param beat: of this process.
+        :param beat: heartbeat number of this process.
         """
         return any(
             each.alive and (each.beat > beat or each.last_beat_s == NEVER_HEARD_S)
@@ -109,15 +114,15 @@
         )
 
     def may_be_incomplete(self) -> bool:
-        """Tell whether this process may belong to a large domain that it doesn't know yet."""
+        """Return whether the domain may be large and most of its members not known yet."""
         return not self.is_large and len(self._known_hosts()) > MAX_FULL_MESH_MEMBERS
 
     def set_candidates(self, candidates: Iterable[Candidate]) -> None:
-        """Take the hosts of this failure domain that are listed."""
+        """Replace the candidate hosts of this failure domain."""
         self._candidates = {each.host: each for each in candidates}
 
     def add_candidates(self, records: Iterable[MemberRecord]) -> None:
-        """Take members that another one has told of for candidates."""
+        """Add unknown members from another process's summary to the candidates."""
         for record in records:
             if record.host != self.record.host and record.host not in self._members:
                 listed = Candidate(
@@ -126,9 +131,9 @@
                 self._candidates.setdefault(record.host, listed)
 
     def heartbeat_targets(self, beat: int) -> list[str]:
-        """List the addresses to send a sign of life to.
+        """List the addresses to which to send a heartbeat.
 
-        :param beat: number of this beat.
+        :param beat: number of this heartbeat.
         """
         known = self._known_hosts()
         if self.is_monitor:
@@ -139,10 +144,10 @@
             return self._bootstrap_contacts(known, beat)
         return [known[host].address for host in sorted(known)]
 
-    # Signs of life.
+    # Heartbeats.
 
     def apply_record(self, record: MemberRecord, beat: int, now: float) -> list[Change]:
-        """Take a member's own sign of life."""
+        """Apply a full heartbeat of a member; messages of retired incarnations are ignored."""
         if record.host == self.record.host:
             return []
         member = self._members.get(record.host)
@@ -171,30 +176,30 @@
     def apply_short_heartbeat(
         self, host: str, incarnation: int, beat: int, now: float
     ) -> list[Change]:
-        """Take the beat of a process whose record is known; a new one sends it whole soon."""
+        """Apply a short heartbeat; unknown processes are ignored until their full heartbeat."""
         member = self._members.get(host)
         if member is None or member.record.incarnation != incarnation:
             return []
         return self.apply_record(member.record, beat, now)
 
     def tick(self, now: float) -> list[Change]:
-        """Find who has fallen silent.
+        """Update which members are alive.
 
-        A member is alive while it is heard here, or by a monitor that is.
+        A member is alive while its heartbeats arrive here or at a monitor that is itself alive.
         """
         changes: list[Change] = []
         spacing = self.spacing_s
-        patience = suspect_timeout_s(spacing, self._interval_s)
+        timeout = suspect_timeout_s(spacing, self._interval_s)
         listed = self._rosters.vouched_members(
-            now, roster_timeout_s(spacing, self._interval_s), patience
+            now, roster_timeout_s(spacing, self._interval_s), timeout
         )
         for record in listed.values():
-            changes += self._adopt_record(record, now - patience, listed)
+            changes += self._adopt_record(record, now - timeout, listed)
         for member in self._members.values():
-            spoken_for = now - member.last_beat_s <= patience or member.record.process in listed
-            if spoken_for != member.alive:
-                member.alive = spoken_for
-                changes.append(Joined(member.record) if spoken_for else Left(member.record))
+            is_alive = now - member.last_beat_s <= timeout or member.record.process in listed
+            if is_alive != member.alive:
+                member.alive = is_alive
+                changes.append(Joined(member.record) if is_alive else Left(member.record))
         self._forget_dead(now)
         self.generation += len(changes)
         return changes
@@ -202,51 +207,51 @@
     # Monitors.
 
     def digest(self) -> Digest:
-        """Name what this process hears as a monitor."""
+        """Return the digest of this process's own roster."""
         return Digest(self.record.failure_domain, self.record.process, self._own_roster.version)
 
     def next_roster_change(self, now: float) -> RosterChange | None:
-        """Give what a monitor has to tell the others now, if anything has changed."""
+        """Return the delta for a monitor to broadcast now, or None if nothing has changed."""
         if not self.is_large:
-            # What was told runs out by itself, while all begin to hear each other.
+            # Rosters sent before expire by themselves while all members resume direct heartbeats.
             self._own_roster = OwnRoster()
             return None
-        heard: list[MemberRecord] = []
+        heard_members: list[MemberRecord] = []
         if self.is_monitor:
-            patience = suspect_timeout_s(self.spacing_s, self._interval_s)
-            heard = [self.record]
-            heard += [
-                each.record for each in self._members.values() if now - each.last_beat_s <= patience
+            timeout = suspect_timeout_s(self.spacing_s, self._interval_s)
+            heard_members = [self.record]
+            heard_members += [
+                each.record for each in self._members.values() if now - each.last_beat_s <= timeout
             ]
-        self._own_roster.update(heard)
+        self._own_roster.update(heard_members)
         return self._own_roster.next_change(self.digest())
 
     def summary(self) -> Summary | None:
-        """Tell all that this process hears, where it is a monitor."""
+        """Return a snapshot of this process's roster, or None if the roster is empty."""
         return (
             Summary(self.digest(), self._own_roster.records) if self._own_roster.records else None
         )
 
     def apply_digest(self, digest: Digest, now: float) -> bool:
-        """Take a monitor's word that it still hears the same.
+        """Apply the digest of a monitor's roster.
 
-        :return: whether the monitor is to be asked whom it hears.
+        :return: whether to request the roster from the monitor.
         """
         if self._rosters.confirm(digest, now):
             return False
         return self._is_request_due(digest.reporter, now)
 
     def apply_roster_change(self, message: RosterChange, now: float) -> tuple[list[Change], bool]:
-        """Take what has changed for a monitor.
+        """Apply a delta of a monitor's roster.
 
-        :return: changes of the view, and whether the monitor is to be asked for all.
+        :return: changes of the view, and whether to request the full roster from the monitor.
         """
         fits = self._rosters.apply_change(message, now)
-        ask = not fits and self._is_request_due(message.digest.reporter, now)
-        return self.tick(now), ask
+        needs_summary = not fits and self._is_request_due(message.digest.reporter, now)
+        return self.tick(now), needs_summary
 
     def apply_summary(self, message: Summary, now: float) -> list[Change]:
-        """Take all that another process hears, or believes, of this failure domain."""
+        """Apply a snapshot of this failure domain: another process's roster or its view."""
         self.add_candidates(message.records)
         if len(message.records) <= MAX_FULL_MESH_MEMBERS:
             return []
@@ -269,7 +274,7 @@
     def _bootstrap_contacts(
         self, known: dict[str, Candidate | MemberRecord], beat: int
     ) -> list[str]:
-        """List the likely monitors, and others in turn, for a process that knows few members."""
+        """List the likely monitors and other hosts in rotation, while few members are known."""
         order = ranked_hosts(reporter_duty(self.record.failure_domain), known.values())
         others = order[MONITORS:]
         turns = [others[(beat + each) % len(others)] for each in range(CONTACTS_PER_BEAT)]
@@ -277,7 +282,7 @@
         return list(dict.fromkeys([*self.other_addresses(), *first]))
 
     def _next_silent_address(self, known: dict[str, Candidate | MemberRecord]) -> list[str]:
-        """Give one host that is silent: one that came back may know nobody."""
+        """Return one silent host's address in rotation; a returning host may know no member."""
         alive = {each.host for each in self.live()}
         silent = sorted(host for host in known if host not in alive)
         if not silent:
@@ -286,18 +291,18 @@
         return [known[silent[self._probe_count % len(silent)]].address]
 
     def _adopt_record(
-        self, record: MemberRecord, heard_before: float, listed: Mapping[str, MemberRecord]
+        self, record: MemberRecord, heard_since_s: float, listed: Mapping[str, MemberRecord]
     ) -> list[Change]:
-        """Take the record of a member that a monitor hears.
+        """Apply the record of a member from a monitor's roster.
 
-        :param heard_before: who was heard here since then is known better here.
-        :param listed: all that monitors hear, by process.
+        :param heard_since_s: records of members heard here since this time are newer here.
+        :param listed: member records on any monitor's roster, by process id.
         """
         if record.host == self.record.host:
             return []
         member = self._members.get(record.host)
         if member is None:
-            # Whether it is alive is found next.
+            # The caller then determines whether the member is alive.
             self._members[record.host] = Member(record, 0, NEVER_HEARD_S, alive=False)
             return []
         if record.incarnation == member.record.incarnation:
@@ -305,7 +310,7 @@
                 member.record = record
                 self.generation += 1
             return []
-        is_known_better = member.last_beat_s >= heard_before or member.record.process in listed
+        is_known_better = member.last_beat_s >= heard_since_s or member.record.process in listed
         if record.incarnation in member.retired or is_known_better:
             return []
         changes: list[Change] = [Left(member.record)] if member.alive else []
@@ -313,7 +318,7 @@
         return changes
 
     def _is_request_due(self, monitor: str, now: float) -> bool:
-        """Tell whether a monitor was not asked within a heartbeat."""
+        """Return whether no request was sent to a monitor within a heartbeat interval."""
         recent = {
             name: at for name, at in self._requested_at.items() if now - at < self._interval_s
         }
@@ -322,7 +327,7 @@
         return is_new
 
     def _forget_dead(self, now: float) -> None:
-        """Drop hosts that are long dead and no longer listed, so that the view stays bounded."""
+        """Remove hosts that are long dead and no longer candidates, to bound the view."""
         limit = FORGET_INTERVALS * self._interval_s
         for host, member in list(self._members.items()):
             if (
--- a/packages/chalkyoke/src/chalkyoke/membership/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/messages.py
@@ -1,26 +1,26 @@
 """
 chalkyoke.membership.messages
 
-What hosts say to each other about who is alive.
+Messages by which hosts exchange membership state.
 """
 
 import msgspec
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One process as it describes itself.
+    """The state that one process announces about itself.
 
     :param incarnation: random number of the process; a restarted host has another one.
     :param address: ``ip:port`` of its link listener.
-    :param leaving: whether it is in a planned stop.
-    :param ready: whether it has a configuration and may own pools.
-    :param revision: configuration revision in force there.
-    :param hosts_version: version of the host list that it holds.
-    :param store_lost: whether the store does not answer it, while it may answer others.
-    :param edition: grows with each change of what others go by; of two records of a process the
-        one with the higher edition is the newer.
-    :param capacity: what the host can bear, in cores; see ``owners.capacity_class``.
-    :param store_epoch: the store's epoch that ``hosts_version`` is of; 0 is not known.
+    :param leaving: whether the process is in a planned stop.
+    :param ready: whether the process has a configuration and may own pools.
+    :param revision: revision of the configuration that the process applies.
+    :param hosts_version: version of the process's host list.
+    :param store_lost: whether this process can't reach the store; other processes may still do.
+    :param edition: grows with each change of the fields in ``inside.announced_state``; of two
+        records of a process the one with the higher edition is the newer.
+    :param capacity: processor capacity of the host, in cores; see ``owners.capacity_class``.
+    :param store_epoch: epoch of the store to which ``hosts_version`` belongs; 0 if unknown.
     """
 
     host: str
@@ -39,14 +39,14 @@
 
     @property
     def process(self) -> str:
-        """The id of the process: host and incarnation."""
+        """The id of the process: host and incarnation in hexadecimal."""
         return f"{self.host}/{self.incarnation:x}"
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True):
-    """Names one state of a failure domain's membership, as one of its reporters sees it.
+    """Identifies one state of a failure domain's membership, as one of its reporters sees it.
 
-    :param version: checksum of the members' records, the same for all that see the same.
+    :param version: checksum of the members' records; processes with equal views compute the same.
     """
 
     failure_domain: str
@@ -55,9 +55,9 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="heartbeat"):
-    """A sign of life with the whole record: after a change, and now and then.
+    """A heartbeat with the full record, sent after a change and periodically.
 
-    :param digests: they keep other failure domains alive in the receiver's view.
+    :param digests: digests of other failure domains, which keep these alive in the receiver's view.
     """
 
     record: MemberRecord
@@ -66,7 +66,7 @@
 
 
 class ShortHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """A sign of life of a process whose record has not changed."""
+    """A heartbeat without the record, for a process whose record has not changed."""
 
     host: str
     incarnation: int
@@ -76,24 +76,24 @@
 
 
 class SummaryRequest(msgspec.Struct, frozen=True, array_like=True, tag="summary_request"):
-    """Ask for the members behind a digest."""
+    """Requests the member records that a digest identifies."""
 
     digest: Digest
 
 
 class Summary(msgspec.Struct, frozen=True, array_like=True, tag="summary"):
-    """The live members of one failure domain."""
+    """A snapshot of the live members of one failure domain."""
 
     digest: Digest
     records: tuple[MemberRecord, ...]
 
 
 class RosterChange(msgspec.Struct, frozen=True, array_like=True, tag="roster"):
-    """What has changed of the members that a monitor of a large failure domain hears.
+    """A delta of the members from which a monitor of a large failure domain receives heartbeats.
 
-    :param digest: names what the monitor hears now, so that a lost message is noticed.
-    :param joined: members that are new there or have changed.
-    :param left: ids of the processes that it hears no more.
+    :param digest: identifies the monitor's roster after the delta, which reveals a lost message.
+    :param joined: members that are new in the roster or have changed.
+    :param left: ids of the processes that were removed from the roster.
     """
 
     digest: Digest
--- a/packages/chalkyoke/src/chalkyoke/membership/outside.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/outside.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.membership.outside
 
-The other failure domains, as their reporters tell of them.
+State of the other failure domains, as received from their reporters.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,19 +11,19 @@
 from chalkyoke.membership.spacing import foreign_timeout_s, report_interval_s
 from chalkyoke.membership.state import Candidate, Change, ForeignDomain, Joined, Left
 
-# Members of a failure domain that report it to the others: two, so that one may fall silent.
+# Number of members of a failure domain that report it to the others: two, so that one may fail.
 REPORTERS = 2
 
 
 def reporter_duty(domain: str) -> str:
-    """Name the duty of reporting a failure domain, and of hearing its members."""
+    """Return the name of the duty of reporting a failure domain and monitoring its members."""
     return f"reporter/{domain}"
 
 
 class OtherDomains:
-    """Follow the failure domains that this process does not belong to.
+    """Track the failure domains to which this process does not belong.
 
-    :param domain: this process's own.
+    :param domain: this process's own failure domain.
     :param interval_s: time between heartbeats, in seconds.
     """
 
@@ -34,15 +34,15 @@
         self._requested_at: dict[str, tuple[int, float]] = {}
 
     def records(self) -> list[MemberRecord]:
-        """List their live processes."""
+        """List the live processes of the other failure domains."""
         return [record for each in self._domains.values() for record in each.records]
 
     def summaries(self) -> list[Summary]:
-        """Tell all that is known of them, for a newcomer."""
+        """Build one summary per known failure domain, for a process that has just started."""
         return [Summary(each.digest, each.records) for each in self._domains.values()]
 
     def find_domain(self, domain: str) -> ForeignDomain | None:
-        """Find a failure domain that is believed alive."""
+        """Return a failure domain that is believed alive, or None."""
         return self._domains.get(domain)
 
     def rankings(self) -> dict[str, list[MemberRecord]]:
@@ -53,15 +53,15 @@
         }
 
     def is_live_member(self, record: MemberRecord) -> bool:
-        """Tell whether a process is among the live ones of its failure domain."""
+        """Return whether a process is a known live member of its failure domain."""
         known = self._domains.get(record.failure_domain)
         return known is not None and any(each.process == record.process for each in known.records)
 
     def direct_digests(self, now: float) -> tuple[Digest, ...]:
-        """List the digests that came straight from their failure domains lately.
+        """List the digests that were recently received directly from their failure domains.
 
-        Others are not passed on: versions have no order, so that an outdated one would go round
-        beside the current one.
+        Other digests are not forwarded: versions have no order, so an outdated one would keep
+        circulating along with the current one.
         """
         return tuple(
             each.digest
@@ -70,9 +70,9 @@
         )
 
     def apply_digest(self, sender_domain: str, digest: Digest, now: float) -> bool:
-        """Take the sign of life of a failure domain.
+        """Apply a digest, which keeps its failure domain alive in the view.
 
-        :return: whether its sender is to be asked for the members behind it.
+        :return: whether to request the member records of the digest from its sender.
         """
         known = self._domains.get(digest.failure_domain)
         if known is None:
@@ -83,7 +83,7 @@
         return known.digest.version != digest.version and self._is_request_due(digest, now)
 
     def apply_summary(self, sender: str, message: Summary, now: float) -> list[Change]:
-        """Take the members of a failure domain.
+        """Apply a snapshot of the members of a failure domain.
 
         :param sender: address of the sender's link listener.
         """
@@ -101,24 +101,24 @@
         return changes
 
     def tick(self, spacing: float, now: float) -> list[Change]:
-        """Find which failure domains have fallen silent.
+        """Remove failure domains whose digests have stopped.
 
-        :param spacing: between heartbeats inside this process's own, in seconds.
+        :param spacing: time between heartbeats inside this process's own domain, in seconds.
         """
-        patience = foreign_timeout_s(spacing, self._interval_s)
+        timeout = foreign_timeout_s(spacing, self._interval_s)
         changes: list[Change] = []
         for name, foreign in list(self._domains.items()):
-            if now - foreign.last_digest_s > patience:
+            if now - foreign.last_digest_s > timeout:
                 del self._domains[name]
                 changes.extend(Left(record) for record in foreign.records)
         return changes
 
     def report_targets(self, candidates: Iterable[Candidate], beat: int) -> list[str]:
-        """List the addresses to report to: other reporters, and some candidate in turn.
+        """List the addresses to report to: the reporters of other domains and rotating candidates.
 
-        A candidate in turn finds a domain that came back, and a dead reporter.
+        Candidates in rotation find a domain that has returned, and replace a dead reporter.
 
-        :param beat: number of this beat.
+        :param beat: number of this heartbeat.
         """
         found: list[str] = []
         for order in self.rankings().values():
@@ -142,19 +142,19 @@
         return found
 
     def _record_direct_version(self, known: ForeignDomain, digest: Digest, now: float) -> None:
-        """Note a version that came straight from its failure domain, and drop those of long ago."""
+        """Record a version received directly from its failure domain, and drop expired ones."""
         current = self._current_versions(known, now)
         known.direct_versions = {each: known.direct_versions[each] for each in current} | {
             digest.version: now
         }
 
     def _current_versions(self, known: ForeignDomain, now: float) -> set[int]:
-        """List the versions that came straight from a failure domain lately."""
-        lasts_s = 2 * report_interval_s(len(known.records), self._interval_s)
-        return {each for each, at in known.direct_versions.items() if now - at <= lasts_s}
+        """Return the versions that were recently received directly from a failure domain."""
+        validity_s = 2 * report_interval_s(len(known.records), self._interval_s)
+        return {each for each, at in known.direct_versions.items() if now - at <= validity_s}
 
     def _is_request_due(self, digest: Digest, now: float) -> bool:
-        """Tell whether the members behind a digest were not asked for within a heartbeat."""
+        """Return whether no request for this digest was sent within a heartbeat interval."""
         version, asked = self._requested_at.get(digest.failure_domain, (0, 0.0))
         if version == digest.version and now - asked < self._interval_s:
             return False
@@ -163,6 +163,6 @@
 
 
 def _is_from_reporter(sender: str, message: Summary) -> bool:
-    """Tell whether a summary comes from the process that made it, and not from one that has it."""
+    """Return whether a summary comes from its original reporter, not from a forwarding process."""
     reporter = message.digest.reporter
     return any(each.process == reporter and each.address == sender for each in message.records)
--- a/packages/chalkyoke/src/chalkyoke/membership/owners.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/owners.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.membership.owners
 
-Who holds a duty: rendezvous hashing over the live members, among those that can bear most. Source:
-Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998.
+Assignment of duties to hosts: rendezvous hashing over the live members with the most capacity.
+Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 
 class Host(Protocol):
-    """What a duty goes by: a member's record, or a candidate."""
+    """The attributes that decide on duties; a member record or a candidate has them."""
 
     @property
     def host(self) -> str:
@@ -21,7 +21,7 @@
 
     @property
     def capacity(self) -> float:
-        """What the host can bear, in cores."""
+        """Processor capacity of the host, in cores."""
 
 
 AnyHost = TypeVar("AnyHost", bound=Host)
@@ -32,10 +32,10 @@
 
 
 def capacity_class(capacity: float) -> int:
-    """Give the class of a host by what it can bear; each class bears twice as much as the next.
+    """Return the capacity class of a host; each class has twice the capacity of the one below.
 
-    Duties for many others go to the highest class that is there: the scheduler of a large pool may
-    need half of what the smallest hosts have.
+    Duties that serve many other hosts go to the highest class present: the scheduler of a large
+    pool may need half of the capacity of the smallest hosts.
 
     :param capacity: in cores.
     """
@@ -43,7 +43,7 @@
 
 
 def ranked_hosts(duty: str, hosts: Iterable[AnyHost]) -> list[AnyHost]:
-    """Rank hosts for a duty: those that can bear most, and among them by hashing.
+    """Rank hosts for a duty, best first: by capacity class, then by rendezvous hash.
 
     :param duty: name of the duty, for example a pool.
     """
--- a/packages/chalkyoke/src/chalkyoke/membership/rosters.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/rosters.py
@@ -1,7 +1,8 @@
 """
 chalkyoke.membership.rosters
 
-What the monitors of a large failure domain hear: who is alive there without being heard here.
+Rosters of a large failure domain: the members from which each monitor receives heartbeats. They
+show which members are alive although they send no heartbeats to this process.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,20 +14,20 @@
 
 
 def checksum(records: Iterable[MemberRecord]) -> int:
-    """Name a state of a failure domain, the same for all that see the same.
+    """Compute the version of a set of member records; equal sets give equal versions.
 
-    Versions of the catalog are left out: they change in all members each time, and others hear of
-    them by other ways.
+    Catalog versions are left out: they change in all members at once and are announced by other
+    messages.
     """
     standings = sorted((each.process, each.edition, each.address) for each in records)
     return xxhash.xxh64_intdigest(msgspec.msgpack.encode(standings)) >> 1
 
 
 class Roster(msgspec.Struct):
-    """What one monitor hears.
+    """The members from which one monitor receives heartbeats.
 
-    :param records: by process.
-    :param heard: when the monitor last said so, in seconds.
+    :param confirmed_s: when the monitor last confirmed the roster, in seconds.
+    :param records: member records by process id.
     """
 
     confirmed_s: float
@@ -35,15 +36,15 @@
 
 
 class Rosters:
-    """What all monitors of this failure domain hear, by their process ids."""
+    """The rosters of all monitors of this failure domain, by the monitors' process ids."""
 
     def __init__(self) -> None:
         self._rosters: dict[str, Roster] = {}
 
     def confirm(self, digest: Digest, now: float) -> bool:
-        """Note that a monitor still hears what a digest names.
+        """Record that a monitor's roster still has the version of a digest.
 
-        :return: whether that is what is known here; else the monitor is to be asked.
+        :return: whether the known roster has that version; if not, the caller requests a summary.
         """
         known = self._rosters.get(digest.reporter)
         if known is None or known.version != digest.version:
@@ -52,14 +53,14 @@
         return True
 
     def replace(self, monitor: str, records: Iterable[MemberRecord], now: float) -> None:
-        """Take all that a monitor hears."""
+        """Replace the roster of a monitor by a full snapshot."""
         held = {each.process: each for each in records}
         self._rosters[monitor] = Roster(now, checksum(held.values()), held)
 
     def apply_change(self, message: RosterChange, now: float) -> bool:
-        """Take what has changed for a monitor; a change that came twice does no harm.
+        """Apply a delta to the roster of a monitor; applying a delta twice is harmless.
 
-        :return: whether what is known here now is what the monitor names.
+        :return: whether the resulting roster has the version that the monitor announced.
         """
         monitor = message.digest.reporter
         roster = self._rosters.setdefault(monitor, Roster(now))
@@ -70,24 +71,25 @@
         return self.confirm(message.digest, now)
 
     def vouched_members(
-        self, now: float, patience_s: float, own_patience_s: float
+        self, now: float, timeout_s: float, own_timeout_s: float
     ) -> Mapping[str, MemberRecord]:
-        """List who is heard by some monitor, by process, and forget monitors of long ago.
+        """List the members on any monitor's roster by process id, and drop expired rosters.
 
-        :param patience_s: how long a monitor's word on others holds, in seconds.
-        :param own_patience_s: how long its word on itself and other monitors holds, in seconds.
+        :param timeout_s: how long a roster is valid for members that are no monitors, in seconds.
+        :param own_timeout_s: how long a roster is valid for the monitor itself and for other
+            monitors, in seconds.
         """
         if not self._rosters:
             return {}
         for monitor, roster in list(self._rosters.items()):
-            if now - roster.confirmed_s > patience_s:
+            if now - roster.confirmed_s > timeout_s:
                 del self._rosters[monitor]
         found: dict[str, MemberRecord] = {}
         for roster in self._rosters.values():
-            is_silent = now - roster.confirmed_s > own_patience_s
+            is_silent = now - roster.confirmed_s > own_timeout_s
             for process, record in roster.records.items():
                 if is_silent and process in self._rosters:
-                    # Lost monitors would vouch for each other.
+                    # Lost monitors would otherwise keep each other alive.
                     continue
                 other = found.get(process)
                 if other is None or record.edition > other.edition:
@@ -96,7 +98,7 @@
 
 
 class OwnRoster:
-    """What this process hears as a monitor, and what it has told of it."""
+    """The roster of this process as a monitor, and the last state sent to other members."""
 
     def __init__(self) -> None:
         self._members: dict[str, MemberRecord] = {}
@@ -105,24 +107,24 @@
 
     @property
     def records(self) -> tuple[MemberRecord, ...]:
-        """Who is heard, as last updated."""
+        """The member records of the roster, as last updated."""
         return tuple(self._members.values())
 
     def update(self, records: Iterable[MemberRecord]) -> None:
-        """Take who is heard now."""
+        """Replace the members of the roster; its version changes only if an edition does."""
         held = {each.process: each for each in records}
         if not _same_members(held, self._members):
             self.version = checksum(held.values())
         self._members = held
 
     def next_change(self, digest: Digest) -> RosterChange | None:
-        """Give what has changed since this was last called, if anything has."""
+        """Return the delta since the previous call, or None if nothing has changed."""
         if _same_members(self._members, self._sent):
             return None
         joined = tuple(
             each
             for process, each in self._members.items()
-            if (told := self._sent.get(process)) is None or told.edition != each.edition
+            if (sent := self._sent.get(process)) is None or sent.edition != each.edition
         )
         left = tuple(process for process in self._sent if process not in self._members)
         self._sent = self._members
--- a/packages/chalkyoke/src/chalkyoke/membership/state.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/state.py
@@ -1,22 +1,22 @@
 """
 chalkyoke.membership.state
 
-What one process believes about the others. Views may differ between processes at any time;
-nothing that must be safe relies on them.
+The state that one process keeps about the others. Views may differ between processes at any time,
+so nothing that needs agreement for safety relies on them.
 """
 
 import msgspec
 
 from chalkyoke.membership.messages import Digest, MemberRecord
 
-# When a member was last heard that was never heard, in seconds.
+# Time of the last heartbeat, in seconds, of a member that has never sent one to this process.
 NEVER_HEARD_S = float("-inf")
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A host that the platform's list or the settings name; it may be dead.
+    """A host that the platform's list or the settings name; it may be down.
 
-    :param capacity: what the host can bear, in cores.
+    :param capacity: processor capacity of the host, in cores.
     """
 
     host: str
@@ -28,9 +28,9 @@
 class Member(msgspec.Struct):
     """One process of this failure domain.
 
-    :param heard: when its beat last advanced, in seconds on this process's clock; long ago where
-        only others have heard it.
-    :param retired: earlier incarnations of the host, which never come back.
+    :param last_beat_s: when its heartbeat number last advanced, in seconds on this process's clock;
+        ``NEVER_HEARD_S`` if only other processes receive its heartbeats.
+    :param retired: earlier incarnations of the host; their messages are ignored.
     """
 
     record: MemberRecord
@@ -41,10 +41,11 @@
 
 
 class ForeignDomain(msgspec.Struct):
-    """Another failure domain, as the freshest of its reporters tells it.
+    """Another failure domain, by the latest summary from one of its reporters.
 
-    :param heard: when a digest of it last came in.
-    :param direct: when each version last came straight from there, lately.
+    :param last_digest_s: when its last digest arrived, in seconds on this process's clock.
+    :param direct_versions: recent versions received directly from the domain, with the time of the
+        last receipt of each in seconds.
     """
 
     digest: Digest
@@ -54,13 +55,13 @@
 
 
 class Joined(msgspec.Struct, frozen=True):
-    """A process came into the view."""
+    """A process was added to the view."""
 
     record: MemberRecord
 
 
 class Left(msgspec.Struct, frozen=True):
-    """A process went out of the view."""
+    """A process was removed from the view."""
 
     record: MemberRecord
 
--- a/packages/chalkyoke/src/chalkyoke/membership/view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/view.py
@@ -1,9 +1,9 @@
 """
 chalkyoke.membership.view
 
-The membership of the fleet as one process sees it: signs of life inside its failure domain, and
-digests from a few reporters for the others, so that traffic does not grow with the square of the
-fleet.
+The membership of the fleet as one process sees it: heartbeats inside its failure domain, and
+digests from a few reporters for the other domains, so that traffic does not grow with the square of
+the fleet.
 """
 
 from collections.abc import Callable, Iterable
@@ -28,33 +28,34 @@
 from chalkyoke.membership.state import Candidate, Change, Joined
 
 DEFAULT_INTERVAL_S = 0.25
-# The whole record is sent in so many beats after a change, and then in each so many.
+# Number of full heartbeats after a change of the record, and then one full heartbeat in this many.
 FULL_BEATS_AFTER_CHANGE = 4
 FULL_EVERY_BEATS = 5
-# A new member reports nothing in its first beats: others know more of the domain than it does. It
-# waits longer where it knows but a few of many that are listed.
+# Number of heartbeats in which a new member does not report its domain, because other members know
+# more of it. It waits longer if an older member is alive, and longest while it knows only a few of
+# many candidates.
 NEWCOMER_BEATS = 2
 NEWCOMER_BEATS_WITH_SENIORS = 3
 LARGE_NEWCOMER_BEATS = 8
 
 
 class OutgoingMessage(msgspec.Struct, frozen=True):
-    """A message for the link listener at an address."""
+    """A message to send to the link listener at an address."""
 
     address: str
     message: MembershipMessage
 
 
 class MembershipView:
-    """Follow which processes are alive.
+    """Track which processes of the fleet are alive.
 
-    :param record: this process.
+    :param record: the record of this process.
     :param interval_s: time between heartbeats, in seconds.
 
     Usage::
 
       >>> view = MembershipView(record, interval_s=0.25)
-      >>> sends = view.beat(now=0.0)
+      >>> sends = view.due_messages(now=0.0)
       >>> changes, sends = view.receive("127.0.0.2:7000", heartbeat, now=0.1)
     """
 
@@ -76,7 +77,7 @@
 
     @property
     def record(self) -> MemberRecord:
-        """This process."""
+        """The record of this process, as announced to others."""
         return self._own_domain.record
 
     @property
@@ -86,25 +87,25 @@
 
     @property
     def generation(self) -> int:
-        """Grows with each change of who is alive and how they stand, for caches over the view."""
+        """Grows with each change of the live processes or their announced state; keys caches."""
         return self._generation + self._own_domain.generation
 
     @property
     def spacing_s(self) -> float:
-        """The time between two heartbeats inside this failure domain, by its size, in seconds."""
+        """Time between two heartbeats inside this failure domain, by its size, in seconds."""
         return self._own_domain.spacing_s
 
     @property
     def foreign_timeout_s(self) -> float:
-        """How long another failure domain may be silent before it counts as lost, in seconds."""
+        """Time without a digest after which another failure domain counts as lost, in seconds."""
         return foreign_timeout_s(self.spacing_s, self.interval_s)
 
     @property
     def is_monitor(self) -> bool:
-        """Whether this process hears all others of its failure domain for them."""
+        """Whether this process receives the heartbeats of its whole failure domain."""
         return self._own_domain.is_monitor
 
-    # What others ask of the view.
+    # Queries.
 
     def live(self) -> list[MemberRecord]:
         """List the processes that are believed alive, this one included.
@@ -114,14 +115,14 @@
         return self._own_domain.live() + self._other_domains.records()
 
     def find(self, host: str) -> MemberRecord | None:
-        """Find a live process by host id.
+        """Return the live process of a host id, or None.
 
         :rtype: MemberRecord or None
         """
         return next((record for record in self.live() if record.host == host), None)
 
     def ranked(self, duty: str) -> list[MemberRecord]:
-        """Rank the processes that may hold a duty for the fleet, its present owner first.
+        """Rank the processes eligible for a fleet-wide duty, its present owner first.
 
         :rtype: list[MemberRecord]
         """
@@ -136,9 +137,9 @@
     def pool_owners(self, pool: str) -> list[MemberRecord]:
         """List the processes that may schedule a pool, its present owner first.
 
-        The second is of another failure domain and the third of this process's own: when a domain
-        is cut off, one of the three is on this side of the cut, and is asked at once, long before
-        the membership tells of the cut.
+        The second is of another failure domain and the third of this process's own. When a domain
+        is partitioned, one of the three is on this side of the partition and can be asked at once,
+        long before the membership detects the partition.
 
         :rtype: list[MemberRecord]
         """
@@ -149,16 +150,16 @@
         return list({each.host: each for each in [*first, *found]}.values())
 
     def pool_owner(self, pool: str) -> MemberRecord:
-        """Give the process that schedules a pool; this one where nobody else can.
+        """Return the process that schedules a pool; this process if no other is eligible.
 
         :rtype: MemberRecord
         """
         return next(iter(self.ranked(f"pool/{pool}")), self.record)
 
     def holds_duty(self, duty: str, holders: int = 1) -> bool:
-        """Tell whether this process holds a duty for its failure domain.
+        """Return whether this process holds a duty for its failure domain.
 
-        :param holders: how many processes of a failure domain hold it at once.
+        :param holders: number of processes of a failure domain that hold the duty at once.
         :rtype: bool
         """
         return self.record.host in self.duty_holders(duty, holders)
@@ -168,7 +169,8 @@
     ) -> list[str]:
         """List the hosts of this failure domain that hold a duty for it.
 
-        :param able: tells who can do it; others hold it only where too few can.
+        :param able: returns whether a process can perform the duty; processes that can't are
+            listed only if too few can.
         """
         staying = [each for each in self._own_domain.live() if not each.leaving] or [self.record]
         order = ranked_hosts(f"{duty}/{self.domain}", staying)
@@ -181,11 +183,12 @@
         return self._own_domain.other_addresses()
 
     def broadcast_targets(self) -> tuple[list[str], list[str]]:
-        """List whom to tell what all of the fleet should know soon.
+        """List the addresses for a broadcast to the whole fleet.
 
-        Of a large failure domain these are the first monitors: they have links to all others.
+        In a large failure domain these are the first monitors, which have links to all members.
 
-        :return: link addresses of nodes, and of those that are to tell their failure domain.
+        :return: link addresses of nodes that don't relay, and of nodes that relay the message to
+            their failure domain.
         """
         direct: list[str] = []
         relays: list[str] = []
@@ -202,7 +205,7 @@
         return direct, relays
 
     def full_heartbeat(self) -> Heartbeat:
-        """Make the message with which this process makes itself known at an address.
+        """Build a heartbeat with the full record, for the first contact with an address.
 
         :rtype: Heartbeat
         """
@@ -211,14 +214,14 @@
     # Events.
 
     def set_candidates(self, candidates: Iterable[Candidate]) -> None:
-        """Take the hosts that the platform's list or the settings name."""
+        """Replace the candidates: the hosts that the platform's list or the settings name."""
         self._candidates = [each for each in candidates if each.host != self.record.host]
         self._own_domain.set_candidates(
             each for each in self._candidates if each.failure_domain == self.domain
         )
 
     def update_self(self, **changes: object) -> None:
-        """Change what this process says of itself, for example ``leaving`` or ``revision``."""
+        """Update fields of this process's record, for example ``leaving`` or ``revision``."""
         before = self.record
         after = msgspec.structs.replace(before, **changes)
         if announced_state(before) != announced_state(after):
@@ -227,20 +230,20 @@
         self._own_domain.record = after
 
     def due_messages(self, now: float) -> list[OutgoingMessage]:
-        """Send the signs of life that are due; call once per interval.
+        """Return the heartbeats, roster deltas and reports that are due; call once per interval.
 
-        What others go by in this process's own record is told at once.
+        A change of this process's announced state makes a heartbeat due at once.
 
         :param now: seconds on this process's monotonic clock.
         :rtype: list[Send]
         """
         self._beat += 1
         sends: list[OutgoingMessage] = []
-        is_news = announced_state(self.record) != announced_state(self._announced)
+        has_changed = announced_state(self.record) != announced_state(self._announced)
         if not self._own_domain.is_large:
-            is_news = is_news or self.record != self._announced
+            has_changed = has_changed or self.record != self._announced
         digests = self._current_digests(now)
-        if now >= self._next_heartbeat_s or is_news or self._has_new_foreign_digests(digests):
+        if now >= self._next_heartbeat_s or has_changed or self._has_new_foreign_digests(digests):
             self._next_heartbeat_s = now + self.spacing_s - self.interval_s / 2
             self._announced_digests = digests
             inside = self._heartbeat(digests)
@@ -256,7 +259,7 @@
     def receive(
         self, sender: str, message: MembershipMessage, now: float
     ) -> tuple[list[Change], list[OutgoingMessage]]:
-        """Take a message in.
+        """Apply a received message.
 
         :param sender: address of the sender's link listener.
         :return: changes of the view, and answers.
@@ -275,12 +278,14 @@
         if isinstance(message, SummaryRequest):
             return [], self._answer_request(sender, message)
         if isinstance(message, RosterChange):
-            changes, ask = self._own_domain.apply_roster_change(message, now)
-            return changes, [OutgoingMessage(sender, SummaryRequest(message.digest))] if ask else []
+            changes, needs_summary = self._own_domain.apply_roster_change(message, now)
+            return changes, [
+                OutgoingMessage(sender, SummaryRequest(message.digest))
+            ] if needs_summary else []
         return self._apply_summary(sender, message, now), []
 
     def tick(self, now: float) -> list[Change]:
-        """Find who has fallen silent.
+        """Update which processes are alive, by the time of their last heartbeat or digest.
 
         :rtype: list[Change]
         """
@@ -292,7 +297,7 @@
     # Sending.
 
     def _heartbeat(self, digests: tuple[Digest, ...]) -> Heartbeat | ShortHeartbeat:
-        """Make a sign of life: whole after a change of the record and each few beats."""
+        """Build a heartbeat: full after a change and periodically, otherwise short."""
         record = self.record
         if record != self._announced:
             self._announced = record
@@ -308,24 +313,25 @@
         return (*heard, self._own_domain.digest()) if self._own_domain.is_monitor else heard
 
     def _has_new_foreign_digests(self, digests: tuple[Digest, ...]) -> bool:
-        """Tell whether a monitor heard of other failure domains what its members don't know yet.
+        """Return whether a monitor has foreign digests that its members have not received yet.
 
-        After a start of all they then know each other in 1.5 s in place of 3.5 (five domains of 39
-        in the model); until then each owner uses its share of the quotas only.
+        Forwarding them at once makes the members of a starting fleet (five domains of 39 hosts)
+        know each other within 1.5 s instead of 3.5 s; until then each owner uses only its share of
+        the quotas.
         """
-        told = {(each.failure_domain, each.version) for each in self._announced_digests}
-        news = {(each.failure_domain, each.version) for each in digests}
-        return self._own_domain.is_monitor and not news <= told
+        announced = {(each.failure_domain, each.version) for each in self._announced_digests}
+        current = {(each.failure_domain, each.version) for each in digests}
+        return self._own_domain.is_monitor and not current <= announced
 
     def _roster_change_messages(self, now: float) -> list[OutgoingMessage]:
-        """Tell the members of a large domain what this process hears anew as its monitor."""
+        """Return the messages that broadcast a delta of this monitor's roster to its domain."""
         change = self._own_domain.next_roster_change(now)
         if change is None:
             return []
         return [OutgoingMessage(address, change) for address in self.domain_addresses()]
 
     def _report_messages(self, now: float) -> list[OutgoingMessage]:
-        """Tell the other failure domains that this one lives, and at once how it has changed."""
+        """Return the reports to other domains that are due; a changed digest is due at once."""
         digest = self._own_summary().digest
         if now < self._next_report_s and digest.version == self._reported_version:
             return []
@@ -337,7 +343,7 @@
         return [OutgoingMessage(address, outside) for address in targets]
 
     def _is_newcomer(self) -> bool:
-        """Tell whether others of this failure domain know more of it than this process yet."""
+        """Return whether this process was started too recently to report its failure domain."""
         if self._own_domain.may_be_incomplete():
             return self._beat < LARGE_NEWCOMER_BEATS
         older = self._own_domain.knows_senior_member(self._beat)
@@ -348,10 +354,10 @@
         return self.record.host in reporters and not self._is_newcomer()
 
     def _own_summary(self) -> Summary:
-        """Tell who is believed alive in this failure domain."""
+        """Return a snapshot of the live members of this failure domain."""
         if self._summary is None or self._summary[0] != self.generation:
             records = tuple(sorted(self._own_domain.live(), key=lambda each: each.host))
-            # Reporters that see the same name it alike, so that nobody asks each of them for it.
+            # Reporters with equal views compute equal versions, so a version is requested once.
             digest = Digest(self.domain, self.record.process, checksum(records))
             self._summary = (self.generation, Summary(digest, records))
         return self._summary[1]
@@ -367,16 +373,16 @@
         if record.failure_domain == self.domain:
             changes = self._own_domain.apply_record(record, message.beat, now)
             if record.leaving:
-                # All others are to give it nothing more from now on.
+                # Announce the stop at once, so that other members send it no more work.
                 sends += self._roster_change_messages(now)
         sends += self._apply_digests(sender, record.failure_domain, message.digests, now)
         is_foreign = record.failure_domain != self.domain
-        is_stranger = is_foreign and not self._other_domains.is_live_member(record)
-        if is_stranger or any(isinstance(each, Joined) for each in changes):
-            # A newcomer may know nobody else.
-            own = self._own_summary() if is_stranger else self._own_domain.summary()
-            told = [own or self._own_summary(), *self._other_domains.summaries()]
-            sends += [OutgoingMessage(sender, each) for each in told]
+        is_unknown = is_foreign and not self._other_domains.is_live_member(record)
+        if is_unknown or any(isinstance(each, Joined) for each in changes):
+            # A process that has just started may know no other member.
+            own = self._own_summary() if is_unknown else self._own_domain.summary()
+            snapshots = [own or self._own_summary(), *self._other_domains.summaries()]
+            sends += [OutgoingMessage(sender, each) for each in snapshots]
         return changes, sends
 
     def _apply_digests(
@@ -385,10 +391,10 @@
         sends: list[OutgoingMessage] = []
         for digest in digests:
             if digest.failure_domain != self.domain:
-                ask = self._other_domains.apply_digest(domain, digest, now)
+                needs_summary = self._other_domains.apply_digest(domain, digest, now)
             else:
-                ask = domain == self.domain and self._own_domain.apply_digest(digest, now)
-            if ask:
+                needs_summary = domain == self.domain and self._own_domain.apply_digest(digest, now)
+            if needs_summary:
                 sends.append(OutgoingMessage(sender, SummaryRequest(digest)))
         return sends
 
