--- a/packages/chalkyoke/src/chalkyoke/rollouts/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/__init__.py
@@ -1,6 +1,7 @@
 """
 chalkyoke.rollouts
 
-Move a service's traffic to replicas of another version when operators order it: how much the new
-version gets meanwhile, whether it is good, and when the order is done or rolled back.
+Roll-outs: move a service's traffic to replicas of another version when operators order it. This
+covers how much traffic the new version receives meanwhile, whether it is good, and when the order
+is completed or rolled back.
 """
--- a/packages/chalkyoke/src/chalkyoke/rollouts/evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/evidence.py
@@ -1,9 +1,10 @@
 """
 chalkyoke.rollouts.evidence
 
-Whether a new version is as good as the old one, by what requests of the same routes met at both at
-the same time. Source of the test: Wald, "Sequential Tests of Statistical Hypotheses", 1945: it may
-be looked at after each answer, and ends as soon as enough is known.
+Decides whether a new version is as good as the old one, by comparing the outcomes of requests of
+the same routes at both versions in the same period. Source of the test: Wald, "Sequential Tests of
+Statistical Hypotheses", 1945. The test may be evaluated after each answer and ends as soon as the
+evidence suffices.
 """
 
 import math
@@ -14,41 +15,44 @@
 
 from chalkyoke.rollouts.messages import EndCounts, SlownessCount
 
-# Classes of slowness to a doubling: each is 19% slower than the one before.
+# Number of slowness classes per doubling of the duration: each is 19% slower than the one before.
 CLASSES_PER_DOUBLING = 4
-# A version is bad from this sum of log likelihood ratios on: of good versions one in 1,000 reaches
-# it for each route and measure.
+# Sum of log likelihood ratios from which a version is bad: one in 1,000 good versions reaches this
+# sum for each route and measure.
 BAD_THRESHOLD = math.log(1000.0)
-# The same for what came within the last seconds, which is looked at again and again.
+# The same threshold for the answers of the last seconds, stricter because it is tested repeatedly.
 RECENT_BAD_THRESHOLD = math.log(100_000.0)
-# It is as good on a route from this sum on: of bad versions one in ten gets there.
+# Sum from which a version is good on a route: one in ten bad versions reaches it.
 GOOD_THRESHOLD = -math.log(10.0)
-# At the deadline a route with few requests only must not look bad by more than this, a third of
-# what makes a version bad, if all routes together reach twice :data:`GOOD_FROM`.
+# At the deadline a route with few requests passes if its sum is at most this, a third of the
+# threshold for a bad version, and all routes together reach twice :data:`GOOD_THRESHOLD`.
 LOW_TRAFFIC_THRESHOLD = 2.3
 COMBINED_GOOD_THRESHOLD = 2 * GOOD_THRESHOLD
-# How much larger the part of bad answers of a bad version is, at the least that has to be found.
+# Smallest increases of the share of bad answers that the test must detect.
 MIN_FAILURE_RISE = 0.2
 MIN_SLOW_RISE = 0.3
-# An answer is slow beyond so many times what half of the old version's take, or a twentieth.
+# An answer is slow if it takes more than this many times the old version's median, or its 95th
+# percentile: the time that a twentieth of its answers exceed.
 SLOW_MEDIAN_FACTOR = 2.0
 SLOW_TAIL_FACTOR = 1.5
 TAIL_QUANTILE = 0.95
-# The least share of bad answers of the old version that is believed: no route is perfect.
+# Bounds of the expected share of bad answers. The lower one holds because no route is perfect; from
+# the upper one on a route can't be compared.
 MIN_EXPECTED_SHARE = 0.01
 MAX_EXPECTED_SHARE = 0.9
-# Answers of the old version on a route, until what it does there is known.
+# Number of the old version's answers on a route that are needed for a comparison.
 MIN_OLD_ENDS = 50
-# What the old version does is taken so many standard errors worse than it was seen: 50 answers tell
-# a share within some hundredths only, and a good version must not be left for that.
+# Number of standard errors by which the old version's share of bad answers is assumed to be worse
+# than observed: 50 answers determine a share only to within some hundredths, and a good version
+# must not be rolled back for that uncertainty.
 MARGIN_STANDARD_ERRORS = 1.5
-# A route with less of the service's requests decides nothing alone.
+# A route with a smaller share of the service's requests need not be good for a good verdict.
 MIN_ROUTE_SHARE = 0.05
-# The part of the new replicas that are left out, the worst ones, where there are enough: a single
-# replica that fails or is slow says nothing of its version.
+# Share of the new replicas that are excluded, the worst ones first, if there are enough replicas: a
+# single replica that fails or is slow is no evidence against its version.
 TRIMMED_REPLICA_SHARE = 0.2
 MIN_REPLICAS_TO_TRIM = 3
-# What answers are judged by, as it stands in the log.
+# Measures by which answers are compared, as written to the log.
 FAILURES = "failures"
 SLOWER_THAN_HALF = "slower than half"
 SLOWER_THAN_MOST = "slower than most"
@@ -56,9 +60,9 @@
 
 
 class Tally(msgspec.Struct):
-    """How requests of a route ended at one replica, or at several.
+    """Counts of the outcomes of a route's requests, at one replica or at several.
 
-    :ivar slowness: answers by :func:`slowness_class`.
+    :ivar slowness: number of answers by :func:`slowness_class`.
     """
 
     route: str
@@ -68,9 +72,9 @@
     slowness: dict[int, int] = msgspec.field(default_factory=dict)
 
     def count_request(self, *, failed: bool, ratio: float) -> None:
-        """Count one request.
+        """Count one finished request.
 
-        :param ratio: how long it took; 0 where that tells nothing.
+        :param ratio: its duration relative to the reference time; 0 if the duration is no evidence.
         """
         self.ends += 1
         self.failures += failed
@@ -79,9 +83,9 @@
             self.slowness[slowness] = self.slowness.get(slowness, 0) + 1
 
     def add(self, other: "Tally", sign: int = 1) -> None:
-        """Add another tally.
+        """Add the counts of another tally.
 
-        :param sign: -1 takes it away.
+        :param sign: 1 to add, -1 to subtract.
         """
         self.ends += sign * other.ends
         self.failures += sign * other.failures
@@ -89,22 +93,24 @@
             self.slowness[each] = self.slowness.get(each, 0) + sign * number
 
     def copy(self) -> "Tally":
-        """Copy it as it is now."""
+        """Return an independent copy."""
         return msgspec.structs.replace(self, slowness=dict(self.slowness))
 
     def to_counts(self) -> EndCounts:
-        """Word it for another node."""
+        """Return the counts as a message for another node."""
         slowness = tuple(SlownessCount(*each) for each in sorted(self.slowness.items()))
         return EndCounts(self.route, self.replica, self.ends, self.failures, slowness)
 
     @classmethod
-    def from_counts(cls, told: EndCounts) -> "Tally":
-        """Read what a node tells."""
-        return cls(told.route, told.replica, told.ends, told.failures, dict(told.slowness))
+    def from_counts(cls, counts: EndCounts) -> "Tally":
+        """Return a tally of the counts that a node reported."""
+        return cls(
+            counts.route, counts.replica, counts.ends, counts.failures, dict(counts.slowness)
+        )
 
 
 class Verdict(StrEnum):
-    """What is known of a version."""
+    """The verdict on a version; open while the evidence does not suffice."""
 
     OPEN = "open"
     GOOD = "good"
@@ -112,13 +118,13 @@
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """What is known of a version, and by what.
+    """A verdict on a version with its evidence.
 
-    :param route: the route that decided; empty for all together.
-    :param measure: what of its answers decided.
-    :param ends: answers of the new version that were looked at.
-    :param found: of these, bad ones.
-    :param expected: the share of bad ones that the old version has.
+    :param route: the decisive route; empty for all routes together.
+    :param measure: the decisive measure.
+    :param ends: number of evaluated answers of the new version.
+    :param found: number of bad ones among them.
+    :param expected: share of bad answers of the old version.
     """
 
     verdict: Verdict
@@ -130,9 +136,9 @@
 
 
 class _RouteTest(msgspec.Struct, frozen=True):
-    """One route by one measure.
+    """The comparison of one route by one measure.
 
-    :param weight: sum of log likelihood ratios; positive speaks against the new version.
+    :param log_ratio: sum of log likelihood ratios; positive is evidence against the new version.
     """
 
     route: str
@@ -147,9 +153,9 @@
 
 
 def slowness_class(ratio: float) -> int:
-    """Class how long an answer took.
+    """Return the class of an answer's duration, on a logarithmic scale.
 
-    :param ratio: to any time that is the same for both versions of a request.
+    :param ratio: the duration relative to a reference time, the same for both versions.
     """
     return round(CLASSES_PER_DOUBLING * math.log2(max(ratio, 1e-6)))
 
@@ -157,11 +163,11 @@
 def evaluate(
     tallies: Iterable[Tally], *, at_deadline: bool = False, bad_from: float = BAD_THRESHOLD
 ) -> Finding:
-    """Judge a version by all that is known.
+    """Evaluate a version by all reported tallies.
 
-    :param tallies: of all nodes.
-    :param bad_from: how much has to speak against it, as a sum of log likelihood ratios.
-    :param at_deadline: whether no more can be waited for.
+    :param tallies: tallies of all nodes.
+    :param bad_from: sum of log likelihood ratios from which the version is bad.
+    :param at_deadline: whether the verdict is due now, so that no more answers can be awaited.
     """
     old, new = _sum_by_route(tallies)
     tests = [test for route in new for test in _route_tests(old.get(route), new[route])]
@@ -176,7 +182,7 @@
 
 
 def _sum_by_route(tallies: Iterable[Tally]) -> tuple[dict[str, Tally], dict[str, Tally]]:
-    """Add up what nodes told, by route: of the old version, and of the new without its worst."""
+    """Sum tallies by route, for the old version and for the new one without its worst replicas."""
     old: dict[str, Tally] = {}
     replicas: dict[str, dict[str, Tally]] = {}
     for each in tallies:
@@ -211,7 +217,7 @@
 
 
 def _all_routes_good(wanted: list[str], tests: list[_RouteTest], *, at_deadline: bool) -> bool:
-    """Tell whether each route that counts is good by each measure."""
+    """Return whether each significant route is good by each measure."""
     enough = LOW_TRAFFIC_THRESHOLD if at_deadline else GOOD_THRESHOLD
     for route in wanted:
         mine = [each.log_ratio for each in tests if each.route == route]
@@ -227,7 +233,7 @@
 
 
 def _route_tests(old: Tally | None, new: Tally) -> list[_RouteTest]:
-    """Compare one route by each measure; nothing where the old version is not known there."""
+    """Compare one route by each measure; empty if the old version has too few answers there."""
     if old is None or old.ends < MIN_OLD_ENDS:
         return []
     expected = _expected_share(old.failures, old.ends)
--- a/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.rollouts.messages
 
-What nodes tell each other of an order: each what its requests met, the leader of the order how far
-it has come.
+Messages about an order: nodes report the outcomes of their requests, and the leader of the order
+announces its phase.
 """
 
 from typing import NamedTuple
@@ -13,9 +13,9 @@
 
 
 class SlownessCount(NamedTuple):
-    """How many answers took how long.
+    """The number of answers of one slowness class.
 
-    :param slowness: by :func:`chalkyoke.rollouts.evidence.slowness_class`.
+    :param slowness: the class, by :func:`chalkyoke.rollouts.evidence.slowness_class`.
     """
 
     slowness: int
@@ -23,11 +23,11 @@
 
 
 class EndCounts(msgspec.Struct, frozen=True, array_like=True):
-    """How requests of a route ended at one replica, or at all of the old version.
+    """Counts of the outcomes of a route's requests, at one replica or at the old version.
 
-    :param replica: a replica of the new version; empty for all of the old one together.
-    :param ends: requests that ended with an answer or a failure.
-    :param failures: of these, those that failed.
+    :param replica: a replica of the new version; empty for the sum over the old version.
+    :param ends: number of requests that ended with an answer or a failure.
+    :param failures: number of failures among them.
     """
 
     route: str
@@ -38,18 +38,19 @@
 
 
 class RolloutReport(msgspec.Struct, frozen=True, array_like=True, tag="rollout_report"):
-    """A node tells the leader of an order what its requests have met since the order.
-
-    Counts are totals, so that a report may be lost, or come twice, or go to a new leader.
-
-    :param order: revision of the order, as its name has it.
-    :param old_running: requests that this node has at replicas of the old version now, and one more
-        while it may send others there.
-    :param least_s: how long ago the order was given at least, in seconds, as this node knows.
-    :param undone: whether a leader has told this node to leave the version. It then holds for all:
-        two leaders of a fleet that was cut in two must not go on in two ways.
-    :param epoch: of the order's name.
-    :param digest: of the order's name.
+    """A node's report to the leader of an order on its requests since the order.
+
+    Counts are totals, so a report may be lost, be delivered twice, or go to a new leader.
+
+    :param order: revision in the order's name.
+    :param old_running: number of requests that this node has at replicas of the old version now,
+        plus one while it may send others there.
+    :param min_elapsed_s: minimum time since the order was given, in seconds, as known to this node.
+    :param undone: whether a leader has announced to this node that the version is rolled back. The
+        roll-back then holds for all nodes, so that two leaders of a partitioned fleet don't end the
+        order in different ways.
+    :param epoch: epoch in the order's name.
+    :param digest: digest in the order's name.
     """
 
     service: str
@@ -68,14 +69,14 @@
 
 
 class RolloutUpdate(msgspec.Struct, frozen=True, array_like=True, tag="rollout_told"):
-    """The leader of an order tells how far it has come.
+    """An announcement of an order's phase by its leader.
 
-    :param order: revision of the order, as its name has it.
+    :param order: revision in the order's name.
     :param phase: a :class:`chalkyoke.rollouts.lead.Phase`.
-    :param least_s: how long ago the order was given at least, in seconds.
-    :param relay: whether the receiver tells the other nodes of its failure domain.
-    :param epoch: of the order's name.
-    :param digest: of the order's name.
+    :param min_elapsed_s: minimum time since the order was given, in seconds.
+    :param relay: whether the receiver forwards the message to other nodes of its failure domain.
+    :param epoch: epoch in the order's name.
+    :param digest: digest in the order's name.
     """
 
     service: str
--- a/packages/chalkyoke/src/chalkyoke/rollouts/resources.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/resources.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.rollouts.resources
 
-What operators order and what the system answers them, as both lie in the store.
+Roll-out orders of operators and the system's statuses for them, as kept in the store.
 """
 
 from enum import StrEnum
@@ -9,12 +9,12 @@
 import msgspec
 import xxhash
 
-# Digests of orders fit into the whole numbers of messages.
+# Length of an order's digest, in bits, so that it fits into the integers of messages.
 DIGEST_BITS = 53
 
 
 class RolloutState(StrEnum):
-    """How an order stands."""
+    """The state of an order; an order starts as running and ends once."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -22,14 +22,14 @@
 
 
 class OrderName(msgspec.Struct, frozen=True):
-    """Names an order between nodes.
+    """Identifies an order between nodes.
 
-    A restored store gives revisions out again, and an order that it has lost is written again with
-    another one. Within an epoch the revision tells orders apart; between two, what they say.
+    A restored store assigns revisions again, and an order that it has lost is written again with
+    another revision. Within an epoch orders differ by revision; between epochs, by content.
 
     :param revision: the store's revision by which a node first knew the order.
-    :param epoch: the store's epoch of that revision; 0 is not known.
-    :param digest: of what the order says.
+    :param epoch: the store's epoch of that revision; 0 if unknown.
+    :param digest: hash of the order's content.
     """
 
     revision: int
@@ -37,7 +37,7 @@
     digest: int = 0
 
     def matches(self, other: "OrderName") -> bool:
-        """Tell whether two nodes mean the same order."""
+        """Return whether two names identify the same order."""
         if self.epoch and other.epoch and self.epoch != other.epoch:
             return self.digest == other.digest
         return self.revision == other.revision
@@ -46,11 +46,11 @@
 class RolloutOrder(msgspec.Struct, frozen=True):
     """An operator's order to move a service's traffic to replicas of a version.
 
-    :param version: compared with what replicas say of themselves.
-    :param written_version: the version as the operator wrote it, for the answer.
-    :param over_s: the time within which the order is to be done, in seconds.
-    :param revision: the store's revision of the order; a later order has a higher one in an epoch.
-    :param named: the order's name, where it is known from the store.
+    :param version: the ordered version, compared with the version that replicas announce.
+    :param written_version: the version as the operator wrote it, repeated in the status.
+    :param over_s: the time within which the order must be completed, in seconds.
+    :param revision: the store's revision of the order; it grows with later orders of an epoch.
+    :param named: the order's name, if the store's epoch is known.
     """
 
     service: str
@@ -62,23 +62,23 @@
 
     @property
     def name(self) -> OrderName:
-        """Names the order, also where it was written again."""
+        """The identity of the order, which is kept if the order is written again."""
         return self.named or OrderName(self.revision)
 
     def with_name(self, epoch: int) -> "RolloutOrder":
-        """Give the order with a name of its own.
+        """Return a copy of the order with a name from its revision, epoch and content.
 
-        :param epoch: the store's epoch of its revision.
+        :param epoch: the store's epoch of the order's revision.
         """
-        said = f"{self.service}\n{self.version}\n{self.over_s!r}".encode()
-        digest = xxhash.xxh64_intdigest(said) >> (64 - DIGEST_BITS)
+        content = f"{self.service}\n{self.version}\n{self.over_s!r}".encode()
+        digest = xxhash.xxh64_intdigest(content) >> (64 - DIGEST_BITS)
         return msgspec.structs.replace(self, named=OrderName(self.revision, epoch, digest))
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
-    """What the system has answered.
+    """The system's status for an order.
 
-    :param revision: the store's revision of the answer.
+    :param revision: the store's revision of the status.
     """
 
     service: str
@@ -88,10 +88,11 @@
 
 
 class TrackedOrder(msgspec.Struct, frozen=True):
-    """An order and the answer that belongs to it.
+    """An order and its status.
 
-    :param since: when it may have been given at the earliest, on this node's clock, in seconds.
-    :param status: nothing until this order has been answered.
+    :param since: the earliest time at which the order may have been given, in seconds on this
+        node's clock.
+    :param status: None until this order has a status.
     """
 
     order: RolloutOrder
@@ -100,7 +101,7 @@
 
     @property
     def state(self) -> RolloutState:
-        """How the order stands; an order without an answer runs."""
+        """The state of the order; running if it has no status yet."""
         return self.status.state if self.status else RolloutState.RUNNING
 
     @property
@@ -110,9 +111,9 @@
 
 
 def matching_status(order: RolloutOrder, status: RolloutStatus | None) -> RolloutStatus | None:
-    """Tell whether an answer belongs to an order: an older one is to an earlier order.
+    """Return the status if it belongs to the order, or None if it belongs to an earlier order.
 
-    :return: the answer, or nothing.
+    :return: the status, or None.
     """
     if status is None or status.revision < order.revision or status.version != order.version:
         return None
--- a/packages/chalkyoke/src/chalkyoke/rollouts/share.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/share.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.rollouts.share
 
-One node's part in an order: which of its requests go to the new version, and what they met.
+One node's part in an order: which of its requests go to the new version, and their outcomes.
 """
 
 import msgspec
@@ -12,18 +12,18 @@
 from chalkyoke.rollouts.messages import RolloutReport, RolloutUpdate
 from chalkyoke.rollouts.resources import RolloutOrder
 
-# How long the leader's word holds, in seconds: three tellings. A node that hears nothing for longer
-# goes back to the old version.
+# Time for which the leader's update is valid, in seconds: three announcement intervals. A node that
+# receives none for longer uses the old version again.
 UPDATE_TTL_S = 3.0
 TRIAL_FRACTIONS = {Phase.TRIAL: TRIAL_FRACTION, Phase.PROVEN: PROVEN_FRACTION}
 FINAL_PHASES = frozenset((Phase.DONE, Phase.UNDONE))
 
 
 class Elapsed(msgspec.Struct, frozen=True):
-    """How long ago an order was given, in seconds.
+    """Bounds of the time since an order was given.
 
-    :param least_s: less is not possible: some node has known of it for so long.
-    :param most_s: more is not possible: the news of it were this old at most when they came.
+    :param min_s: lower bound in seconds: some node has known of the order for this long.
+    :param max_s: upper bound in seconds, from the maximum age of the order when it was received.
     """
 
     min_s: float
@@ -33,9 +33,9 @@
 class NodeRollout:
     """A node's part in one order.
 
-    :ivar ended: how the order has ended, once the leader has told; it stays so.
-    :param given: when the order was given at the earliest, on the node's clock, in seconds.
-    :param known: when at the latest.
+    :ivar ended: the final phase of the order, once the leader has announced it; it never changes.
+    :param given: the earliest time at which the order was given, in seconds on the node's clock.
+    :param known: the latest time at which the order was given, in seconds on the node's clock.
     """
 
     def __init__(self, order: RolloutOrder, exposure: Exposure, given: float, known: float) -> None:
@@ -50,28 +50,28 @@
         self._unreported: set[tuple[str, str]] = set()
 
     def elapsed(self, now: float) -> Elapsed:
-        """Tell how long ago the order was given."""
+        """Return the bounds of the time since the order was given."""
         return Elapsed(now - self._latest_order_s, now - self._earliest_order_s)
 
     def update_elapsed(self, least_s: float, now: float) -> None:
-        """Take what another node knows of when the order was given.
+        """Apply another node's lower bound of the time since the order was given.
 
-        Only the least time can be told: on its way a message gets older, which leaves "at least"
-        true and "at most" not.
+        Nodes exchange only the lower bound: the delay of a message can invalidate an upper bound,
+        but not a lower one.
         """
         self._latest_order_s = min(self._latest_order_s, now - least_s)
         self._earliest_order_s = min(self._earliest_order_s, self._latest_order_s)
 
     def phase(self, now: float) -> Phase:
-        """Tell what the leader has told; nothing is tried without its word."""
+        """Return the phase that the leader announced last; held if its update has expired."""
         if self.ended is not None:
             return self.ended
         return self._phase if now - self._updated_at_s <= UPDATE_TTL_S else Phase.HELD
 
     def apply_update(self, message: RolloutUpdate, now: float) -> bool:
-        """Take the leader's word.
+        """Apply the leader's update.
 
-        :return: whether the phase is another one.
+        :return: whether the phase has changed.
         """
         before = self.phase(now)
         self._phase = Phase(message.phase)
@@ -84,10 +84,10 @@
     # Requests.
 
     def admit_to_new_version(self, lasts_s: float, now: float, *, again: bool) -> bool:
-        """Tell whether a request is to go to the new version; the node's share counts it then.
+        """Return whether a request goes to the new version, and count it against the node's share.
 
-        :param lasts_s: how long it may last, in seconds.
-        :param again: whether it was sent before: what one version failed is not for a trial.
+        :param lasts_s: maximum duration of the request, in seconds.
+        :param again: whether the request was sent before; retries are not used to try a version.
         """
         if not self._may_admit(lasts_s, now, again=again):
             return False
@@ -105,11 +105,11 @@
         return not again and self.exposure.allows(PROVEN_FRACTION)
 
     def has_left_old(self, now: float) -> bool:
-        """Tell whether nothing goes to old replicas any more, what was granted before included."""
+        """Return whether no request goes to old replicas any more, granted ones included."""
         return self.phase(now) is Phase.CLOSING and self._avoids_old_replicas(0.0, now)
 
     def _avoids_old_replicas(self, lasts_s: float, now: float) -> bool:
-        """Tell whether nothing that lasts so long goes to an old replica while an order closes."""
+        """Return whether requests of this duration avoid old replicas while an order closes."""
         passed = self.elapsed(now)
         if passed.min_s > self.order.over_s:
             return True
@@ -121,8 +121,8 @@
     def count_end(self, route: str, replica: str, *, failed: bool, ratio: float) -> None:
         """Count an answer or a failure.
 
-        :param replica: of the new version; empty for the old one.
-        :param ratio: how long it took; 0 where that tells nothing.
+        :param replica: a replica of the new version; empty for the old version.
+        :param ratio: its duration relative to the reference time; 0 if the duration is no evidence.
         """
         key = (route, replica)
         tally = self._tallies.setdefault(key, Tally(route, replica))
@@ -132,11 +132,12 @@
     # Reports.
 
     def report(self, now: float, old_running: int, *, whole: bool) -> RolloutReport:
-        """Word what this node's requests met.
+        """Build a report on this node's requests.
 
-        :param old_running: requests that this node has at replicas of other versions. One more is
-            told while others may follow them.
-        :param whole: all of it, for a leader that has heard nothing yet; else what is new.
+        :param old_running: number of requests that this node has at replicas of other versions. The
+            report has one more while others may follow.
+        :param whole: whether to include all counts, for a leader that has no report of this node
+            yet, instead of the changed ones only.
         """
         wanted = self._tallies if whole else self._unreported
         counts = tuple(self._tallies[key].to_counts() for key in sorted(wanted))
--- a/packages/chalkyoke/src/chalkyoke/rollouts/standing.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/standing.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.rollouts.standing
 
-Which replicas of a service take which requests, by the versions that operators have ordered.
+Which requests the replicas of a service may take, by the versions that operators have ordered.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,10 +12,10 @@
 
 
 class Eligibility(StrEnum):
-    """What a replica takes.
+    """Which requests a replica may take.
 
-    ``USUAL``: whatever there is. ``TRIAL``: what is sent to try its version. ``NOTHING``: its
-    version was rolled back, or is to be stopped.
+    ``USUAL``: all requests. ``TRIAL``: only requests sent to try its version. ``NOTHING``: none,
+    because its version was rolled back or is to be stopped.
     """
 
     USUAL = "usual"
@@ -23,34 +23,34 @@
     NOTHING = "nothing"
 
 
-# What a route is called in a pool when a request of it is to try a new version.
+# Suffix of the route name in a pool for requests that try a new version.
 TRIAL_ROUTE_SUFFIX = "@trial"
 
 
 def trial_route(route: str) -> str:
-    """Name the part of a route that goes to a version under trial."""
+    """Return the route name in a pool for requests that go to a version under trial."""
     return route + TRIAL_ROUTE_SUFFIX
 
 
 class VersionedReplica(Protocol):
-    """What decides on a replica."""
+    """The attributes of a replica that decide on its eligibility."""
 
     @property
     def service(self) -> str:
-        """The service that it belongs to."""
+        """The name of the replica's service."""
 
     @property
     def version(self) -> str:
-        """The version of its software."""
+        """The version of the replica's software."""
 
 
 class VersionEligibility:
-    """Tell the standing of versions.
+    """Track the eligibility of each service's versions.
 
-    An order is for a trial only where another version was seen beside it: one for the only version
-    that runs moves nothing, and must not shut out all replicas. Versions that no order names run
-    as usual, whatever they are: a release of replicas is the operators' own way to change versions,
-    and a service is not to stop because of it.
+    An order starts a trial only if another version has run during the order: an order for the only
+    running version moves no traffic and must not exclude all replicas. Versions that no order names
+    take all requests, because operators may also change versions by replacing replicas themselves,
+    which must not stop a service.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
     def rebuild(
         self, orders: Mapping[str, TrackedOrder], replicas: Iterable[VersionedReplica]
     ) -> None:
-        """Take other orders or other replicas."""
+        """Apply changed orders or replicas."""
         self._reject_superseded(orders)
         self._orders = orders
         for replica in replicas:
@@ -70,7 +70,7 @@
                 self._orders_with_alternatives[replica.service] = order.order.name
 
     def eligibility(self, service: str, version: str) -> Eligibility:
-        """Tell what the replicas of a version take."""
+        """Return which requests the replicas of a version may take."""
         if version in self._rejected.get(service, ()):
             return Eligibility.NOTHING
         order = self._orders.get(service)
@@ -84,7 +84,7 @@
         return Eligibility.NOTHING if order.ended else Eligibility.TRIAL
 
     def _reject_superseded(self, orders: Mapping[str, TrackedOrder]) -> None:
-        """Shut out versions whose order was withdrawn or replaced before it was completed."""
+        """Exclude versions whose order was withdrawn or replaced before its completion."""
         for service, before in self._orders.items():
             after = orders.get(service)
             if after is not None and after.order.name == before.order.name:
