--- a/packages/chalkyoke/src/chalkyoke/links/broadcast.py
+++ b/packages/chalkyoke/src/chalkyoke/links/broadcast.py
@@ -1,7 +1,8 @@
 """
 chalkyoke.links.broadcast
 
-Tell all nodes of the fleet something. Of a large failure domain some are told, and relay it.
+Broadcasts of messages to all nodes of the fleet. In a large failure domain some nodes receive the
+message and relay it to the others.
 """
 
 from collections.abc import Callable
@@ -11,33 +12,33 @@
 
 
 class BroadcastTargets(Protocol):
-    """Who is there to be told, as the membership knows it."""
+    """The recipients of a broadcast, as the membership view lists them."""
 
     def broadcast_targets(self) -> tuple[list[str], list[str]]:
-        """List link addresses of nodes, and of those that are to tell their failure domain."""
+        """List the link addresses of nodes that don't relay, and of nodes that relay."""
 
     def domain_addresses(self) -> list[str]:
         """List the link addresses of the other members of this failure domain."""
 
 
 class RelayableMessage(Protocol):
-    """A message that says whether its receiver tells the other nodes of its failure domain."""
+    """A message with a flag for relaying it."""
 
     @property
     def relay(self) -> bool:
-        """Whether it does."""
+        """Whether the receiver forwards the message to the other nodes of its failure domain."""
 
 
 M = TypeVar("M", bound=RelayableMessage)
 
 
-def send_to_all(audience: BroadcastTargets, send: Callable[[str, M], None], message: M) -> int:
-    """Tell all other nodes.
+def send_to_all(targets: BroadcastTargets, send: Callable[[str, M], None], message: M) -> int:
+    """Send a message to all other nodes of the fleet, directly or through relays.
 
     :param send: sends a message to a node by its link address.
-    :return: how many nodes were told directly, those that relay included.
+    :return: number of nodes to which the message was sent directly, relays included.
     """
-    direct, relays = audience.broadcast_targets()
+    direct, relays = targets.broadcast_targets()
     for address in direct:
         send(address, message)
     for address in relays:
@@ -45,16 +46,16 @@
     return len(direct) + len(relays)
 
 
-def relay_to_domain(audience: BroadcastTargets, send: Callable[[str, M], None], message: M) -> None:
-    """Tell the other nodes of this failure domain, where the message asks for it."""
+def relay_to_domain(targets: BroadcastTargets, send: Callable[[str, M], None], message: M) -> None:
+    """Forward a message to the other nodes of this failure domain, if its flag is set."""
     if not message.relay:
         return
-    told = _with_relay(message, relay=False)
-    for address in audience.domain_addresses():
-        send(address, told)
+    relayed = _with_relay(message, relay=False)
+    for address in targets.domain_addresses():
+        send(address, relayed)
 
 
 def _with_relay(message: M, *, relay: bool) -> M:
-    """Copy a message; a protocol can't say that it is a struct, as all messages are."""
+    """Copy a message with another flag; a Protocol can't express that messages are structs."""
     marked: M = msgspec.structs.replace(cast(Any, message), relay=relay)
     return marked
--- a/packages/chalkyoke/src/chalkyoke/links/codec.py
+++ b/packages/chalkyoke/src/chalkyoke/links/codec.py
@@ -13,14 +13,14 @@
 from chalkyoke.clock import Stamp
 from chalkyoke.exceptions import ProtocolError, UnknownKind
 
-# A longer frame, in bytes, is none of ours: five times the largest document that peers tell.
+# Maximum length of a frame, in bytes: five times the largest document that peers exchange.
 MAX_FRAME_BYTES = 20_000_000
 
 
 class FrameCodec:
-    """Write messages as frames and read frames as messages.
+    """Encode messages as frames and decode frames into messages.
 
-    :param types: the message types that may come in; each has a tag of its own.
+    :param types: the message types that may be received; each has a unique tag.
     """
 
     def __init__(self, types: tuple[type[msgspec.Struct], ...]) -> None:
@@ -28,11 +28,11 @@
 
     @property
     def kinds(self) -> tuple[str, ...]:
-        """The kinds of messages that are understood here."""
+        """The tags of the message types that this process can decode."""
         return tuple(self._types)
 
     def encode(self, stamp: Stamp, message: msgspec.Struct) -> bytes:
-        """Write one frame.
+        """Encode one message as a frame.
 
         :rtype: bytes
         """
@@ -41,10 +41,10 @@
         return frame
 
     def decode(self, frame: list[Any]) -> tuple[Stamp, msgspec.Struct]:
-        """Read one frame.
+        """Decode one frame.
 
-        :raises UnknownKind: when it is a frame of a kind that a later version may have added.
-        :raises ProtocolError: when it is no message.
+        :raises UnknownKind: when the tag is unknown; a later version may have added it.
+        :raises ProtocolError: when the frame is not a valid message.
         """
         try:
             wall_ms, logical, tag = frame[0], frame[1], frame[2]
@@ -58,21 +58,21 @@
 
 
 class FrameReader:
-    """Cut a stream of bytes into frames."""
+    """Split a stream of bytes into frames."""
 
     def __init__(self) -> None:
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
 
     def feed(self, data: bytes) -> Iterator[list[Any]]:
-        """Take bytes in and give the frames that are whole now.
+        """Add received bytes and yield the frames that are complete now.
 
-        :raises ProtocolError: when the bytes are no frames, or too large.
+        :raises ProtocolError: when the bytes are not valid frames, or a frame is too large.
         """
         try:
             self._unpacker.feed(data)
             for frame in self._unpacker:
                 if not isinstance(frame, list):
-                    raise ProtocolError("a frame is no array")
+                    raise ProtocolError("frame is not an array")
                 yield frame
         except (ValueError, msgpack.UnpackException, msgpack.BufferFull) as error:
             raise ProtocolError(f"unreadable stream: {error}") from error
--- a/packages/chalkyoke/src/chalkyoke/links/connection.py
+++ b/packages/chalkyoke/src/chalkyoke/links/connection.py
@@ -25,12 +25,13 @@
 from chalkyoke.links.intake import ByteStreamReader
 from chalkyoke.links.messages import Challenge, Hello, Skipped, Welcome
 
-# How long proving who one is may take, in seconds: some round trips between regions.
+# Timeout of the handshake, in seconds: several round trips between regions.
 HANDSHAKE_S = 2.0
-# Read at once at most, in bytes: what a socket usually holds.
+# Maximum size of one read, in bytes: the usual size of a socket buffer.
 MAX_READ_BYTES = 65_536
-# What may wait for one peer, in bytes: 1.6 s of the smallest links that operators run (5 Mbit/s).
-# What waits longer is no news any more, and its sender repeats what must not be lost.
+# Maximum size of the send buffer of one peer, in bytes: 1.6 s of the smallest links that operators
+# run (5 Mbit/s). Messages that wait longer are outdated, and their senders repeat those that must
+# not be lost.
 MAX_UNSENT_BYTES = 1_000_000
 
 
@@ -38,19 +39,20 @@
 
 
 class Clock(Protocol):
-    """What a connection needs of the process's clock."""
+    """The part of the process's hybrid clock that a connection uses."""
 
     def stamp(self) -> Stamp:
-        """Stamp an outgoing message."""
+        """Return a stamp for an outgoing message."""
 
     def observe(self, stamp: Stamp) -> None:
-        """Learn the stamp of an incoming message."""
+        """Advance the clock by the stamp of a received message."""
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who a process is on its links.
+    """The identity and key by which a process authenticates on its links.
 
-    :param address: ``ip:port`` of its listener.
+    :param address: ``ip:port`` of the process's link listener.
+    :param key: the key that all processes of the fleet share.
     """
 
     process: str
@@ -60,12 +62,12 @@
 
 
 class LinkCounters(msgspec.Struct):
-    """Bytes and messages over all links of a process.
+    """Counters of bytes and messages over all links of a process.
 
-    :param dropped: messages that waited for a peer and were given up.
-    :param silent: links that were made anew since nothing sent on them was confirmed.
-    :param withheld: messages that were not sent, since the peer's version does not know their kind.
-    :param skipped: messages that came in and are of a kind that is not known here.
+    :param dropped: messages that were dropped because a queue or send buffer was full.
+    :param silent: links that were reopened because the peer confirmed no messages.
+    :param withheld: messages that were not sent because the peer does not know their kind.
+    :param skipped: received messages of a kind that this process does not know.
     """
 
     sent_bytes: int = 0
@@ -81,9 +83,10 @@
 class Connection:
     """Send and receive messages over one stream.
 
-    :param peer: id of the process on the other side, once the handshake is done.
-    :param peer_address: ``ip:port`` of that process's listener.
-    :ivar peer_kinds: the kinds of messages that the listener that was called says it understands.
+    :ivar peer: id of the peer process, once the handshake is done.
+    :ivar peer_address: ``ip:port`` of the peer's listener.
+    :ivar peer_kinds: the kinds of messages that the listener has announced that it understands; set
+        on the calling side only.
     """
 
     def __init__(
@@ -108,18 +111,19 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """What waits to be sent, in bytes."""
+        """Size of the send buffer, in bytes."""
         return self._writer.transport.get_write_buffer_size()
 
     @property
     def closing(self) -> bool:
-        """Whether nothing more can be sent."""
+        """Whether the stream is closing, so that no more messages can be sent."""
         return self._writer.is_closing()
 
     def send(self, message: msgspec.Struct) -> bool:
-        """Send without waiting.
+        """Send a message without waiting.
 
-        :return: whether it was handed to the stream; a peer that reads too slowly loses it.
+        :return: whether the message was written to the stream; it is dropped if the stream is
+            closing or the peer reads too slowly.
         """
         if self._writer.is_closing() or self.unsent_bytes > MAX_UNSENT_BYTES:
             self._counters.dropped += 1
@@ -131,9 +135,9 @@
         return True
 
     async def send_and_wait(self, message: msgspec.Struct) -> None:
-        """Send, and wait while the peer reads too slowly.
+        """Send a message, and wait until the send buffer has drained.
 
-        :raises LinkError: when the stream is gone.
+        :raises LinkError: when the stream is closed or lost.
         """
         if not self.send(message):
             raise LinkError("the link is closed")
@@ -143,7 +147,7 @@
             raise LinkError(str(error)) from error
 
     async def receive(self) -> msgspec.Struct | None:
-        """Receive the next message; nothing when the peer has closed.
+        """Receive the next message, or None when the stream has ended.
 
         :raises ProtocolError: when the peer does not follow the protocol.
         """
@@ -151,7 +155,7 @@
             try:
                 data = await self._reader.read(MAX_READ_BYTES)
             except OSError:
-                # Not only ConnectionError: behind a cut the system gives up with ETIMEDOUT.
+                # The system ends a partitioned stream by ETIMEDOUT, which is no ConnectionError.
                 return None
             if not data:
                 return None
@@ -159,19 +163,19 @@
         self._counters.received += 1
         return self._ready.pop(0)
 
-    async def deliver(self, take: MessageReceiver) -> Awaitable[None] | None:
-        """Hand messages over as they come, until the peer closes or one is to be answered here.
+    async def deliver(self, on_message: MessageReceiver) -> Awaitable[None] | None:
+        """Pass received messages to a callback until the stream ends or one is answered on it.
 
-        :param take: takes a message; what it returns is that message's answer on this stream.
-        :return: that answer.
+        :param on_message: receives a message; an awaitable that it returns answers on this stream.
+        :return: that awaitable, or None when the stream has ended.
         :raises ProtocolError: when the peer does not follow the protocol.
         """
         ends: asyncio.Future[Awaitable[None] | None] = asyncio.get_running_loop().create_future()
 
-        def take_bytes(data: bytes) -> None:
+        def on_bytes(data: bytes) -> None:
             try:
                 self._decode(data)
-                answered = self._deliver_ready(take)
+                answered = self._deliver_ready(on_message)
             except ProtocolError as error:
                 self._reader.set_receiver(None)
                 ends.set_exception(error)
@@ -180,9 +184,9 @@
                 self._reader.set_receiver(None)
                 ends.set_result(answered)
 
-        self._reader.set_receiver(take_bytes)
+        self._reader.set_receiver(on_bytes)
         if self._ready and not ends.done():
-            take_bytes(b"")
+            on_bytes(b"")
         ended = asyncio.ensure_future(self._reader.ended.wait())
         either: list[asyncio.Future[Any]] = [ends, ended]
         try:
@@ -192,10 +196,10 @@
             self._reader.set_receiver(None)
         return ends.result() if ends.done() else None
 
-    def _deliver_ready(self, take: MessageReceiver) -> Awaitable[None] | None:
+    def _deliver_ready(self, on_message: MessageReceiver) -> Awaitable[None] | None:
         while self._ready:
             self._counters.received += 1
-            answered = take(self._ready.pop(0))
+            answered = on_message(self._ready.pop(0))
             if answered is not None:
                 return answered
         return None
@@ -212,7 +216,7 @@
             self._ready.append(message)
 
     async def handshake_as_caller(self, me: Identity) -> None:
-        """Prove who this is, as the calling side, and check the listener.
+        """Authenticate to the listener, as the calling side, and check its proof.
 
         :raises LinkError: when the listener does not hold the fleet's key or does not answer.
         """
@@ -228,14 +232,14 @@
                 self.send(hello)
                 welcome = await self.receive()
         except (TimeoutError, ProtocolError) as error:
-            raise LinkError(f"no handshake: {error}") from error
+            raise LinkError(f"handshake failed: {error}") from error
         if not isinstance(welcome, Welcome) or not welcome_is_valid(me.key, nonce, welcome):
             raise LinkError("the listener does not hold the fleet's key")
         self.peer = welcome.process
         self.peer_kinds = frozenset(welcome.kinds)
 
     async def handshake_as_listener(self, me: Identity) -> None:
-        """Check the calling side, and prove who this is.
+        """Check the caller's proof, as the listener, and authenticate to the caller.
 
         :raises LinkError: when the caller does not hold the fleet's key or does not answer.
         """
@@ -245,7 +249,7 @@
             async with asyncio.timeout(HANDSHAKE_S):
                 hello = await self.receive()
         except (TimeoutError, ProtocolError) as error:
-            raise LinkError(f"no handshake: {error}") from error
+            raise LinkError(f"handshake failed: {error}") from error
         if not isinstance(hello, Hello) or not hello_is_valid(me.key, nonce, hello):
             raise LinkError("the caller does not hold the fleet's key")
         self.peer, self.peer_address = hello.process, hello.address
@@ -253,12 +257,12 @@
         self.send(make_welcome(me.key, hello, me.process, self._codec.kinds))
 
     async def close(self) -> None:
-        """Close the stream."""
+        """Close the stream, and wait up to 1 s until buffered data is sent."""
         self._writer.close()
         with contextlib.suppress(ConnectionError, TimeoutError):
             async with asyncio.timeout(1.0):
                 await self._writer.wait_closed()
 
     def abort(self) -> None:
-        """Drop the stream at once."""
+        """Close the stream at once and drop unsent data."""
         self._writer.transport.abort()
--- a/packages/chalkyoke/src/chalkyoke/links/handshake.py
+++ b/packages/chalkyoke/src/chalkyoke/links/handshake.py
@@ -1,7 +1,8 @@
 """
 chalkyoke.links.handshake
 
-Proofs that both sides of a link hold the fleet's key. Each side signs the other's nonce.
+Mutual authentication of both sides of a link by the fleet's key: each side computes a keyed hash
+over the other's nonce.
 """
 
 import hashlib
@@ -9,7 +10,7 @@
 
 from chalkyoke.links.messages import Hello, Welcome
 
-# Lengths in bytes: 128 bits are neither guessed nor met twice.
+# Lengths in bytes: values of 128 bits can neither be guessed nor collide by chance.
 NONCE_BYTES = 16
 MAC_BYTES = 16
 
@@ -25,7 +26,7 @@
 def make_hello(
     key: bytes, challenge: bytes, process: str, address: str, failure_domain: str, nonce: bytes
 ) -> Hello:
-    """Answer a listener's challenge.
+    """Build the caller's answer to a listener's challenge.
 
     :param nonce: random bytes of the caller.
     :rtype: Hello
@@ -35,7 +36,7 @@
 
 
 def hello_is_valid(key: bytes, challenge: bytes, hello: Hello) -> bool:
-    """Check a caller's proof.
+    """Return whether the caller holds the fleet's key.
 
     :rtype: bool
     """
@@ -46,16 +47,16 @@
 
 
 def make_welcome(key: bytes, hello: Hello, process: str, kinds: tuple[str, ...]) -> Welcome:
-    """Answer a caller whose proof was good.
+    """Build the listener's answer to a valid hello.
 
-    :param kinds: the kinds of messages that are understood here.
+    :param kinds: the kinds of messages that the listener understands.
     :rtype: Welcome
     """
     return Welcome(process, _mac(key, b"listener", hello.nonce, process.encode()), kinds)
 
 
 def welcome_is_valid(key: bytes, nonce: bytes, welcome: Welcome) -> bool:
-    """Check a listener's proof.
+    """Return whether the listener holds the fleet's key.
 
     :rtype: bool
     """
--- a/packages/chalkyoke/src/chalkyoke/links/intake.py
+++ b/packages/chalkyoke/src/chalkyoke/links/intake.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.links.intake
 
-Streams whose bytes can be taken as they come. Waking a task for each piece is a quarter of what an
-idle node of a large failure domain spends.
+Streams that pass received bytes to a callback. Waking a task for each read instead takes a quarter
+of the processor time of an idle node of a large failure domain.
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 
 
 class ByteStreamReader(asyncio.StreamReader):
-    """A stream reader that can hand bytes over at once.
+    """A stream reader that can pass bytes to a callback as soon as they arrive.
 
-    :ivar ended: set when nothing more comes.
+    :ivar ended: set when the stream has ended or failed.
     """
 
     def __init__(self) -> None:
@@ -23,28 +23,28 @@
         self.ended = asyncio.Event()
         self._receiver: Callable[[bytes], None] | None = None
 
-    def set_receiver(self, take: Callable[[bytes], None] | None) -> None:
-        """Hand bytes over from here on, those that are held first; nothing is: hold them again."""
-        self._receiver = take
+    def set_receiver(self, receiver: Callable[[bytes], None] | None) -> None:
+        """Pass buffered and further bytes to a callback, or buffer them again if it is None."""
+        self._receiver = receiver
         held = bytes(self._buffer)  # type: ignore[attr-defined]
-        if take is not None and held:
+        if receiver is not None and held:
             self._buffer.clear()  # type: ignore[attr-defined]
-            take(held)
+            receiver(held)
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
-        """Take bytes from the transport."""
+        """Receive bytes from the transport."""
         if self._receiver is None:
             super().feed_data(data)
         else:
             self._receiver(bytes(data))
 
     def feed_eof(self) -> None:
-        """Learn that the peer has closed."""
+        """Handle that the peer has closed the stream."""
         super().feed_eof()
         self.ended.set()
 
     def set_exception(self, exc: Exception) -> None:
-        """Learn that the connection is lost."""
+        """Handle that the connection is lost."""
         super().set_exception(exc)
         self.ended.set()
 
@@ -52,7 +52,7 @@
 async def open_stream(ip: str, port: int) -> tuple[ByteStreamReader, asyncio.StreamWriter]:
     """Open a connection.
 
-    :raises OSError: when the address is not reached.
+    :raises OSError: when the address can't be reached.
     """
     loop = asyncio.get_running_loop()
     intake = ByteStreamReader()
@@ -62,7 +62,7 @@
 
 
 async def listen(serve: Serve, ip: str, port: int) -> asyncio.Server:
-    """Listen, and serve each connection in a task of its own.
+    """Listen, and serve each connection in a separate task.
 
     :raises OSError: when the address can't be bound.
     """
--- a/packages/chalkyoke/src/chalkyoke/links/keepalive.py
+++ b/packages/chalkyoke/src/chalkyoke/links/keepalive.py
@@ -1,38 +1,38 @@
 """
 chalkyoke.links.keepalive
 
-Find out that a link has gone silent: the listener confirms what it took, and a caller whose
-messages stay unconfirmed for too long makes the link anew. The system's own time-outs see neither
-a peer that takes bytes and reads nothing, nor a way on which bytes are lost behind it.
+Detection of links that have stopped working: the listener confirms received messages, and a caller
+whose messages stay unconfirmed for too long reopens the link. The system's own timeouts detect
+neither a peer that accepts bytes without reading them, nor a path that acknowledges bytes and then
+loses them.
 """
 
-# How often a node looks for links that went silent, in seconds: a heartbeat.
+# Interval at which a node checks for silent links, in seconds: one heartbeat interval.
 KEEPALIVE_INTERVAL_S = 0.25
-# A listener confirms what it took each half second, and where heartbeats are sparse after so many
-# of their spaces.
+# Interval of confirmations, in seconds; with sparse heartbeats, in heartbeat intervals.
 MIN_CONFIRM_INTERVAL_S = 0.5
 CONFIRM_HEARTBEATS = 1.45
-# How long messages may stay unconfirmed, in times between two confirmations. Together with a look
-# that is less than the heartbeats whose absence means that a peer is lost.
+# Time for which messages may stay unconfirmed, in confirmation intervals. Together with the
+# interval of checks it is shorter than the time without heartbeats after which a peer is lost.
 SILENT_CONFIRM_INTERVALS = 2.0
-# What a listener is taken to need for a confirmation before it has told, in seconds: with the
-# sparsest heartbeats.
+# Assumed confirmation interval until the listener has announced its own, in seconds: the interval
+# for the sparsest heartbeats.
 MAX_CONFIRM_INTERVAL_S = 1.45
-# After so long without a message a listener drops a link, in seconds: its caller may be gone
-# without a word. A caller that lives makes the link anew with its next message.
+# Time without a message after which a listener closes a link, in seconds, because the caller may
+# have disappeared. A live caller reopens the link with its next message.
 IDLE_TIMEOUT_S = 120.0
 
 
 def confirm_interval_s(heartbeat_spacing_s: float) -> float:
-    """Tell how often a listener confirms, by how often its peers send at least.
+    """Return the interval of a listener's confirmations, by its peers' heartbeat interval.
 
-    :return: seconds.
+    :return: the interval in seconds.
     """
     return max(MIN_CONFIRM_INTERVAL_S, CONFIRM_HEARTBEATS * heartbeat_spacing_s)
 
 
 class Unconfirmed:
-    """What a caller has sent and the listener has not confirmed yet."""
+    """Track the messages that a caller has sent and the listener has not confirmed yet."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -42,29 +42,30 @@
 
     @property
     def count(self) -> int:
-        """How many messages are unconfirmed."""
+        """Number of unconfirmed messages."""
         return self.sent - self._confirmed
 
     def note_sent(self, now: float) -> None:
-        """Note that a message was sent.
+        """Record that a message was sent.
 
-        :param now: seconds on a steady clock.
+        :param now: seconds on a monotonic clock.
         """
         if not self.count:
             self._unconfirmed_since_s = now
         self.sent += 1
 
     def note_confirmed(self, count: int, every_s: float, now: float) -> None:
-        """Note how many messages the listener has taken; what is on its way counts from now.
+        """Record a confirmation; messages in transit count as unconfirmed from now on.
 
-        :param every_s: how often the listener confirms, in seconds.
+        :param count: number of messages that the listener has received on this link.
+        :param every_s: interval of the listener's confirmations, in seconds.
         """
         self._confirm_interval_s = every_s
         if self._confirmed < count <= self.sent:
             self._confirmed, self._unconfirmed_since_s = count, now
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the listener has been silent for too long."""
+        """Return whether messages have been unconfirmed for too long."""
         return (
             self.count > 0
             and now - self._unconfirmed_since_s
@@ -73,9 +74,9 @@
 
 
 class Receipts:
-    """What a listener has taken on one link.
+    """Count the messages that a listener has received on one link.
 
-    :param now: seconds on a steady clock.
+    :param now: seconds on a monotonic clock.
     """
 
     def __init__(self, now: float) -> None:
@@ -84,12 +85,12 @@
         self._last_received_s = now
 
     def note_received(self, now: float) -> None:
-        """Note that a message came in."""
+        """Record that a message was received."""
         self._received_count += 1
         self._last_received_s = now
 
     def next_confirmation(self) -> int | None:
-        """Give what is to be confirmed now; nothing where nothing came since.
+        """Return the count to confirm now, or None if no message has arrived since the last one.
 
         :rtype: int or None
         """
@@ -99,5 +100,5 @@
         return self._received_count
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing has come for so long that the caller may be gone."""
+        """Return whether the link has been idle so long that the caller may be gone."""
         return now - self._last_received_s > IDLE_TIMEOUT_S
--- a/packages/chalkyoke/src/chalkyoke/links/kinds.py
+++ b/packages/chalkyoke/src/chalkyoke/links/kinds.py
@@ -1,20 +1,21 @@
 """
 chalkyoke.links.kinds
 
-Which kinds of messages a peer understands. A peer tells when a link to it is opened; versions that
-do not tell give up a link on which a kind comes that they do not know, so that such a peer is sent
-only what it is known to understand.
+The kinds of messages that a peer understands. A peer announces them when a link to it is opened.
+Older versions announce none and close a link on which they receive an unknown kind, so such a peer
+is sent only kinds that it is known to understand.
 """
 
-# Peers that are remembered, in number: more than there are nodes. The oldest go first.
+# Maximum number of remembered peers: more than there are nodes. The oldest are removed first.
 MAX_PEERS = 2000
 
 
 class PeerKinds:
-    """What peers understand whose version does not tell.
+    """Track the kinds that peers understand whose version does not announce them.
 
-    :param always: kinds that all of these versions understand; nothing: whatever there is.
-    :param together: kinds that came with one of these versions: who sends one understands all.
+    :param always: kinds that all of these versions understand; None if they understand all kinds.
+    :param together: kinds that were added together by one of these versions: a peer that sends one
+        of them understands all of them.
     """
 
     def __init__(
@@ -25,7 +26,7 @@
         self._sent: dict[str, None] = {}
 
     def note_sent(self, peer: str, kind: str) -> None:
-        """Note that a peer has sent a kind.
+        """Record that a peer has sent a kind.
 
         :param peer: id of its process.
         """
@@ -36,10 +37,10 @@
         self._sent[peer] = None
 
     def understands(self, peer: str, told: frozenset[str], kind: str) -> bool:
-        """Tell whether a peer understands a kind.
+        """Return whether a peer understands a kind.
 
         :param peer: id of its process.
-        :param told: the kinds that it has told; empty where its version does not tell.
+        :param told: the kinds that it has announced; empty if its version does not announce them.
         """
         if told:
             return kind in told
--- a/packages/chalkyoke/src/chalkyoke/links/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/links/messages.py
@@ -1,24 +1,24 @@
 """
 chalkyoke.links.messages
 
-The frames of a link itself: both sides prove that they hold the fleet's key, and the listener
-confirms what it took.
+Messages of the link protocol itself: the handshake, in which both sides prove that they hold the
+fleet's key, and the listener's confirmations.
 """
 
 import msgspec
 
 
 class Challenge(msgspec.Struct, frozen=True, array_like=True, tag="challenge"):
-    """The listener's first frame."""
+    """The listener's first message, with the nonce for the caller's proof."""
 
     nonce: bytes
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """The caller's answer.
+    """The caller's answer, with its proof and its nonce.
 
     :param process: id of the calling process.
-    :param address: ``ip:port`` of its own listener, where answers go.
+    :param address: ``ip:port`` of the caller's own listener, to which answers are sent.
     """
 
     process: str
@@ -31,7 +31,8 @@
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
     """The listener's proof.
 
-    :param kinds: the kinds of messages that it understands; empty where its version does not tell.
+    :param kinds: the kinds of messages that the listener understands; empty if its version does not
+        announce them.
     """
 
     process: str
@@ -40,15 +41,16 @@
 
 
 class Skipped(msgspec.Struct, frozen=True):
-    """Stands for a message of a kind that is not known here; it never goes over a link."""
+    """Replaces a received message of an unknown kind; it is never sent over a link."""
 
     kind: str
 
 
 class Received(msgspec.Struct, frozen=True, array_like=True, tag="received"):
-    """The listener's word that it has taken so many messages since the welcome.
+    """The listener's confirmation of received messages.
 
-    :param every_s: how often it says so while messages come, in seconds.
+    :param count: number of messages received since the welcome.
+    :param interval_s: interval of confirmations while messages arrive, in seconds.
     """
 
     count: int
--- a/packages/chalkyoke/src/chalkyoke/links/peers.py
+++ b/packages/chalkyoke/src/chalkyoke/links/peers.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.links.peers
 
-All links of one process: a listener, and one outgoing link to each process that it talks to.
+All links of one process: a listener, and one outgoing link to each process to which it sends.
 """
 
 import asyncio
@@ -20,19 +20,21 @@
 from chalkyoke.logs import logger
 from chalkyoke.sockets import set_user_timeout
 
-# How long opening a link may take, in seconds: some round trips between regions.
+# Timeout of opening a link, in seconds: several round trips between regions.
 CONNECT_S = 0.5
-# Messages that wait for a link to come up, in number: some heartbeats' worth of a busy node.
+# Maximum number of messages that wait for a link to open: a busy node's messages of some
+# heartbeat intervals.
 MAX_QUEUED_MESSAGES = 2000
-# Pause after a failed opening, in seconds: doubled with each, up to the longest.
+# Backoff after a failed connection attempt, in seconds, doubled per failure up to the maximum.
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
-# Failures in a row after which an address is forgotten, in number: it is retried as a new one.
+# Number of successive failures after which the state of an address is removed; the next message
+# starts again with the shortest backoff.
 MAX_FAILURES = 20
-# Pairs of a peer and a kind of message that are remembered as told in the log, in number.
+# Maximum number of pairs of a peer and a message kind that are remembered as logged.
 MAX_LOGGED_KINDS = 1000
-# How long the system waits for a peer's acknowledgement, in milliseconds: below the heartbeats
-# whose absence means that a peer is lost.
+# TCP user timeout: time that the system waits for a peer's acknowledgement, in milliseconds. It is
+# shorter than the time without heartbeats after which a peer is lost.
 USER_TIMEOUT_MS = 1000
 
 Handler = Callable[[Connection, msgspec.Struct], Awaitable[None] | None]
@@ -41,7 +43,7 @@
 
 
 class _Outgoing:
-    """One outgoing link: a bounded queue while it is not connected."""
+    """An outgoing link, with a bounded queue of messages while it is not connected."""
 
     def __init__(self) -> None:
         self.queue: deque[msgspec.Struct] = deque(maxlen=MAX_QUEUED_MESSAGES)
@@ -55,14 +57,15 @@
 class Links:
     """Send messages to other processes by address, and receive theirs.
 
-    Messages may be lost when a link breaks; every slice repeats what it must not lose.
+    Messages may be lost when a link breaks; senders repeat messages that must not be lost.
 
-    :param me: who this process is.
-    :param types: all message types that may come in.
-    :param handler: called with each message that comes in; what it returns is awaited, and then
-        the stream is at its end.
-    :param listen: the address to listen on, where that is not the one that others are told.
-    :param kinds: what peers understand whose version does not tell; nothing means all there is.
+    :param me: the identity of this process.
+    :param types: all message types that may be received.
+    :param handler: called with each received message; an awaitable that it returns is awaited, and
+        then the stream is closed.
+    :param listen: the address to listen on, if it differs from the announced one.
+    :param kinds: the kinds that peers understand whose version does not announce them; None means
+        all kinds.
     """
 
     def __init__(
@@ -88,7 +91,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Open the listener.
+        """Start to listen for links of other processes.
 
         :raises OSError: when the address can't be bound.
         """
@@ -108,7 +111,7 @@
             connection.abort()
 
     def send(self, address: str, message: msgspec.Struct) -> None:
-        """Send a message, or queue it while the link comes up.
+        """Send a message, or queue it until the link is open.
 
         :param address: ``ip:port`` of the other process's listener.
         """
@@ -150,7 +153,7 @@
             outgoing.connection.abort()
 
     def unsent_bytes(self) -> int:
-        """Tell what waits to be sent over all links, in bytes.
+        """Return the size of the send buffers of all links, in bytes.
 
         :rtype: int
         """
@@ -181,7 +184,7 @@
             log.notice("link_full", peer=address, unsent_bytes=connection.unsent_bytes)
 
     def _log_unknown_kind(self, peer: str, kind: str, how: str) -> None:
-        """Tell the log once that two versions differ in a kind of message."""
+        """Log once per peer and kind that two versions differ in a kind of message."""
         if (peer, kind) in self._logged_kinds:
             return
         if len(self._logged_kinds) >= MAX_LOGGED_KINDS:
@@ -190,16 +193,16 @@
         log.notice("kind_unknown", peer=peer, kind=kind, how=how)
 
     async def open(self, address: str) -> Connection:
-        """Open a stream of its own, for a transfer that must not delay other messages.
+        """Open a separate stream, for a transfer that must not delay other messages.
 
-        :raises LinkError: when the listener is not reached.
+        :raises LinkError: when the listener can't be reached or the handshake fails.
         """
         ip, port = address.rsplit(":", 1)
         try:
             async with asyncio.timeout(CONNECT_S):
                 reader, writer = await intake.open_stream(ip, int(port))
         except (OSError, TimeoutError) as error:
-            raise LinkError(f"{address} is not reached: {error}") from error
+            raise LinkError(f"cannot reach {address}: {error}") from error
         set_user_timeout(writer, USER_TIMEOUT_MS)
         connection = Connection(reader, writer, self._codec, self._clock, self.counters)
         try:
@@ -210,10 +213,10 @@
         return connection
 
     async def _run(self, address: str, outgoing: _Outgoing) -> None:
-        """Hold a link from its opening to its end.
+        """Open a link and serve it until it ends.
 
-        However it ends, it is retired: a link that stayed here closed would never be opened again,
-        and its peer would hear nothing more from this process.
+        The link is always retired at its end: a closed link that stayed registered would never be
+        reopened, and its peer would receive no more messages from this process.
         """
         try:
             await self._run_connection(address, outgoing)
@@ -228,9 +231,9 @@
             self._retire(address, outgoing)
 
     async def _run_connection(self, address: str, outgoing: _Outgoing) -> None:
-        """Connect, send what has queued up, and watch for the end of the link.
+        """Connect, send the queued messages, and wait for the end of the link.
 
-        :raises LinkError: when the listener is not reached.
+        :raises LinkError: when the listener can't be reached or the handshake fails.
         """
         connection = await self.open(address)
         outgoing.failures = 0
@@ -239,13 +242,13 @@
         while outgoing.queue:
             self._send_on(address, outgoing, outgoing.queue.popleft())
 
-        def take(message: msgspec.Struct) -> None:
+        def on_message(message: msgspec.Struct) -> None:
             if isinstance(message, Received):
                 now = asyncio.get_running_loop().time()
                 outgoing.unconfirmed.note_confirmed(message.count, message.interval_s, now)
 
         try:
-            await connection.deliver(take)
+            await connection.deliver(on_message)
         except ProtocolError as error:
             log.notice("link_unreadable", peer=address, why=str(error))
         finally:
@@ -266,7 +269,7 @@
             await connection.handshake_as_listener(self.me)
             self._incoming[connection] = receipts
 
-            def take(message: msgspec.Struct) -> Awaitable[None] | None:
+            def on_message(message: msgspec.Struct) -> Awaitable[None] | None:
                 receipts.note_received(loop.time())
                 if isinstance(message, Skipped):
                     self.counters.skipped += 1
@@ -275,8 +278,8 @@
                 self._kinds.note_sent(connection.peer, str(message.__struct_config__.tag))
                 return self._handler(connection, message)
 
-            answered = await connection.deliver(take)
-            # The stream is the answer's from here on.
+            answered = await connection.deliver(on_message)
+            # From here on the answer uses the stream, which needs no confirmations any more.
             self._incoming.pop(connection, None)
             if answered is not None:
                 await answered
