--- a/packages/chalkyoke/src/chalkyoke/links/kinds.py
+++ b/packages/chalkyoke/src/chalkyoke/links/kinds.py
@@ -36,14 +36,14 @@
             del self._sent[next(iter(self._sent))]
         self._sent[peer] = None
 
-    def understands(self, peer: str, told: frozenset[str], kind: str) -> bool:
+    def understands(self, peer: str, announced: frozenset[str], kind: str) -> bool:
         """Return whether a peer understands a kind.
 
         :param peer: id of its process.
-        :param told: the kinds that it has announced; empty if its version does not announce them.
+        :param announced: the kinds announced by the peer; empty if its version announces none.
         """
-        if told:
-            return kind in told
+        if announced:
+            return kind in announced
         if self._always is None:
             return True
         return kind in self._always or (kind in self._together and peer in self._sent)
--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_keepalive.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_keepalive.py
@@ -49,8 +49,8 @@
         await asyncio.sleep(BEAT_S)
 
 
-def test_a_link_that_went_silent_is_made_anew_while_new_ones_work():
-    """A peer's heartbeats went on into a connection that carried nothing, and nobody noticed."""
+def test_silent_link_is_reopened():
+    """Guards against heartbeats that are sent on a connection that loses them, unnoticed."""
 
     async def main():
         taken = []
@@ -66,11 +66,11 @@
     virtual.run(main)
 
 
-def test_a_link_that_the_system_gives_up_for_a_time_out_is_made_anew():
-    """Behind a cut the system ends connections by ETIMEDOUT, which is no ``ConnectionError``.
+def test_link_that_ends_by_a_system_timeout_is_reopened():
+    """Guards against a link that stays closed for good after ETIMEDOUT.
 
-    The task of such a link ended by it and left the link as it was: closed, and never opened again,
-    so that a node told some of its peers nothing more for as long as it lived.
+    In a partition the system ends connections by ETIMEDOUT, which is no ``ConnectionError``. If it
+    ends the link's task without retiring the link, the node sends that peer nothing more.
     """
 
     async def main():
@@ -85,7 +85,7 @@
     virtual.run(main)
 
 
-def test_a_link_in_use_or_at_rest_is_left_alone():
+def test_busy_or_idle_link_is_not_reopened():
     async def main():
         caller, net = await linked(lambda c, m: None)
         await beats(caller, 4.0)
@@ -97,7 +97,7 @@
     virtual.run(main)
 
 
-def test_what_is_on_its_way_when_a_confirmation_is_sent_is_not_taken_for_lost():
+def test_messages_in_transit_during_a_confirmation_do_not_count_as_lost():
     unconfirmed = Unconfirmed()
     for _ in range(3):
         unconfirmed.note_sent(0.0)
@@ -108,14 +108,14 @@
     assert not unconfirmed.is_silent(100.0)
 
 
-def test_a_confirmation_of_what_was_never_sent_counts_nothing():
+def test_confirmation_of_unsent_messages_is_ignored():
     unconfirmed = Unconfirmed()
     unconfirmed.note_sent(0.0)
     unconfirmed.note_confirmed(7, MIN_CONFIRM_INTERVAL_S, 0.5)
     assert unconfirmed.count == 1
 
 
-def test_a_listener_confirms_once_what_it_took_and_drops_what_is_not_used():
+def test_listener_confirms_each_count_once_and_detects_idle_links():
     receipts = Receipts(0.0)
     assert receipts.next_confirmation() is None
     receipts.note_received(1.0)
@@ -124,7 +124,7 @@
     assert not receipts.is_idle(2.0 + IDLE_TIMEOUT_S) and receipts.is_idle(2.1 + IDLE_TIMEOUT_S)
 
 
-def test_a_silent_link_is_found_before_the_silence_of_its_peer_in_a_domain_of_any_size():
+def test_silent_link_is_detected_before_its_peer_counts_as_lost_at_any_domain_size():
     for members in range(2, 100):
         view = MembershipView(MemberRecord("h0", 1, "h0:1", "", "d", False, True, 1, 1))
         for number in range(1, members):
--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_kinds.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_kinds.py
@@ -1,4 +1,4 @@
-"""Links between versions of which one knows kinds of messages that the other does not."""
+"""Links between versions of which one knows message kinds that the other does not know."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -18,8 +18,8 @@
 
 
 @asynccontextmanager
-async def linked(listener_types, caller_types, untold=None):
-    """Make two processes; the caller's messages go to the list that is given."""
+async def linked(listener_types, caller_types, always=None):
+    """Start two processes; yield them and the list of messages that the listener receives."""
     taken = []
     listener = Links(
         Identity("b", free(), "d", KEY), listener_types, Clock(), lambda c, m: taken.append(m)
@@ -29,7 +29,7 @@
         caller_types,
         Clock(),
         lambda c, m: None,
-        kinds=PeerKinds(untold),
+        kinds=PeerKinds(always),
     )
     await listener.listen()
     try:
@@ -53,14 +53,14 @@
             await until(lambda: len(taken) == 2)
             assert taken == [GRANT, GRANT]
             assert (caller.counters.withheld, listener.counters.skipped) == (2, 0)
-            # What was withheld is not waited for.
+            # Withheld messages do not count as unconfirmed.
             listener.keep_alive(0.01)
             await until(lambda: not caller._outgoing[listener.me.address].unconfirmed.count)
 
     asyncio.run(main())
 
 
-def test_a_peer_that_does_not_tell_is_sent_what_all_versions_understand(monkeypatch):
+def test_peer_without_announced_kinds_is_sent_what_all_versions_understand(monkeypatch):
     made = handshake.make_welcome
     monkeypatch.setattr(
         "chalkyoke.links.connection.make_welcome", lambda *known: made(*known[:-1], ())
@@ -77,13 +77,13 @@
     asyncio.run(main())
 
 
-def test_a_kind_that_is_not_known_here_is_skipped_and_the_link_goes_on():
+def test_message_of_an_unknown_kind_is_skipped_and_the_link_stays_open():
     async def main():
         async with linked((Grant,), (Grant, Queued, Withdraw)) as (listener, caller, taken):
             caller.send(listener.me.address, GRANT)
             await until(lambda: taken)
             link = caller._outgoing[listener.me.address]
-            # A version that does not go by the kinds that it was told.
+            # Emulates a version that ignores the announced kinds.
             link.connection.peer_kinds = frozenset({"grant", "queued", "withdraw"})
             for message in (QUEUED, QUEUED, WITHDRAW, GRANT):
                 caller.send(listener.me.address, message)
@@ -92,7 +92,7 @@
             assert listener.counters.skipped == 3
             assert {kind for _, kind in listener._logged_kinds} == {"queued", "withdraw"}
             assert caller._outgoing[listener.me.address] is link
-            # What was skipped is confirmed, or the link would count as silent.
+            # Skipped messages are confirmed; otherwise the link would count as silent.
             listener.keep_alive(0.01)
             await until(lambda: link.unconfirmed.count == 0)
 
@@ -111,7 +111,7 @@
     asyncio.run(main())
 
 
-def test_who_sends_a_kind_understands_all_that_came_with_it():
+def test_peer_that_sends_a_kind_understands_all_kinds_added_with_it():
     kinds = PeerKinds(frozenset({"grant"}), frozenset({"held", "replica_ended"}))
     nothing = frozenset()
     assert not kinds.understands("p", nothing, "held")
@@ -121,12 +121,12 @@
     assert kinds.understands("p", nothing, "held")
     assert not kinds.understands("q", nothing, "held")
     assert not kinds.understands("p", nothing, "another")
-    # What a peer has told goes before what is guessed.
+    # Announced kinds take precedence over inferred ones.
     assert not kinds.understands("p", frozenset({"grant"}), "held")
     assert kinds.understands("q", frozenset({"grant", "held"}), "held")
 
 
-def test_what_is_remembered_of_peers_is_bounded():
+def test_number_of_remembered_peers_is_bounded():
     kinds = PeerKinds(frozenset(), frozenset({"held"}))
     for number in range(MAX_PEERS + 1):
         kinds.note_sent(f"p{number}", "held")
--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_links.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_links.py
@@ -82,7 +82,7 @@
     asyncio.run(main())
 
 
-def test_a_listener_that_only_plays_the_fleet_is_refused():
+def test_listener_without_the_fleet_key_is_refused():
     async def main():
         async def play(reader, writer):
             codec = FrameCodec((*TYPES, Challenge))
@@ -107,7 +107,7 @@
     assert late.tick(1000) > cause
 
 
-def test_a_clock_that_is_far_ahead_is_not_followed():
+def test_stamp_far_ahead_does_not_advance_the_clock():
     clock = HybridClock()
     clock.observe(Stamp(10**12, 0), 1000)
     assert clock.tick(1000).wall_ms == 1000
--- a/packages/chalkyoke/src/chalkyoke/membership/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/__init__.py
@@ -1,5 +1,5 @@
 """
 chalkyoke.membership
 
-Live hosts, their incarnations, and who owns which pool.
+Live hosts, their incarnations, and the owners of pools.
 """
--- a/packages/chalkyoke/src/chalkyoke/membership/tests/test_large_domain.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/tests/test_large_domain.py
@@ -1,13 +1,11 @@
 """
-What a host spends on knowing who is alive, and how well it knows it, in a failure domain of 44.
-
-Seen in a fleet of 195 hosts in five failure domains: each host spent 6% of a core at rest, and a
-day of it could not be played to its end.
-The cause: in a failure domain all sent each other their signs of life, with confirmations 146
-messages a second for each of 44 hosts, and each change of a replica was told by all to all.
-The proof: a host that is no monitor takes and sends a few messages a second, whatever the size, and
-all that the old way found is still found: the dead, the cut off, those that came back, a start of
-all at once.
+Cost and correctness of the membership in a failure domain of 44 hosts.
+
+Guards against all-to-all heartbeats: with their confirmations they were 146 messages a second for
+each of 44 hosts, and every change of a replica was announced by all to all, so that each host of a
+fleet of 195 in five failure domains used 6% of a core when idle. A host that is no monitor must
+receive and send a few messages a second at any size, while dead, partitioned and returning hosts
+and a start of all hosts at once are still detected.
 """
 
 import itertools
@@ -19,12 +17,12 @@
 from tests.memberfleet import Fleet
 
 SIZE = 44
-# A message costs a host some 0.3 to 0.4 ms of processor time: 1.6% of a core is 40 a second. Their
-# confirmations by the links are as many again at the most.
+# A message costs a host 0.3 to 0.4 ms of processor time, so 40 a second take 1.6% of a core. The
+# links' confirmations at most double the number of messages.
 MOST_MESSAGES_A_SECOND = 10
-# Members of a domain of 12 beat each 0.25 s.
+# Members of a domain of 12 send heartbeats every 0.25 s.
 MOST_MESSAGES_A_SECOND_OF_12 = 30
-# Four beats that were due, and the news of it.
+# Time for four missed heartbeats and the announcement of the loss, in seconds.
 FOUND_S = 4.5
 
 
@@ -50,7 +48,7 @@
     return set(fleet.views)
 
 
-def test_what_a_member_spends_at_rest_does_not_grow_with_its_domain():
+def test_idle_message_rate_of_a_member_does_not_grow_with_its_domain():
     bounds = {
         12: MOST_MESSAGES_A_SECOND_OF_12,
         SIZE: MOST_MESSAGES_A_SECOND,
@@ -67,27 +65,27 @@
             assert (fleet.heard[host] + fleet.sent[host]) / 20 <= most
 
 
-def test_news_of_replicas_make_no_member_tell_all_others():
+def test_catalog_versions_are_not_broadcast_by_every_member():
     fleet = settled()
     fleet.messages = 0
     for version in range(2, 12):
         for view in fleet.views.values():
             view.update_self(hosts_version=version)
         fleet.run(0.5)
-    told_by_all_to_all = 10 * 2 * SIZE * (SIZE - 1)
-    assert fleet.messages < told_by_all_to_all / 10
+    all_to_all_messages = 10 * 2 * SIZE * (SIZE - 1)
+    assert fleet.messages < all_to_all_messages / 10
 
 
-def test_a_start_of_all_at_once_is_known_to_all_soon():
+def test_simultaneous_start_converges_within_two_seconds():
     fleet = Fleet(sizes())
     fleet.run(2)
     assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
-def test_five_domains_that_start_at_once_know_each_other_in_time_for_their_quotas():
-    """An owner leases by the share of the fleet that it sees, from a second after its start on.
+def test_simultaneous_start_of_five_domains_converges_in_time_for_quotas():
+    """Guards against monitors that forward foreign digests late, which delays this to 3.5 s.
 
-    Before monitors told their members of other domains at once, this took 3.5 s.
+    An owner grants leases by the share of the fleet that it sees, from a second after its start.
     """
     fleet = Fleet({domain: [f"{domain}{n}" for n in range(39)] for domain in "abcde"})
     fleet.run(1.25)
@@ -97,24 +95,24 @@
     assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
-def test_a_start_of_all_at_once_opens_few_links():
-    """Each message to another host is a link with a hand-shake of four messages."""
+def test_simultaneous_start_opens_few_links():
+    """The first message to a host opens a link, with a handshake of four messages."""
     fleet = Fleet(sizes())
-    talked = set()
+    linked_pairs = set()
     carry = fleet.carry
 
-    def noted(sender, sends):
-        talked.update((sender.record.host, each.address) for each in sends)
+    def record_and_carry(sender, sends):
+        linked_pairs.update((sender.record.host, each.address) for each in sends)
         carry(sender, sends)
 
-    fleet.carry = noted
+    fleet.carry = record_and_carry
     fleet.run(3)
     few = set(monitors(fleet) + monitors(fleet, "b"))
-    by_others = [pair for pair in talked if pair[0] not in few]
+    by_others = [pair for pair in linked_pairs if pair[0] not in few]
     assert len(by_others) / (2 * SIZE - len(few)) < 12
 
 
-def test_the_dead_are_found_wherever_they_stood():
+def test_dead_hosts_of_any_rank_are_removed():
     fleet = settled()
     first = monitors(fleet)[0]
     others = [host for host in fleet.views if host not in monitors(fleet)]
@@ -125,7 +123,7 @@
             assert killed not in fleet.hosts(viewer), (killed, viewer)
 
 
-def test_all_monitors_that_die_at_once_are_replaced_and_nobody_else_is_lost():
+def test_simultaneous_loss_of_all_monitors_removes_no_other_member():
     fleet = settled()
     killed = set(monitors(fleet))
     for host in killed:
@@ -139,7 +137,7 @@
     assert not killed & set(monitors(fleet))
 
 
-def test_a_host_that_was_cut_off_knows_all_others_again():
+def test_partitioned_host_knows_all_others_again_after_healing():
     fleet = settled()
     for host in ("a7", monitors(fleet)[0]):
         fleet.cut = {host}
@@ -152,7 +150,7 @@
         assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
-def test_a_domain_that_was_cut_in_two_finds_itself_again():
+def test_domain_partitioned_in_two_halves_merges_after_healing():
     fleet = settled()
     ours = {f"a{n}" for n in range(SIZE // 2)}
     theirs = {f"a{n}" for n in range(SIZE // 2, SIZE)}
@@ -165,7 +163,7 @@
     assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
-def test_a_way_that_works_in_one_direction_only_drops_nobody_whom_others_hear():
+def test_one_way_link_loss_keeps_members_that_other_monitors_receive():
     fleet = settled()
     first = monitors(fleet)[0]
     fleet.cut = {("a9", first)}
@@ -175,7 +173,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_hosts_that_are_killed_and_started_again_at_random_are_known_by_their_last_start(seed):
+def test_randomly_restarted_hosts_are_known_by_their_last_incarnation(seed):
     chance = random.Random(seed)
     fleet = settled(24)
     incarnation = 1
@@ -196,8 +194,8 @@
             assert seen[host].ready, (viewer, host)
 
 
-def test_duties_for_many_go_to_hosts_that_can_bear_them():
-    """A pool's scheduler spends a quarter of a core, half of what the smallest hosts have."""
+def test_fleet_wide_duties_go_to_hosts_with_the_most_capacity():
+    """A pool's scheduler uses a quarter of a core, half of the capacity of the smallest hosts."""
     strong = {f"{domain}{n}": 2.15 for domain in "ab" for n in range(3)}
     fleet = settled(capacities=strong)
     assert set(monitors(fleet)) == {"a0", "a1", "a2"}
--- a/packages/chalkyoke/src/chalkyoke/membership/tests/test_view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/tests/test_view.py
@@ -22,7 +22,7 @@
     assert len(owners) == 1
 
 
-def test_a_silent_process_leaves_every_view():
+def test_silent_process_is_removed_from_every_view():
     fleet = Fleet(TWO)
     fleet.run(3)
     fleet.cut.add("a1")
@@ -30,7 +30,7 @@
     assert all(fleet.hosts(viewer) == ALL - {"a1"} for viewer in ALL - {"a1"})
 
 
-def test_a_cut_leaves_each_side_an_owner_and_heals():
+def test_each_side_of_a_partition_has_an_owner_and_views_merge_after_healing():
     fleet = Fleet(TWO)
     fleet.run(3)
     fleet.cut = {(a, b) for a in TWO["d1"] for b in TWO["d2"]} | {
@@ -55,7 +55,7 @@
     assert 0 < counts[1] <= 1.25 * counts[0]
 
 
-def test_a_restarted_host_replaces_its_earlier_process_for_good():
+def test_restarted_host_replaces_its_earlier_incarnation_for_good():
     view = MembershipView(record("me"))
     old, new = record("h", incarnation=7), record("h", incarnation=8)
     assert view.receive("h:1", Heartbeat(old, 5), 0.0)[0] == [Joined(old)]
@@ -64,7 +64,7 @@
     assert view.find("h") == new
 
 
-def test_a_late_copy_of_a_heartbeat_keeps_nobody_alive():
+def test_duplicate_of_an_old_heartbeat_keeps_no_process_alive():
     view = MembershipView(record("me"))
     view.receive("h:1", Heartbeat(record("h"), 5), 0.0)
     view.receive("h:1", Heartbeat(record("h"), 5), 3.0)
@@ -78,8 +78,8 @@
     assert view.pool_owner("any").host == "h"
 
 
-def test_the_last_of_a_failure_domain_is_heard_when_it_leaves():
-    """Before, it told nobody, and was taken for the owner of duties for 2.5 s more."""
+def test_leaving_of_the_last_member_of_a_domain_is_reported():
+    """Guards against a leaving last member that counts as owner of duties for 2.5 s more."""
     fleet = Fleet({"d1": ["a1", "a2"], "d2": ["b1"]})
     fleet.run(3)
     fleet.views["b1"].update_self(leaving=True)
@@ -92,7 +92,7 @@
     return ranked_hosts(pool, [Candidate(host, f"{host}:1", "d1") for host in hosts])[0].host
 
 
-def test_few_pools_move_when_a_host_goes():
+def test_only_the_pools_of_a_removed_host_move():
     hosts = [f"h{i}" for i in range(10)]
     pools = [f"p{i}" for i in range(300)]
     gone = random.Random(1).choice(hosts)
@@ -101,7 +101,7 @@
     assert owner("p", hosts) == owner("p", reversed(hosts))
 
 
-def test_a_short_beat_keeps_a_known_process_alive_and_makes_no_unknown_one():
+def test_short_heartbeat_keeps_a_known_process_alive_and_adds_no_unknown_one():
     view = MembershipView(record("me"))
     short = ShortHeartbeat("h", 1, "d1", 9)
     assert view.receive("h:1", short, 0.0) == ([], [])
@@ -112,7 +112,7 @@
     assert [type(each) for each in view.tick(3.0)] == [Left]
 
 
-def test_a_change_is_told_whole_at_once():
+def test_changed_record_is_sent_in_full_at_once():
     view = MembershipView(record("me"))
     view.set_candidates([Candidate("h", "h:1", "d1")])
     kinds = [type(view.due_messages(i)[0].message) for i in range(1, 20)]
@@ -121,7 +121,7 @@
     assert view.due_messages(20)[0].message.record.revision == 2
 
 
-def test_every_change_of_what_the_view_shows_changes_its_generation():
+def test_every_change_of_the_view_raises_its_generation():
     view = MembershipView(record("me"))
     shown, seen = [], []
     digest = Digest("d2", "x/1", 1)
@@ -145,7 +145,7 @@
     return MembershipView(record(host, domain, incarnation=77))
 
 
-def test_a_newcomer_tells_no_other_domain_that_it_is_alone():
+def test_new_member_does_not_report_its_domain_to_other_domains():
     fleet = Fleet(TWO)
     fleet.run(3)
     shown = {each.host for each in fleet.views["b1"].live()}
@@ -158,7 +158,7 @@
     assert {each.host for each in fleet.views["b1"].live()} == shown
 
 
-def test_a_newcomer_that_knows_one_seed_learns_of_all_others():
+def test_new_member_learns_of_all_others_from_one_seed():
     fleet = Fleet(TWO)
     fleet.run(3)
     fresh = newcomer("a9")
@@ -167,13 +167,13 @@
     for send in sends:
         if send.address == "a9:1":
             fresh.receive(seed.record.address, send.message, 0.0)
-    told = {send.address for send in fresh.due_messages(0.1)}
+    contacted = {send.address for send in fresh.due_messages(0.1)}
     for host in TWO["d1"]:
-        assert fleet.views[host].record.address in told
+        assert fleet.views[host].record.address in contacted
     assert {each.host for each in fresh.live()} >= set(TWO["d2"])
 
 
-def test_owners_are_listed_in_the_order_in_which_they_would_take_over():
+def test_pool_owners_are_listed_in_order_of_succession():
     fleet = Fleet(TWO)
     fleet.run(3)
     view = fleet.views["a1"]
@@ -182,7 +182,7 @@
     assert view.pool_owner("p").host == owners[0]
 
 
-def test_one_of_the_first_three_in_line_is_on_either_side_of_a_cut():
+def test_first_three_pool_owners_cover_both_sides_of_a_partition():
     three = {"d1": ["a1", "a2", "a3"], "d2": ["b1", "b2"], "d3": ["c1", "c2"]}
     fleet = Fleet(three)
     fleet.run(3)
@@ -202,19 +202,19 @@
     return {"d1": [f"a{n}" for n in range(count)], "d2": ["b1", "b2"]}
 
 
-def test_what_a_member_hears_does_not_grow_with_a_large_domain():
-    heard = []
+def test_messages_per_member_do_not_grow_with_a_large_domain():
+    messages_per_member = []
     for count in (8, 24):
         fleet = Fleet(large(count))
         fleet.run(10)
         fleet.messages = 0
         fleet.run(10)
         assert len(fleet.hosts("a0")) == count + 2
-        heard.append(fleet.messages / count)
-    assert heard[1] <= 1.25 * heard[0]
+        messages_per_member.append(fleet.messages / count)
+    assert messages_per_member[1] <= 1.25 * messages_per_member[0]
 
 
-def test_a_large_domain_finds_the_dead_in_a_few_seconds_and_drops_nobody_else():
+def test_large_domain_removes_a_silent_member_in_seconds_and_no_other():
     fleet = Fleet(large(24))
     fleet.run(10)
     fleet.cut.add("a7")
@@ -225,7 +225,7 @@
     assert len(fleet.hosts("a0")) == 25
 
 
-def test_a_change_is_told_at_once_in_a_large_domain():
+def test_change_is_broadcast_at_once_in_a_large_domain():
     fleet = Fleet(large(24))
     fleet.run(10)
     fleet.views["a3"].update_self(leaving=True)
@@ -233,8 +233,8 @@
     assert fleet.views["a9"].find("a3").leaving
 
 
-# Guards against an outdated summary that the members of a domain pass round among themselves for
-# ever, so that they name another owner of a pool than all others do.
+# Guards against an outdated summary that keeps circulating among the members of a domain, so that
+# they compute another owner of a pool than the other domains do.
 def test_an_outdated_summary_of_a_domain_does_not_last():
     domains = {name: [f"{name}{number}" for number in range(6)] for name in "abcd"}
     fleet = DelayedFleet(domains)
@@ -250,10 +250,10 @@
         assert {len(fleet.hosts(host)) for host in fleet.views} == {24}
 
 
-# Guards against domains that never know each other whole again after all hosts have started anew at
-# the same moment: their first summaries, of few members, were passed round beside the later ones.
+# Guards against incomplete views of other domains after a simultaneous restart of all hosts: their
+# first summaries, with few members, kept circulating along with the later ones.
 @pytest.mark.parametrize("size", [4, 12])
-def test_all_know_all_soon_after_a_start_of_all_anew(size):
+def test_views_are_complete_soon_after_a_simultaneous_restart(size):
     domains = {name: [f"{name}{number}" for number in range(size)] for name in "abc"}
     fleet = DelayedFleet(domains)
     fleet.run(4.0)
--- a/packages/chalkyoke/src/chalkyoke/membership/view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/view.py
@@ -309,8 +309,8 @@
         )
 
     def _current_digests(self, now: float) -> tuple[Digest, ...]:
-        heard = self._other_domains.direct_digests(now)
-        return (*heard, self._own_domain.digest()) if self._own_domain.is_monitor else heard
+        digests = self._other_domains.direct_digests(now)
+        return (*digests, self._own_domain.digest()) if self._own_domain.is_monitor else digests
 
     def _has_new_foreign_digests(self, digests: tuple[Digest, ...]) -> bool:
         """Return whether a monitor has foreign digests that its members have not received yet.
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
@@ -1,11 +1,11 @@
 """
-A fleet that obeys an order to move a service to another version, in virtual time: nodes with their
-shares, leaders, a store that may be away, and replicas that are good or bad in their manner.
+Simulation of a fleet that carries out an order to move a service to another version, in virtual
+time: nodes, leaders, a store that may be unavailable, and replicas of good or bad versions.
 
-The pattern is the users' booking fleet as its sheet shows it: three routes of a model pool at 290
-requests a second over 79 nodes, of which a fifth are chats that last 2.3 s on average, up to 15 s.
-Bad versions fail or are slow in part of their answers: at once or later, under load, or on one
-route only.
+The workload is that of the users' booking fleet: three routes of a model pool at 290 requests a
+second over 79 nodes. A fifth of the requests are chats that last 2.3 s on average, up to 15 s. Bad
+versions fail or are slow in part of their answers: at once or later, under load, or on one route
+only.
 """
 
 import heapq
@@ -21,28 +21,29 @@
 
 BOUNDS = ExposureBounds(share=0.1, slack=50)
 ROLLBACK_S = 5.0
-# Route: its part of the requests, mean seconds that it lasts, part that fails at any version.
+# By route: share of the requests, mean duration in seconds, share that fails at any version.
 POOL = {"rebook": (0.35, 0.5, 0.004), "explain": (0.45, 0.3, 0.004), "chat": (0.2, 2.3, 0.004)}
 PLAIN = {"hold": (0.81, 0.02, 0.004), "release": (0.19, 0.02, 0.14)}
 SPEEDS = (0.6, 1.7, 1.7)
 LONGEST_S = 15.0
-# How much longer than they expect nodes take requests to last.
+# Factor by which nodes overestimate the duration of requests.
 LASTS_FACTOR = 2.5
 NEW_REPLICAS = 6
-WORD_S = (0.02, 0.1)
-TICK_S, REPORT_S, TELL_S = 0.25, 0.25, 1.0
+DELAY_S = (0.02, 0.1)
+TICK_S, REPORT_S, ANNOUNCE_S = 0.25, 0.25, 1.0
 STATES = {Phase.DONE: RolloutState.COMPLETED, Phase.UNDONE: RolloutState.ROLLED_BACK}
 
 
 @dataclass
-class Manner:
-    """What is bad in a version: of which answers, from when on, and how.
-
-    :param part: of its answers; 0 is a good version.
-    :param slow: how many times slower; 0 where they fail.
-    :param route: only on one.
-    :param load: only while so many run at the same replica.
-    :param replica: only at one, which tells nothing of the version.
+class Fault:
+    """The faults of a version: which answers are affected, since when, and how.
+
+    :param part: share of affected answers; 0 is a good version.
+    :param slow: factor by which affected answers are slower; 0 if they fail.
+    :param later_s: time from which answers are affected, in seconds.
+    :param route: the only affected route; empty for all.
+    :param load: minimum number of requests that run at the replica.
+    :param replica: the only affected replica, which is no evidence against the version.
     """
 
     part: float = 0.0
@@ -52,7 +53,7 @@
     load: int = 0
     replica: str = ""
 
-    def strikes(self, rng, route, replica, running, now):
+    def affects(self, rng, route, replica, running, now):
         if now < self.later_s or running < self.load:
             return False
         if self.route not in ("", route) or self.replica not in ("", replica):
@@ -68,20 +69,20 @@
     alive: bool = True
     born: float = 0.0
     old_running: int = 0
-    reported_to: str = ""
-    report_at: float = 0.0
-    told_at: float = -9.0
-    told: Phase = Phase.HELD
+    report_leader: str = ""
+    reported_at_s: float = 0.0
+    announced_at_s: float = -9.0
+    announced: Phase = Phase.HELD
     lead: RolloutLeader = field(default_factory=RolloutLeader)
     status: RolloutStatus | None = None
 
 
 class Fleet:
-    """Play one order."""
+    """Simulate one order."""
 
-    def __init__(self, seed, manner, nodes=80, over_s=30.0, rate=290.0, routes=POOL):
+    def __init__(self, seed, fault, nodes=80, over_s=30.0, rate=290.0, routes=POOL):
         self.rng = random.Random(seed)
-        self.manner, self.rate, self.routes = manner, rate, routes
+        self.fault, self.rate, self.routes = fault, rate, routes
         self.order = RolloutOrder("model", "2", 2, over_s, 10)
         self.size = nodes
         self.now = 0.0
@@ -97,14 +98,14 @@
         self.running = dict.fromkeys(self.replicas(), 0)
         self.sent = self.exposed = 0
         self.bad_at, self.new_sent_at = [], []
-        self.cut_off = 0
+        self.aborted_count = 0
 
     def replicas(self):
         return [f"new-{number}" for number in range(NEW_REPLICAS)]
 
     def make_node(self):
         exposure = Exposure(BOUNDS, self.size, self.rng.random)
-        # Who starts later finds the order in the store, which does not tell how old it is.
+        # A node that starts later reads the order from the store, which does not show its age.
         age = self.rng.uniform(0.02, 0.4) if self.now == 0.0 else 0.0
         share = NodeRollout(self.order, exposure, self.now - age, self.now)
         return Node(f"n{next(self.names):04}", share, born=self.now)
@@ -123,7 +124,7 @@
             what(*arguments)
         return self
 
-    # What happens to it.
+    # Faults.
 
     def kill(self, node):
         node.alive = False
@@ -169,13 +170,13 @@
     def request(self, node, route, *, again):
         mean = self.routes[route][1]
         usual = min(LONGEST_S, mean * self.rng.lognormvariate(-0.3, 0.8))
-        thought = LASTS_FACTOR * usual * self.rng.lognormvariate(0.0, 0.5)
+        estimate_s = LASTS_FACTOR * usual * self.rng.lognormvariate(0.0, 0.5)
         if not again and self.now <= self.order.over_s:
             self.sent += 1
         node.share.exposure.count_sent()
         is_done = node.status is not None and node.status.state is RolloutState.COMPLETED
         is_new = is_done or node.share.admit_to_new_version(
-            min(thought, LONGEST_S), self.now, again=again
+            min(estimate_s, LONGEST_S), self.now, again=again
         )
         took = usual / self.rng.choice(SPEEDS)
         failed = self.rng.random() < self.routes[route][2]
@@ -188,9 +189,9 @@
             if not is_done:
                 self.new_sent_at.append((self.now, node.side, node.born))
             self.running[replica] += 1
-            if self.manner.strikes(self.rng, route, replica, running, self.now):
-                failed = failed or not self.manner.slow
-                took *= self.manner.slow or 0.5
+            if self.fault.affects(self.rng, route, replica, running, self.now):
+                failed = failed or not self.fault.slow
+                took *= self.fault.slow or 0.5
                 self.at(self.now + took, self.bad_at.append, self.now + took)
         else:
             node.old_running += 1
@@ -224,21 +225,27 @@
         if reaches_store and self.stored.revision > self.order.revision:
             node.status = self.stored
         leader = self.leader(node.side)
-        if self.now - node.report_at >= REPORT_S:
-            node.report_at = self.now
-            whole = node.reported_to != leader.name
-            node.reported_to = leader.name
+        if self.now - node.reported_at_s >= REPORT_S:
+            node.reported_at_s = self.now
+            whole = node.report_leader != leader.name
+            node.report_leader = leader.name
             report = node.share.report(self.now, node.old_running, whole=whole)
-            self.at(self.now + self.rng.uniform(*WORD_S), self.take, node.name, leader, report)
+            self.at(
+                self.now + self.rng.uniform(*DELAY_S),
+                self.receive_report,
+                node.name,
+                leader,
+                report,
+            )
         if leader is node:
-            self.lead(node, reaches_store)
+            self.lead_order(node, reaches_store)
 
-    def take(self, name, leader, report):
+    def receive_report(self, name, leader, report):
         if leader.alive:
             leader.share.update_elapsed(report.min_elapsed_s, self.now)
             leader.lead.apply_report(name, report)
 
-    def lead(self, node, reaches_store):
+    def lead_order(self, node, reaches_store):
         passed = node.share.elapsed(self.now)
         order = TrackedOrder(self.order, 0.0, node.status)
         phase = Phase.UNDONE
@@ -258,19 +265,19 @@
             self.write(STATES[phase], node.status)
         if phase is Phase.DONE and not ended:
             phase = Phase.CLOSING
-        if phase is not node.told or self.now - node.told_at >= TELL_S:
-            node.told, node.told_at = phase, self.now
+        if phase is not node.announced or self.now - node.announced_at_s >= ANNOUNCE_S:
+            node.announced, node.announced_at_s = phase, self.now
             for each in self.reached(node):
-                delay = 0.0 if each is node else self.rng.uniform(*WORD_S)
-                self.at(self.now + delay, self.hear, each, phase, passed, node.side)
+                delay = 0.0 if each is node else self.rng.uniform(*DELAY_S)
+                self.at(self.now + delay, self.receive_update, each, phase, passed, node.side)
 
-    def hear(self, node, phase, passed, side):
+    def receive_update(self, node, phase, passed, side):
         if node.alive and node.side == side:
-            told = RolloutUpdate("model", self.order.revision, phase, passed.min_s)
-            node.share.apply_update(told, self.now)
+            update = RolloutUpdate("model", self.order.revision, phase, passed.min_s)
+            node.share.apply_update(update, self.now)
 
     def write(self, state, status):
-        """Write an answer, if nobody else has; what runs at old replicas then is cut off."""
+        """Write a status unless another node has; requests at old replicas are then aborted."""
         held = self.stored.revision if self.stored.revision > self.order.revision else 0
         if (status.revision if status else 0) != held:
             return
@@ -278,16 +285,16 @@
         self.stored = RolloutStatus("model", "2", state, self.revision)
         self.answers.append((self.now, state))
         if state is RolloutState.COMPLETED:
-            self.cut_off = sum(each.old_running for each in self.nodes)
+            self.aborted_count = sum(each.old_running for each in self.nodes)
 
-    # What was seen.
+    # Results.
 
     @property
     def state(self):
         return self.answers[-1][1] if self.answers else RolloutState.RUNNING
 
     def sent_after_rollback_was_due(self):
-        """Count what nodes that were never cut off sent after a bad version had to be left."""
+        """Count requests sent after the rollback was due, except by nodes that were partitioned."""
         if len(self.bad_at) < 50:
             return 0
         due = sorted(self.bad_at)[49] + ROLLBACK_S
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_lead.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_lead.py
@@ -1,4 +1,4 @@
-"""What an order's leader makes of slow answers: a moment that holds all up is no bad version."""
+"""Decisions of an order's leader on slow answers: a short stall is not a bad version."""
 
 from chalkyoke.rollouts.evidence import Tally
 from chalkyoke.rollouts.lead import Phase, RolloutLeader
@@ -9,7 +9,7 @@
 
 
 class Node:
-    """Reports 200 usual answers of the old version, and what it is told of the new one."""
+    """Reports 200 normal answers of the old version and chosen answers of the new one."""
 
     def __init__(self):
         self.old, self.new = Tally("r"), Tally("r", "new-1")
@@ -29,8 +29,8 @@
         ).phase
 
 
-def test_answers_that_one_moment_held_up_do_not_speak_against_a_version():
-    """Eight of the first ones, as the start of a trial beside a busy processor made them once."""
+def test_answers_slowed_by_one_stall_do_not_roll_back_a_version():
+    """Guards against a rollback for eight slow first answers, as a busy processor causes them."""
     node = Node()
     node.answers(8, ratio=10.0)
     assert node.decide(0.5) is Phase.TRIAL
@@ -39,7 +39,7 @@
         assert node.decide(0.5 + 0.25 * turn) in (Phase.TRIAL, Phase.PROVEN)
 
 
-def test_a_version_that_stays_slow_is_left_within_seconds():
+def test_version_that_stays_slow_is_rolled_back_within_seconds():
     node = Node()
     for turn in range(20):
         node.answers(3, ratio=4.0)
@@ -49,7 +49,7 @@
 
 
 class TwoRoutes:
-    """Reports what two routes met, of which one is asked for less."""
+    """Reports the answers of two routes."""
 
     def __init__(self):
         self.lead = RolloutLeader()
@@ -67,49 +67,49 @@
             ORDER, passed_s, new_replicas=2, tried=True, live=["n1"], sees_fleet=True
         )
 
-    def play_until(self, last_s, new_a_look=1):
-        """Let both versions answer as usual, and look four times a second."""
+    def play_until(self, last_s, new_answers=1):
+        """Report normal answers of both versions, and decide four times a second."""
         phase = None
         for look in range(int(4 * last_s)):
             for route in ("book", "find"):
                 self.answers(route, "", 3)
-                self.answers(route, "new-1", new_a_look if look % 2 else 0)
+                self.answers(route, "new-1", new_answers if look % 2 else 0)
             phase = self.decide(look / 4).phase
         return phase
 
 
-LAST_CALL_S = ORDER.order.over_s - 0.25
+DECISION_DUE_S = ORDER.order.over_s - 0.25
 
 
-# Guards against a good version that is rolled back for a moment before its deadline that held up
-# some answers: no time is left to see that it was a moment only.
-def test_a_good_version_is_done_though_a_moment_before_its_deadline_was_slow():
+# Guards against the rollback of a good version for a stall just before its deadline, when no time
+# is left to determine that the stall was short.
+def test_good_version_completes_despite_a_stall_just_before_the_deadline():
     node = TwoRoutes()
     assert node.play_until(19.5) is Phase.CLOSING
     node.answers("book", "new-1", 4, ratio=10.0)
-    decision = node.decide(LAST_CALL_S)
+    decision = node.decide(DECISION_DUE_S)
     assert decision.phase is Phase.DONE, decision
 
 
-# The same moment must not hide failures, nor a version that was slow for longer.
-def test_failures_at_the_last_moment_count():
+# This exception must not hide failures, nor a version that was slow for longer.
+def test_failures_just_before_the_deadline_cause_a_rollback():
     node = TwoRoutes()
     node.play_until(19.5)
     node.answers("book", "new-1", 6, failed=True)
-    assert node.decide(LAST_CALL_S).phase is Phase.UNDONE
+    assert node.decide(DECISION_DUE_S).phase is Phase.UNDONE
 
 
-def test_a_version_that_was_slow_for_its_last_seconds_is_not_done():
+def test_version_that_was_slow_in_its_last_seconds_is_rolled_back():
     node = TwoRoutes()
     node.play_until(16.0)
     for look in range(14):
         node.answers("book", "", 3)
         node.answers("book", "new-1", 1, ratio=10.0 if look % 3 == 0 else 1.0)
         node.decide(16.0 + look / 4)
-    assert node.decide(LAST_CALL_S).phase is Phase.UNDONE
+    assert node.decide(DECISION_DUE_S).phase is Phase.UNDONE
 
 
-def test_a_version_that_was_never_found_good_is_not_done():
+def test_version_that_was_never_found_good_is_rolled_back():
     node = TwoRoutes()
     node.play_until(3.0)
-    assert node.decide(LAST_CALL_S).phase is Phase.UNDONE
+    assert node.decide(DECISION_DUE_S).phase is Phase.UNDONE
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_share.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_share.py
@@ -1,4 +1,4 @@
-"""One node's part in an order: what it sends to a version under trial, and what it tells."""
+"""One node's part in an order: its requests to a version under trial, and its reports."""
 
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
 from chalkyoke.rollouts.lead import Phase, RolloutLeader
@@ -14,7 +14,7 @@
     return NodeRollout(order, Exposure(BOUNDS, 3, lambda: 0.0), 0.0, 0.0)
 
 
-def tell(node, phase, now, least_s=0.0):
+def update(node, phase, now, least_s=0.0):
     node.apply_update(RolloutUpdate("s", 5, phase, least_s), now)
 
 
@@ -26,49 +26,49 @@
     return taken
 
 
-def test_nothing_goes_to_a_new_version_without_the_leaders_word_or_after_it_is_old():
+def test_new_version_gets_no_requests_without_a_current_update_of_the_leader():
     node = share()
     assert send(node, 100, 1.0) == 0
-    tell(node, Phase.TRIAL, 1.0)
+    update(node, Phase.TRIAL, 1.0)
     assert send(node, 100, 1.1) > 0
     assert send(node, 100, 1.1 + UPDATE_TTL_S) == 0
 
 
-def test_a_trial_takes_its_part_of_the_operators_share_and_no_second_sends():
+def test_trial_uses_its_fraction_of_the_operators_share_and_no_retries():
     node = share()
-    tell(node, Phase.TRIAL, 0.0)
+    update(node, Phase.TRIAL, 0.0)
     assert send(node, 1000, 0.1) == 49
     node.exposure.count_sent()
     assert not any(node.admit_to_new_version(0.1, 0.2, again=True) for _ in range(100))
 
 
-def test_near_the_deadline_what_would_outlast_it_goes_first_and_after_it_all():
+def test_requests_that_outlast_the_deadline_move_first_and_all_move_after_it():
     node = share()
-    tell(node, Phase.CLOSING, 16.0)
+    update(node, Phase.CLOSING, 16.0)
     send(node, 400, 16.0)
     while node.admit_to_new_version(0.1, 16.1, again=False):
         pass
     assert node.admit_to_new_version(4.0, 16.1, again=True)
-    tell(node, Phase.CLOSING, 20.1)
+    update(node, Phase.CLOSING, 20.1)
     assert all(node.admit_to_new_version(0.1, 20.1, again=True) for _ in range(100))
 
 
-def test_a_version_that_was_left_stays_left_whatever_another_leader_says():
+def test_rolled_back_version_stays_so_despite_updates_of_another_leader():
     node = share()
-    tell(node, Phase.TRIAL, 0.0)
-    tell(node, Phase.UNDONE, 0.5)
-    tell(node, Phase.TRIAL, 0.6)
+    update(node, Phase.TRIAL, 0.0)
+    update(node, Phase.UNDONE, 0.5)
+    update(node, Phase.TRIAL, 0.6)
     assert send(node, 100, 0.7) == 0
     assert node.report(0.7, 0, whole=True).undone
 
 
-def test_an_order_is_never_younger_than_another_node_knows():
+def test_age_of_an_order_is_at_least_what_another_node_reports():
     node = share()
     node.update_elapsed(7.0, 5.0)
     assert (node.elapsed(5.0).min_s, node.elapsed(5.0).max_s) == (7.0, 7.0)
 
 
-def test_totals_may_be_told_twice_and_what_is_told_later_does_not_change_what_was_told():
+def test_reports_may_be_repeated_and_later_ones_do_not_change_sent_ones():
     node, lead = share(), RolloutLeader()
     node.count_end("r", "", failed=False, ratio=1.0)
     first = node.report(1.0, 2, whole=False)
@@ -78,6 +78,6 @@
         lead.apply_report("n1", report)
     (total,) = lead.tallies()
     assert (total.ends, total.failures, total.slowness) == (2, 1, {0: 1})
-    # One more than it has, as long as others may follow.
+    # The node reports one more than it has while others may follow.
     assert lead.old_running(["n1"]) == 3
     assert lead.old_running(["n1", "silent"]) == 4
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_standing.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Which replicas take which requests while operators order versions."""
+"""Eligibility of replicas while operators order versions."""
 
 from types import SimpleNamespace
 
@@ -24,50 +24,50 @@
     return {"s": TrackedOrder(given, 0.0, status)}
 
 
-def standings(versions, *names):
+def eligibilities(versions, *names):
     return [versions.eligibility("s", each) for each in names]
 
 
-def test_without_an_order_all_versions_run_as_usual():
+def test_without_an_order_all_versions_take_all_requests():
     versions = VersionEligibility()
     versions.rebuild({}, replicas("1", "2"))
-    assert standings(versions, "1", "2") == [USUAL, USUAL]
+    assert eligibilities(versions, "1", "2") == [USUAL, USUAL]
 
 
-def test_an_ordered_version_is_tried_beside_another_and_then_takes_over_or_is_left():
+def test_ordered_version_is_tried_and_then_used_alone_or_excluded():
     versions = VersionEligibility()
     versions.rebuild(order("2", 5), replicas("1", "2"))
-    assert standings(versions, "1", "2") == [USUAL, TRIAL]
+    assert eligibilities(versions, "1", "2") == [USUAL, TRIAL]
     versions.rebuild(order("2", 5, RolloutState.COMPLETED), replicas("1", "2"))
-    assert standings(versions, "1", "2") == [NOTHING, USUAL]
+    assert eligibilities(versions, "1", "2") == [NOTHING, USUAL]
     versions.rebuild(order("2", 5, RolloutState.ROLLED_BACK), replicas("1", "2"))
-    assert standings(versions, "1", "2") == [USUAL, NOTHING]
+    assert eligibilities(versions, "1", "2") == [USUAL, NOTHING]
 
 
-def test_an_order_for_the_only_version_that_runs_shuts_nothing_out():
+def test_order_for_the_only_running_version_excludes_no_replica():
     versions = VersionEligibility()
     versions.rebuild(order("1", 5), replicas("1"))
-    assert standings(versions, "1") == [USUAL]
+    assert eligibilities(versions, "1") == [USUAL]
 
 
-def test_a_list_that_has_lost_the_old_replicas_does_not_open_the_new_ones():
+def test_replica_list_without_the_old_replicas_does_not_end_a_trial():
     versions = VersionEligibility()
     versions.rebuild(order("2", 5), replicas("1", "2"))
     versions.rebuild(order("2", 5), replicas("2"))
-    assert standings(versions, "2") == [TRIAL]
+    assert eligibilities(versions, "2") == [TRIAL]
 
 
-def test_a_version_whose_order_was_withdrawn_or_replaced_is_left_until_it_is_ordered_again():
+def test_version_of_a_withdrawn_or_replaced_order_is_excluded_until_ordered_again():
     for after in ({}, order("3", 8)):
         versions = VersionEligibility()
         versions.rebuild(order("2", 5), replicas("1", "2"))
         versions.rebuild(after, replicas("1", "2"))
-        assert standings(versions, "1", "2") == [USUAL, NOTHING]
+        assert eligibilities(versions, "1", "2") == [USUAL, NOTHING]
         versions.rebuild(order("2", 9), replicas("1", "2"))
-        assert standings(versions, "2") == [TRIAL]
+        assert eligibilities(versions, "2") == [TRIAL]
 
 
-def test_an_answer_to_an_earlier_order_is_none_to_a_later_one():
+def test_status_of_an_earlier_order_does_not_match_a_later_one():
     given = order("2", 9)["s"].order
     assert matching_status(given, RolloutStatus("s", "2", RolloutState.ROLLED_BACK, 6)) is None
     assert matching_status(given, RolloutStatus("s", "1", RolloutState.RUNNING, 10)) is None
