--- a/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
@@ -11,7 +11,7 @@
 
 from chalkyoke.logs import logger
 from chalkyoke.storage.messages import LeaseGranted, Written
-from chalkyoke.storage.port import MOST_COPY_AGE_S, Store
+from chalkyoke.storage.port import MAX_BACKUP_AGE_S, Store
 
 # How long the store keeps such a record, in seconds: the first hold, which is the longest that the
 # platform's leases last too.
@@ -44,7 +44,7 @@
         self._lease: LeaseGranted | None = None
         self._lease_until = 0.0
 
-    def remember(self, request: bytes) -> None:
+    def queue_record(self, request: bytes) -> None:
         """Have a request written; where too many wait, the oldest is dropped."""
         self._waiting.append(request)
         self._wake.set()
@@ -52,13 +52,13 @@
     def store_restored(self) -> None:
         """Write again what a store that was restored from a copy may have lost."""
         self._lease_until = 0.0
-        since = self._now() - MOST_COPY_AGE_S
+        since = self._now() - MAX_BACKUP_AGE_S
         lost = [request for request, at in self._written if at >= since]
         self._written.clear()
         if lost:
             log.notice("records_again", records=len(lost))
         for request in lost:
-            self.remember(request)
+            self.queue_record(request)
 
     async def run(self) -> None:
         """Write what waits, for as long as the process lives."""
