--- a/packages/chalkyoke/src/chalkyoke/membership/inside.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/inside.py
@@ -295,7 +295,7 @@
     ) -> list[Change]:
         """Apply the record of a member from a monitor's roster.
 
-        :param heard_since_s: the known record stays if the member's last heartbeat is newer than this.
+        :param heard_since_s: the known record stays if its last heartbeat is not older than this.
         :param listed: member records on any monitor's roster, by process id.
         """
         if record.host == self.record.host:
