--- a/packages/chalkyoke/src/chalkyoke/links/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/links/messages.py
@@ -50,7 +50,7 @@
     """The listener's confirmation of received messages.
 
     :param count: number of messages received since the welcome.
-    :param interval_s: interval of confirmations while messages arrive, in seconds.
+    :param every_s: interval of confirmations while messages arrive, in seconds.
     """
 
     count: int
--- a/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/messages.py
@@ -45,7 +45,7 @@
     :param order: revision in the order's name.
     :param old_running: number of requests that this node has at replicas of the old version now,
         plus one while it may send others there.
-    :param min_elapsed_s: minimum time since the order was given, in seconds, as known to this node.
+    :param least_s: minimum time since the order was given, in seconds, as known to this node.
     :param undone: whether a leader has announced to this node that the version is rolled back. The
         roll-back then holds for all nodes, so that two leaders of a partitioned fleet don't end the
         order in different ways.
@@ -73,7 +73,7 @@
 
     :param order: revision in the order's name.
     :param phase: a :class:`chalkyoke.rollouts.lead.Phase`.
-    :param min_elapsed_s: minimum time since the order was given, in seconds.
+    :param least_s: minimum time since the order was given, in seconds.
     :param relay: whether the receiver forwards the message to other nodes of its failure domain.
     :param epoch: epoch in the order's name.
     :param digest: digest in the order's name.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
@@ -21,14 +21,14 @@
     :param goal_s: time left until the first output is due; 0 where the complete answer is due by
         the deadline. With a goal, the deadline is the time by which the first output must arrive
         before the caller disconnects.
-    :param max_retry_after_s: the longest Retry-After after which the caller can still be served in
+    :param comes_back_s: the longest Retry-After after which the caller can still be served in
         time.
     :param gap_goal_s: the longest acceptable pause between outputs; 0 where none is set.
-    :param answer_due_s: time left for the complete answer, in addition to the goal for the first
+    :param whole_s: time left for the complete answer, in addition to the goal for the first
         output.
     :param fingerprint: identical for all attempts of one caller at one task; 0 where unknown.
     :param likely_output: the caller's own estimate of the output, in tokens; 0 where none is given.
-    :param tried_upstreams: upstreams that the request was already sent to; others are preferred.
+    :param tried: upstreams that the request was already sent to; others are preferred.
     """
 
     request: str
@@ -64,7 +64,7 @@
 
     :param priority: rank of the tier, for engines that honour priorities; 0 goes first.
     :param expected_first_s: predicted time from the dispatch to the first output.
-    :param counts_toward_limit: whether the grant counts toward the limit that the upstream
+    :param counted: whether the grant counts toward the limit that the upstream
         announced.
     """
 
