--- a/packages/chalkyoke/src/chalkyoke/entry/acquirer.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/acquirer.py
@@ -30,9 +30,9 @@
 from chalkyoke.tokens.state import TokenState
 
 # How often a scheduler that has not decided is asked again, in seconds: its owner may have changed.
-RESEND_S = 1.0
+ACQUIRE_RESEND_S = 1.0
 # Empty reports after the last running request, in number, in case a release was lost.
-TRAILING_REPORTS = 5
+TRAILING_REPORT_COUNT = 5
 
 
 class Acquirer:
@@ -55,19 +55,19 @@
         self._metrics = metrics
         self._now = now
         self._loop = asyncio.get_running_loop()
-        self._verdicts: dict[str, asyncio.Future[Grant | Shed]] = {}
-        self._owners: dict[str, str] = {}
-        self._trailing: dict[str, int] = {}
+        self._decisions: dict[str, asyncio.Future[Grant | Shed]] = {}
+        self._known_owners: dict[str, str] = {}
+        self._trailing_reports: dict[str, int] = {}
 
     async def acquire(self, run: Run) -> Grant | Shed:
         """Ask the pool's scheduler until it decides; whoever that is by then."""
         run.attempt += 1
         future: asyncio.Future[Grant | Shed] = self._loop.create_future()
-        self._verdicts[run.id] = future
+        self._decisions[run.id] = future
         started = self._now()
         while True:
             self._send_acquire(run)
-            done, _ = await asyncio.wait([future], timeout=RESEND_S)
+            done, _ = await asyncio.wait([future], timeout=ACQUIRE_RESEND_S)
             if done:
                 self._metrics.time("queue", self._now() - started, tier=run.request.tier)
                 return future.result()
@@ -90,9 +90,9 @@
         )
         self._schedulers.send(self._owner(pool), message)
 
-    def forget(self, run: Run) -> None:
+    def forget_run(self, run: Run) -> None:
         """Drop what is kept for a run that is over."""
-        self._verdicts.pop(run.id, None)
+        self._decisions.pop(run.id, None)
 
     def withdraw(self, run: Run) -> None:
         """Take a waiting run back from its scheduler."""
@@ -139,7 +139,7 @@
         """
         if isinstance(message, Queued):
             return
-        future = self._verdicts.get(message.request)
+        future = self._decisions.get(message.request)
         run = self._runs.find(message.request)
         awaited = (
             future is not None
@@ -150,23 +150,23 @@
         )
         if awaited and future is not None:
             future.set_result(message)
-        elif isinstance(message, Grant) and not self._is_held(run, message):
+        elif isinstance(message, Grant) and not self._holds_grant(run, message):
             unused = Release(
                 message.request, message.attempt, message.pool, ReleaseOutcome.UNUSED, Usage()
             )
             self._schedulers.send(process, unused)
 
-    def _is_held(self, run: Run | None, grant: Grant) -> bool:
+    def _holds_grant(self, run: Run | None, grant: Grant) -> bool:
         if run is None or run.end is not None or run.grant is None:
             return False
         return run.grant.attempt == grant.attempt and run.grant.upstream == grant.upstream
 
     def _owner(self, pool: str) -> str:
         owner = self._schedulers.owner(pool)
-        before = self._owners.get(pool)
+        before = self._known_owners.get(pool)
         if before != owner:
-            self._owners[pool] = owner
-            self._move_pool(pool, before, owner)
+            self._known_owners[pool] = owner
+            self._switch_owner(pool, before, owner)
         return owner
 
     def check_owners(self) -> None:
@@ -174,18 +174,18 @@
         for pool in self._configuration.pools():
             self._owner(pool)
 
-    def _move_pool(self, pool: str, before: str | None, owner: str) -> None:
+    def _switch_owner(self, pool: str, before: str | None, owner: str) -> None:
         """Tell a new scheduler what runs here, and ask it for what waits here."""
-        self.tell_running(pool, owner)
+        self.report_running(pool, owner)
         for run in [each for each in self._runs.active() if self._in_pool(each, pool)]:
-            future = self._verdicts.get(run.id)
+            future = self._decisions.get(run.id)
             if run.state is not TokenState.QUEUED or future is None or future.done():
                 continue
             if before is not None and self._schedulers.is_alive(before):
                 self._schedulers.send(before, Withdraw(run.id, pool))
             self._send_acquire(run)
 
-    def tell_running(self, pool: str, process: str) -> None:
+    def report_running(self, pool: str, process: str) -> None:
         """Tell a scheduler which of a pool's grants are held here.
 
         :param process: id of the scheduler's process.
@@ -208,7 +208,7 @@
 
         A pool where nothing runs any more is told so a few times, in case a release was lost.
         """
-        items: dict[str, list[ProgressItem]] = {pool: [] for pool in self._trailing}
+        items: dict[str, list[ProgressItem]] = {pool: [] for pool in self._trailing_reports}
         for run in self._runs.active():
             if run.grant is not None and run.dispatched:
                 elapsed = self._now() - run.dispatched_at
@@ -219,9 +219,11 @@
                 items.setdefault(run.grant.pool, []).append(item)
         for pool, each in items.items():
             self._schedulers.send(self._owner(pool), Progress(pool, tuple(each)))
-            self._trailing[pool] = TRAILING_REPORTS if each else self._trailing[pool] - 1
-            if self._trailing[pool] == 0:
-                del self._trailing[pool]
+            self._trailing_reports[pool] = (
+                TRAILING_REPORT_COUNT if each else self._trailing_reports[pool] - 1
+            )
+            if self._trailing_reports[pool] == 0:
+                del self._trailing_reports[pool]
 
 
 def _running_item(run: Run, grant: Grant, now: float) -> RunningItem:
--- a/packages/chalkyoke/src/chalkyoke/entry/answers.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/answers.py
@@ -16,7 +16,7 @@
     ForwardEnd,
     ForwardHead,
 )
-from chalkyoke.entry.readers import Reader
+from chalkyoke.entry.readers import AnswerReader
 from chalkyoke.entry.service import EntryService
 from chalkyoke.exceptions import LinkError, ProtocolError
 from chalkyoke.links.connection import Connection
@@ -24,21 +24,21 @@
 from chalkyoke.outcomes import Reason, Refusal, Verdict
 from chalkyoke.tokens.messages import Token, TokenProblem
 
-COME_BACK_S = 1.0
+RETRY_AFTER_S = 1.0
 # How much longer than its deadline an answer of another process is waited for, in seconds.
-GRACE_S = 0.5
+FORWARD_GRACE_S = 0.5
 
 
 class Answer(Protocol):
     """What the HTTP side reads, wherever the run is."""
 
-    async def head(self) -> AnswerHead | None:
+    async def read_head(self) -> AnswerHead | None:
         """Wait for the start; nothing where there is none."""
 
-    async def next(self) -> bytes | None:
+    async def next_chunk(self) -> bytes | None:
         """Give the next piece; nothing after the last one."""
 
-    def verdict(self) -> Refusal | None:
+    def refusal(self) -> Refusal | None:
         """Tell why it is not whole; nothing when it is."""
 
     def close(self) -> None:
@@ -48,22 +48,22 @@
 class LocalAnswer:
     """The answer of a run of this process."""
 
-    def __init__(self, service: EntryService, reader: Reader) -> None:
+    def __init__(self, service: EntryService, reader: AnswerReader) -> None:
         self._service = service
         self._reader = reader
 
-    async def head(self) -> AnswerHead | None:
+    async def read_head(self) -> AnswerHead | None:
         """Wait for the start; nothing where there is none."""
-        await self._reader.head()
-        return self._reader.run.head if not self._reader.run.replay_gone else None
+        await self._reader.wait_for_head()
+        return self._reader.run.head if not self._reader.run.answer_dropped else None
 
-    async def next(self) -> bytes | None:
+    async def next_chunk(self) -> bytes | None:
         """Give the next piece; nothing after the last one."""
-        return await self._reader.next()
+        return await self._reader.next_chunk()
 
-    def verdict(self) -> Refusal | None:
+    def refusal(self) -> Refusal | None:
         """Tell why it is not whole; nothing when it is."""
-        return self._service.verdict(self._reader.run)
+        return self._service.refusal_for(self._reader.run)
 
     def close(self) -> None:
         """Leave it; a second call does nothing."""
@@ -75,12 +75,12 @@
 
     def __init__(self, connection: Connection, budget_s: float) -> None:
         self._connection = connection
-        self._deadline = asyncio.get_running_loop().time() + budget_s + GRACE_S
+        self._deadline = asyncio.get_running_loop().time() + budget_s + FORWARD_GRACE_S
         self._end: ForwardEnd | None = None
         self._size = 0
         self._started = False
 
-    async def head(self) -> AnswerHead | None:
+    async def read_head(self) -> AnswerHead | None:
         """Wait for the start; nothing where there is none."""
         message = await self._receive()
         if isinstance(message, ForwardHead):
@@ -88,7 +88,7 @@
             return message.head
         return None
 
-    async def next(self) -> bytes | None:
+    async def next_chunk(self) -> bytes | None:
         """Give the next piece; nothing after the last one."""
         if self._end is not None:
             return None
@@ -98,7 +98,7 @@
         self._size += len(message.data)
         return message.data
 
-    def problem(self) -> TokenProblem | None:
+    def token_problem(self) -> TokenProblem | None:
         """Tell a fault of the request itself that the issuer found.
 
         :rtype: TokenProblem or None
@@ -107,13 +107,13 @@
             return None
         return TokenProblem(self._end.problem)
 
-    def verdict(self) -> Refusal | None:
+    def refusal(self) -> Refusal | None:
         """Tell why it is not whole; nothing when it is."""
         if self._end is not None:
             return self._end.refusal
         verdict = Verdict.FAILED if self._started else Verdict.UNKNOWN
         text = "the host that issued the token stopped answering; ask again with the same token"
-        return Refusal(verdict, Reason.ISSUER_UNREACHABLE, text, COME_BACK_S, self._size)
+        return Refusal(verdict, Reason.ISSUER_UNREACHABLE, text, RETRY_AFTER_S, self._size)
 
     def close(self) -> None:
         """Leave it; a second call does nothing."""
@@ -130,7 +130,7 @@
         return message
 
 
-async def forward(
+async def forward_request(
     links: Links, token: Token, text: str, request: CallerRequest
 ) -> RemoteAnswer | Refusal:
     """Hand a request to the process that issued its token.
@@ -143,14 +143,14 @@
         await connection.send_and_wait(Forward(text, request))
     except LinkError as error:
         detail = f"the host that issued the token is not reached: {error}"
-        return Refusal(Verdict.UNKNOWN, Reason.ISSUER_UNREACHABLE, detail, COME_BACK_S)
+        return Refusal(Verdict.UNKNOWN, Reason.ISSUER_UNREACHABLE, detail, RETRY_AFTER_S)
     if connection.peer != f"{token.host}/{token.incarnation:x}":
         connection.abort()
-        return issuer_gone()
+        return issuer_gone_refusal()
     return RemoteAnswer(connection, request.budget_s)
 
 
-def issuer_gone() -> Refusal:
+def issuer_gone_refusal() -> Refusal:
     """Word the answer for a token whose issuing process is no more.
 
     :rtype: Refusal
@@ -167,7 +167,7 @@
     :param token: the token of the message, already opened.
     """
     if not service.runs.ledger.is_issued_here(token):
-        await connection.send_and_wait(ForwardEnd(issuer_gone()))
+        await connection.send_and_wait(ForwardEnd(issuer_gone_refusal()))
         return
     submitted = service.submit(message.request, token, message.token)
     if submitted.is_err():
@@ -176,14 +176,14 @@
 
     reader = service.open_reader(submitted.unwrap())
     answer = LocalAnswer(service, reader)
-    watching = asyncio.create_task(_watch(connection, answer))
+    watching = asyncio.create_task(_close_on_disconnect(connection, answer))
     try:
-        head = await answer.head()
+        head = await answer.read_head()
         if head is not None:
             await connection.send_and_wait(ForwardHead(head))
-        while (chunk := await answer.next()) is not None:
+        while (chunk := await answer.next_chunk()) is not None:
             await connection.send_and_wait(ForwardChunk(chunk))
-        await connection.send_and_wait(ForwardEnd(answer.verdict()))
+        await connection.send_and_wait(ForwardEnd(answer.refusal()))
     except LinkError:
         return
     finally:
@@ -193,7 +193,7 @@
         await connection.close()
 
 
-async def _watch(connection: Connection, answer: LocalAnswer) -> None:
+async def _close_on_disconnect(connection: Connection, answer: LocalAnswer) -> None:
     """Leave the run when the forwarding host has closed the stream."""
     with contextlib.suppress(ProtocolError):
         await connection.receive()
--- a/packages/chalkyoke/src/chalkyoke/entry/ends.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/ends.py
@@ -17,9 +17,9 @@
 from chalkyoke.scheduling.messages import Shed
 from chalkyoke.scheduling.state import ReleaseOutcome
 
-COME_BACK_S = 1.0
+RETRY_AFTER_S = 1.0
 
-SHED_TEXT = {
+SHED_DETAILS = {
     Reason.HOPELESS: "its deadline can't be met, even on an idle pool",
     Reason.EXPIRED: "its deadline passed while it waited",
     Reason.SHED: "there is not enough capacity for it in time",
@@ -27,10 +27,10 @@
 }
 
 
-CANCELLED = (Reason.EXPIRED, Reason.CALLER_LEFT, Reason.TOO_LARGE)
+CANCELLATION_REASONS = (Reason.EXPIRED, Reason.CALLER_LEFT, Reason.TOO_LARGE)
 
 
-class Ends:
+class OutcomeRecorder:
     """End runs.
 
     :param now: seconds on the monotonic clock since this process started.
@@ -60,11 +60,11 @@
             self._metrics.count("goodput", tier=tier)
         self._metrics.time("answer", self._now() - run.arrived, tier=tier)
         self._acquirer.release(run, ReleaseOutcome.DELIVERED, usage)
-        self._runs.keep(run)
+        self._runs.keep_answer(run)
 
     def fail(self, run: Run, reason: Reason, detail: str) -> None:
         """End a run that was sent and brought no whole answer."""
-        self.fail_with(run, run.failure(reason, detail, COME_BACK_S))
+        self.fail_with(run, run.make_failure(reason, detail, RETRY_AFTER_S))
 
     def fail_with(self, run: Run, refusal: Refusal, rest_s: float = 0.0) -> None:
         """End a run that was sent, with a refusal that is already worded.
@@ -74,19 +74,19 @@
         run.fail(refusal, self._now())
         self._events.add(EventKind.FAILED, run.id, reason=refusal.reason)
         self._metrics.count("failed", reason=refusal.reason, tier=run.request.tier)
-        cancelled = refusal.reason in CANCELLED
+        cancelled = refusal.reason in CANCELLATION_REASONS
         outcome = ReleaseOutcome.CANCELLED if cancelled else ReleaseOutcome.FAILED
         self._acquirer.release(run, outcome, rest_s=rest_s)
-        self._runs.keep(run)
+        self._runs.keep_answer(run)
 
     def refuse(self, run: Run, refusal: Refusal) -> None:
         """End a run that was not sent; from here on it can't be."""
         run.refuse(refusal, self._now())
         self._events.add(EventKind.REFUSED, run.id, reason=refusal.reason)
         self._metrics.count("not_run", reason=refusal.reason, tier=run.request.tier)
-        self._runs.keep(run)
+        self._runs.keep_answer(run)
 
     def refuse_shed(self, run: Run, message: Shed) -> None:
         """End a run that its scheduler gave up."""
-        text = SHED_TEXT.get(message.reason, message.reason)
+        text = SHED_DETAILS.get(message.reason, message.reason)
         self.refuse(run, not_run(message.reason, text, message.retry_after_s))
--- a/packages/chalkyoke/src/chalkyoke/entry/http.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/http.py
@@ -15,26 +15,32 @@
 
 from chalkyoke import problems
 from chalkyoke.administration.events import EventKind, EventRing, event_id
-from chalkyoke.entry.answers import Answer, LocalAnswer, RemoteAnswer, forward, issuer_gone
+from chalkyoke.entry.answers import (
+    Answer,
+    LocalAnswer,
+    RemoteAnswer,
+    forward_request,
+    issuer_gone_refusal,
+)
 from chalkyoke.entry.messages import CallerRequest
 from chalkyoke.entry.reception import (
     EVENT_HEADER,
     TOKEN_HEADER,
     BadRequest,
-    Directory,
+    ConfigurationLookup,
     authenticate,
     read_completion,
     read_plain,
 )
 from chalkyoke.entry.service import EntryService
-from chalkyoke.entry.streams import assemble
+from chalkyoke.entry.streams import assemble_completion
 from chalkyoke.links.peers import Links
 from chalkyoke.outcomes import Reason, Refusal, not_run
 from chalkyoke.tokens.messages import Token, TokenProblem
 
 MAX_BODY_BYTES = 16_000_000
 RECEIVE_KEY = "chalkyoke.receive"
-FULL_RETRY_S = 5.0
+LEDGER_FULL_RETRY_S = 5.0
 
 TOKEN_PROBLEMS = {
     TokenProblem.MALFORMED: (400, "it is not a token"),
@@ -50,7 +56,7 @@
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 
-def keep_receive(app: App) -> App:
+def keep_receive_channel(app: App) -> App:
     """Keep a request's receive channel in its scope, so that a disconnect can be watched for.
 
     :rtype: App
@@ -72,13 +78,13 @@
     def __init__(
         self,
         service: EntryService,
-        directory: Directory,
+        configuration: ConfigurationLookup,
         links: Links,
         events: EventRing,
         ready: Callable[[], bool],
     ) -> None:
         self._service = service
-        self.directory = directory
+        self.configuration = configuration
         self._links = links
         self._events = events
         self._ready = ready
@@ -91,27 +97,27 @@
         app: Any = falcon.asgi.App()
         app.add_route("/v1/completions", _Completions(self))
         app.add_route("/v1/chat/completions", _Completions(self))
-        app.add_route("/v1/services/{service}/{path:path}", _Services(self))
+        app.add_route("/v1/services/{service}/{path:path}", _ServiceCalls(self))
         app.add_route("/v1/tokens", _Tokens(self))
         app.set_error_serializer(_serialize_error)
         problems.stop_on_broken_invariants(app)
-        return keep_receive(app)
+        return keep_receive_channel(app)
 
     async def issue_token(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Issue a token for one request to come."""
-        team = authenticate(req.headers_lower, self.directory)
+        team = authenticate(req.headers_lower, self.configuration)
         if isinstance(team, Err):
-            _bad(resp, team.err_value)
+            _respond_bad_request(resp, team.err_value)
             return
         if self._service.stopping:
             refusal = not_run(Reason.STOPPING, "this host is stopping", 1.0)
             problems.respond(resp, problems.of_refusal(refusal, "", ""))
             return
-        _, text = self._service.runs.issue(self._service.now())
+        _, text = self._service.runs.issue_token(self._service.now())
         resp.status = 201
         resp.media = {"token": text, "expires_in_s": self._service.runs.ledger.lifetime_s}
 
-    async def serve(
+    async def serve_request(
         self,
         req: falcon.asgi.Request,
         resp: falcon.asgi.Response,
@@ -125,23 +131,23 @@
             refusal = not_run(Reason.NOT_READY, "no configuration is in force here yet", 1.0)
             problems.respond(resp, problems.of_refusal(refusal, "", ""))
             return
-        checked = await self._check(req, read)
+        checked = await self._read_request(req, read)
         if isinstance(checked, Err):
-            _bad(resp, checked.err_value)
+            _respond_bad_request(resp, checked.err_value)
             return
         request = checked.ok_value
         opened = self._open_token(req.get_header(TOKEN_HEADER))
         if isinstance(opened, Err):
-            _bad_token(resp, opened.err_value)
+            _respond_token_problem(resp, opened.err_value)
             return
-        await self._answer(req, resp, request, opened.ok_value)
+        await self._respond(req, resp, request, opened.ok_value)
 
-    async def _check(
+    async def _read_request(
         self,
         req: falcon.asgi.Request,
         read: Callable[[bytes, Any], Result[CallerRequest, BadRequest]],
     ) -> Result[CallerRequest, BadRequest]:
-        team = authenticate(req.headers_lower, self.directory)
+        team = authenticate(req.headers_lower, self.configuration)
         if isinstance(team, Err):
             return team
         if (req.content_length or 0) > MAX_BODY_BYTES:
@@ -156,7 +162,7 @@
             return Ok(None)
         return self._service.runs.codec.decode(text)
 
-    async def _answer(
+    async def _respond(
         self,
         req: falcon.asgi.Request,
         resp: falcon.asgi.Response,
@@ -169,7 +175,7 @@
         else:
             submitted = self._service.submit(request, token, text)
             if isinstance(submitted, Err):
-                _bad_token(resp, submitted.err_value)
+                _respond_token_problem(resp, submitted.err_value)
                 return
             run = submitted.ok_value
             token, text = run.record.token, run.token
@@ -182,15 +188,19 @@
             problems.respond(resp, problems.of_refusal(answer, text, event))
             return
         delivery = _Delivery(req, resp, answer, text, event)
-        await (delivery.stream() if request.stream else delivery.whole(request.max_output > 0))
+        await (
+            delivery.start_stream()
+            if request.stream
+            else delivery.send_complete(request.max_output > 0)
+        )
 
     async def _forward(
         self, token: Token, text: str, request: CallerRequest
     ) -> RemoteAnswer | Refusal:
         if token.host == self._service.runs.ledger.host:
-            return issuer_gone()
+            return issuer_gone_refusal()
         self._events.add(EventKind.FORWARDED, token.request, to=token.host)
-        return await forward(self._links, token, text, request)
+        return await forward_request(self._links, token, text, request)
 
 
 class _Delivery:
@@ -210,55 +220,55 @@
         self._event = event
         self._watching = asyncio.create_task(self._watch(req.scope[RECEIVE_KEY]))
 
-    async def stream(self) -> None:
+    async def start_stream(self) -> None:
         """Pass the answer on as it comes; a broken one ends with an error event."""
-        head = await self._answer.head()
+        head = await self._answer.read_head()
         if head is None:
-            self._refuse()
+            self._respond_refusal()
             return
         self._resp.status = head.status
         self._resp.content_type = head.content_type
         self._resp.set_header("Cache-Control", "no-store")
-        self._resp.stream = self._pieces()
+        self._resp.stream = self._iter_chunks()
 
-    async def whole(self, assembled: bool) -> None:
+    async def send_complete(self, assembled: bool) -> None:
         """Answer once all is there.
 
         :param assembled: whether the answer is a stream of events to put together.
         """
-        head = await self._answer.head()
+        head = await self._answer.read_head()
         pieces: list[bytes] = []
-        while (piece := await self._answer.next()) is not None:
+        while (piece := await self._answer.next_chunk()) is not None:
             pieces.append(piece)
-        if head is None or self._answer.verdict() is not None:
-            self._refuse()
+        if head is None or self._answer.refusal() is not None:
+            self._respond_refusal()
             return
         data = b"".join(pieces)
         self._resp.status = head.status
         if assembled and head.status == 200:
             self._resp.content_type = "application/json"
-            self._resp.data = assemble(data)
+            self._resp.data = assemble_completion(data)
         else:
             self._resp.content_type = head.content_type
             self._resp.data = data
         self._close()
 
-    async def _pieces(self) -> AsyncIterator[bytes]:
+    async def _iter_chunks(self) -> AsyncIterator[bytes]:
         try:
-            while (piece := await self._answer.next()) is not None:
+            while (piece := await self._answer.next_chunk()) is not None:
                 yield piece
-            refusal = self._answer.verdict()
+            refusal = self._answer.refusal()
             if refusal is not None:
                 problem = problems.of_refusal(refusal, self._token, self._event)
                 yield b"event: error\ndata: " + msgspec.json.encode(problem) + b"\n\n"
         finally:
             self._close()
 
-    def _refuse(self) -> None:
-        if isinstance(self._answer, RemoteAnswer) and (problem := self._answer.problem()):
-            _bad_token(self._resp, problem)
+    def _respond_refusal(self) -> None:
+        if isinstance(self._answer, RemoteAnswer) and (problem := self._answer.token_problem()):
+            _respond_token_problem(self._resp, problem)
         else:
-            refusal = self._answer.verdict()
+            refusal = self._answer.refusal()
             assert refusal is not None
             problems.respond(self._resp, problems.of_refusal(refusal, self._token, self._event))
         self._close()
@@ -281,13 +291,13 @@
         """Complete a prompt."""
 
         def read(body: bytes, team: Any) -> Result[CallerRequest, BadRequest]:
-            directory = self._api.directory
-            return read_completion(req.headers_lower, req.path, body, team, directory)
+            configuration = self._api.configuration
+            return read_completion(req.headers_lower, req.path, body, team, configuration)
 
-        await self._api.serve(req, resp, read)
+        await self._api.serve_request(req, resp, read)
 
 
-class _Services:
+class _ServiceCalls:
     def __init__(self, api: CallerApi) -> None:
         self._api = api
 
@@ -297,10 +307,10 @@
         """Call a plain service."""
 
         def read(body: bytes, team: Any) -> Result[CallerRequest, BadRequest]:
-            directory = self._api.directory
-            return read_plain(req.headers_lower, service, f"/{path}", body, team, directory)
+            configuration = self._api.configuration
+            return read_plain(req.headers_lower, service, f"/{path}", body, team, configuration)
 
-        await self._api.serve(req, resp, read)
+        await self._api.serve_request(req, resp, read)
 
 
 class _Tokens:
@@ -312,22 +322,24 @@
         await self._api.issue_token(req, resp)
 
 
-def _bad(resp: falcon.asgi.Response, bad: BadRequest) -> None:
+def _respond_bad_request(resp: falcon.asgi.Response, bad: BadRequest) -> None:
     problem = problems.document(bad.status, "bad_request", bad.detail, field=bad.field)
     problems.respond(resp, problem)
     if bad.status == 401:
         resp.set_header("WWW-Authenticate", "Bearer")
 
 
-def _bad_token(resp: falcon.asgi.Response, problem: TokenProblem) -> None:
+def _respond_token_problem(resp: falcon.asgi.Response, problem: TokenProblem) -> None:
     if problem is TokenProblem.OTHER_INCARNATION:
-        problems.respond(resp, problems.of_refusal(issuer_gone(), "", ""))
+        problems.respond(resp, problems.of_refusal(issuer_gone_refusal(), "", ""))
     elif problem is TokenProblem.LEDGER_FULL:
-        refusal = not_run(Reason.LEDGER_FULL, "too many requests are kept here", FULL_RETRY_S)
+        refusal = not_run(
+            Reason.LEDGER_FULL, "too many requests are kept here", LEDGER_FULL_RETRY_S
+        )
         problems.respond(resp, problems.of_refusal(refusal, "", ""))
     else:
         status, detail = TOKEN_PROBLEMS[problem]
-        _bad(resp, BadRequest(status, TOKEN_HEADER, detail))
+        _respond_bad_request(resp, BadRequest(status, TOKEN_HEADER, detail))
 
 
 def _serialize_error(
--- a/packages/chalkyoke/src/chalkyoke/entry/readers.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/readers.py
@@ -11,10 +11,10 @@
 from chalkyoke.entry.state import Run
 
 # How long after its deadline a reader is told, in seconds: the run itself should end first.
-GRACE_S = 0.05
+READER_GRACE_S = 0.05
 
 
-class Reader:
+class AnswerReader:
     """Read one run's answer. Close it when the caller is served or has left.
 
     :param closed: called once when it is closed.
@@ -22,61 +22,61 @@
     Usage::
 
       >>> reader = service.open_reader(run)
-      >>> while (chunk := await reader.next()) is not None:
+      >>> while (chunk := await reader.next_chunk()) is not None:
       ...     send(chunk)
       >>> reader.close()
     """
 
     def __init__(self, run: Run, budget_s: float, closed: Callable[[Run], None]) -> None:
         self.run = run
-        self._closed: Callable[[Run], None] | None = closed
-        self._index = 0
+        self._on_close: Callable[[Run], None] | None = closed
+        self._next_index = 0
         self._time_over = False
         self._loop = asyncio.get_running_loop()
         self._waiter: asyncio.Future[None] | None = None
-        self._timer = self._loop.call_later(budget_s + GRACE_S, self._expire)
+        self._timer = self._loop.call_later(budget_s + READER_GRACE_S, self._on_deadline)
         run.watchers.append(self._wake)
         run.readers += 1
 
-    async def head(self) -> None:
+    async def wait_for_head(self) -> None:
         """Wait until the answer starts, the run ends or the time is over."""
-        while self.run.head is None and not self._over():
+        while self.run.head is None and not self._is_over():
             await self._wait()
 
-    async def end(self) -> None:
+    async def wait_for_end(self) -> None:
         """Wait until the run ends or the time is over."""
-        while not self._over():
+        while not self._is_over():
             await self._wait()
 
-    async def next(self) -> bytes | None:
+    async def next_chunk(self) -> bytes | None:
         """Give the next piece of the answer; nothing after the last one.
 
         :rtype: bytes or None
         """
         while True:
-            if self._index < len(self.run.chunks):
-                chunk = self.run.chunks[self._index]
-                self._index += 1
+            if self._next_index < len(self.run.chunks):
+                chunk = self.run.chunks[self._next_index]
+                self._next_index += 1
                 return chunk
-            if self._over():
+            if self._is_over():
                 return None
             await self._wait()
 
     def close(self) -> None:
         """Leave the run; a second call does nothing."""
-        if self._closed is None:
+        if self._on_close is None:
             return
-        closed, self._closed = self._closed, None
+        closed, self._on_close = self._on_close, None
         self._timer.cancel()
-        self._expire()
+        self._on_deadline()
         self.run.watchers.remove(self._wake)
         self.run.readers -= 1
         closed(self.run)
 
-    def _over(self) -> bool:
+    def _is_over(self) -> bool:
         return self._time_over or self.run.end is not None
 
-    def _expire(self) -> None:
+    def _on_deadline(self) -> None:
         self._time_over = True
         self._wake()
 
--- a/packages/chalkyoke/src/chalkyoke/entry/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/reception.py
@@ -36,7 +36,7 @@
 DEADLINE_HEADER = "Chalkyoke-Deadline-Ms"
 LABELS_HEADER = "Chalkyoke-Labels"
 REPEATABLE_HEADER = "Chalkyoke-Repeatable"
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_HEADER = "Idempotency-Key"
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     detail: str
 
 
-class Directory:
+class ConfigurationLookup:
     """What reception looks up in the configuration in force; implemented by the node."""
 
     def team_of(self, key_sha256: str) -> Team | None:
@@ -96,7 +96,9 @@
     return tuple(blocks)
 
 
-def authenticate(headers: Mapping[str, str], directory: Directory) -> Result[Team, BadRequest]:
+def authenticate(
+    headers: Mapping[str, str], configuration: ConfigurationLookup
+) -> Result[Team, BadRequest]:
     """Find the team that a caller's key belongs to.
 
     :param headers: with lower-case names.
@@ -105,14 +107,18 @@
     scheme, _, key = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key:
         return Err(BadRequest(401, "Authorization", "send the team's key: 'Bearer KEY'"))
-    team = directory.team_of(hashlib.sha256(key.strip().encode()).hexdigest())
+    team = configuration.team_of(hashlib.sha256(key.strip().encode()).hexdigest())
     if team is None:
         return Err(BadRequest(401, "Authorization", "the key belongs to no team"))
     return Ok(team)
 
 
 def read_completion(
-    headers: Mapping[str, str], path: str, body: bytes, team: Team, directory: Directory
+    headers: Mapping[str, str],
+    path: str,
+    body: bytes,
+    team: Team,
+    configuration: ConfigurationLookup,
 ) -> Result[CallerRequest, BadRequest]:
     """Check a request for a model engine.
 
@@ -129,7 +135,7 @@
         return Err(BadRequest(400, "body.max_tokens", "must be at least 1"))
 
     prompt = parsed.prompt or "\n".join(str(each.get("content", "")) for each in parsed.messages)
-    draft = _Draft(
+    draft = _ParsedRequest(
         service=parsed.model,
         path=path,
         body=body,
@@ -139,7 +145,7 @@
         max_output=parsed.max_tokens,
         blocks=prompt_blocks(prompt),
     )
-    return _complete(headers, draft, team, directory)
+    return _build_request(headers, draft, team, configuration)
 
 
 def read_plain(
@@ -148,19 +154,19 @@
     path: str,
     body: bytes,
     team: Team,
-    directory: Directory,
+    configuration: ConfigurationLookup,
 ) -> Result[CallerRequest, BadRequest]:
     """Check a request for a plain service.
 
     :param path: path at the upstream.
     :rtype: CallerRequest or BadRequest
     """
-    draft = _Draft(service=service, path=path, body=body, protocol="plain")
-    return _complete(headers, draft, team, directory)
+    draft = _ParsedRequest(service=service, path=path, body=body, protocol="plain")
+    return _build_request(headers, draft, team, configuration)
 
 
 @dataclass(frozen=True, slots=True)
-class _Draft:
+class _ParsedRequest:
     service: str
     path: str
     body: bytes
@@ -171,10 +177,13 @@
     blocks: tuple[int, ...] = ()
 
 
-def _complete(
-    headers: Mapping[str, str], draft: _Draft, team: Team, directory: Directory
+def _build_request(
+    headers: Mapping[str, str],
+    draft: _ParsedRequest,
+    team: Team,
+    configuration: ConfigurationLookup,
 ) -> Result[CallerRequest, BadRequest]:
-    service = directory.service(draft.service)
+    service = configuration.service(draft.service)
     if service is None or service.protocol != draft.protocol:
         text = f"there is no service {draft.service!r} with protocol {draft.protocol!r}"
         return Err(BadRequest(404, "service", text))
@@ -186,14 +195,14 @@
     if isinstance(labels, Err):
         return labels
     merged = {**team.labels, **labels.ok_value, "team": team.name}
-    route = directory.route(draft.service, merged)
+    route = configuration.route(draft.service, merged)
     if route is None:
         text = "no route of the service matches the request's labels"
         return Err(BadRequest(404, LABELS_HEADER, text))
     tier = _read_tier(headers, team, route)
     if isinstance(tier, Err):
         return tier
-    budget = _read_budget(headers, directory.tier_deadline_s(tier.ok_value))
+    budget = _read_budget(headers, configuration.tier_deadline_s(tier.ok_value))
     if isinstance(budget, Err):
         return budget
     repeatable = _read_repeatable(headers, service)
@@ -271,7 +280,7 @@
         return Err(BadRequest(400, REPEATABLE_HEADER, "is neither 'true' nor 'false'"))
     # A caller can make a request stricter than its service, never laxer.
     repeatable = service.repeatable and text != "false"
-    if not repeatable and KEY_HEADER.lower() in headers:
+    if not repeatable and IDEMPOTENCY_HEADER.lower() in headers:
         text = f"not supported for requests that may not be repeated; take a {TOKEN_HEADER} first"
-        return Err(BadRequest(400, KEY_HEADER, text))
+        return Err(BadRequest(400, IDEMPOTENCY_HEADER, text))
     return Ok(repeatable)
--- a/packages/chalkyoke/src/chalkyoke/entry/runs.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/runs.py
@@ -20,9 +20,9 @@
 from chalkyoke.tokens.state import TokenState
 
 # How long an answer is kept for a retry with the same token, in seconds.
-KEEP_ANSWER_S = 120.0
+ANSWER_RETENTION_S = 120.0
 # What answers are kept of all tokens together, in bytes: half of what a node may use for control.
-KEEP_ANSWER_BYTES = 16_000_000
+MAX_KEPT_ANSWER_BYTES = 16_000_000
 
 
 def request_digest(request: CallerRequest) -> bytes:
@@ -46,7 +46,7 @@
         self.ledger = ledger
         self.codec = codec
         self._runs: dict[int, Run] = {}
-        self._kept: OrderedDict[int, Run] = OrderedDict()
+        self._kept_answers: OrderedDict[int, Run] = OrderedDict()
         self._kept_bytes = 0
 
     def __len__(self) -> int:
@@ -70,7 +70,7 @@
         except (IndexError, ValueError):
             return None
 
-    def issue(self, now: float) -> tuple[Token, str]:
+    def issue_token(self, now: float) -> tuple[Token, str]:
         """Issue a token.
 
         :return: the token and its text.
@@ -98,11 +98,11 @@
         self._runs[token.sequence] = run
         return Ok((run, record.state is TokenState.ISSUED))
 
-    def keep(self, run: Run) -> None:
+    def keep_answer(self, run: Run) -> None:
         """Keep an ended run's answer, and drop the oldest ones beyond the bound."""
-        self._kept[run.record.token.sequence] = run
+        self._kept_answers[run.record.token.sequence] = run
         self._kept_bytes += run.size
-        while self._kept_bytes > KEEP_ANSWER_BYTES and len(self._kept) > 1:
+        while self._kept_bytes > MAX_KEPT_ANSWER_BYTES and len(self._kept_answers) > 1:
             self._drop_oldest()
 
     def expire(self, now: float) -> None:
@@ -110,19 +110,19 @@
 
         :param now: seconds on this process's monotonic clock.
         """
-        while self._kept:
-            oldest = next(iter(self._kept.values()))
-            if now - oldest.ended_at < KEEP_ANSWER_S:
+        while self._kept_answers:
+            oldest = next(iter(self._kept_answers.values()))
+            if now - oldest.ended_at < ANSWER_RETENTION_S:
                 break
             self._drop_oldest()
         for record in self.ledger.expire(now):
             sequence = record.token.sequence
-            kept = self._kept.pop(sequence, None)
+            kept = self._kept_answers.pop(sequence, None)
             if kept is not None:
                 self._kept_bytes -= kept.size
             self._runs.pop(sequence, None)
 
     def _drop_oldest(self) -> None:
-        _, run = self._kept.popitem(last=False)
+        _, run = self._kept_answers.popitem(last=False)
         self._kept_bytes -= run.size
         run.drop_answer()
--- a/packages/chalkyoke/src/chalkyoke/entry/service.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/service.py
@@ -13,12 +13,12 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.entry.acquirer import Acquirer
 from chalkyoke.entry.dispatcher import Dispatcher
-from chalkyoke.entry.ends import COME_BACK_S, Ends
+from chalkyoke.entry.ends import RETRY_AFTER_S, OutcomeRecorder
 from chalkyoke.entry.messages import CallerRequest
 from chalkyoke.entry.ports import ConfigurationPort
-from chalkyoke.entry.readers import Reader
+from chalkyoke.entry.readers import AnswerReader
 from chalkyoke.entry.runs import Runs
-from chalkyoke.entry.state import Run, Whole
+from chalkyoke.entry.state import Complete, Run
 from chalkyoke.exceptions import InvariantBroken
 from chalkyoke.logs import logger
 from chalkyoke.outcomes import Reason, Refusal, Verdict, not_run
@@ -46,7 +46,7 @@
         self,
         runs: Runs,
         acquirer: Acquirer,
-        ends: Ends,
+        recorder: OutcomeRecorder,
         dispatcher: Dispatcher,
         configuration: ConfigurationPort,
         events: EventRing,
@@ -56,7 +56,7 @@
         self.runs = runs
         self.stopping = False
         self._acquirer = acquirer
-        self._ends = ends
+        self._recorder = recorder
         self._dispatcher = dispatcher
         self._configuration = configuration
         self._events = events
@@ -76,7 +76,7 @@
         :return: the run, or why there is none; then nothing has changed.
         """
         if token is None:
-            token, text = self.runs.issue(self.now())
+            token, text = self.runs.issue_token(self.now())
         admitted = self.runs.admit(token, text, request, self.now())
         if isinstance(admitted, Err):
             return admitted
@@ -90,59 +90,59 @@
         self._metrics.count("arrived", tier=request.tier)
         if self.stopping:
             refusal = not_run(Reason.STOPPING, "this host is stopping", STOPPING_RETRY_S)
-            self._ends.refuse(run, refusal)
+            self._recorder.refuse(run, refusal)
             return Ok(run)
-        run.queue()
-        self._start(run.id, self._drive(run))
+        run.mark_queued()
+        self._start_task(run.id, self._run_to_end(run))
         return Ok(run)
 
-    def open_reader(self, run: Run) -> Reader:
+    def open_reader(self, run: Run) -> AnswerReader:
         """Let a caller read a run's answer.
 
         :rtype: Reader
         """
         budget = max(run.request.budget_s, run.deadline - self.now())
-        return Reader(run, budget, self._reader_left)
+        return AnswerReader(run, budget, self._on_reader_closed)
 
-    def verdict(self, run: Run) -> Refusal | None:
+    def refusal_for(self, run: Run) -> Refusal | None:
         """Tell what a caller hears that stops waiting now; nothing for a whole answer.
 
         :rtype: Refusal or None
         """
-        if isinstance(run.end, Whole):
-            if not run.replay_gone:
+        if isinstance(run.end, Complete):
+            if not run.answer_dropped:
                 return None
             text = "it was answered before, and the answer is no longer kept"
             return Refusal(Verdict.FAILED, Reason.REPLAY_GONE, text)
         if run.end is not None:
             return run.end
         text = "it runs on; ask again with the same token to learn its end"
-        return Refusal(Verdict.UNKNOWN, Reason.EXPIRED, text, COME_BACK_S)
+        return Refusal(Verdict.UNKNOWN, Reason.EXPIRED, text, RETRY_AFTER_S)
 
     # Driving.
 
-    async def _drive(self, run: Run) -> None:
+    async def _run_to_end(self, run: Run) -> None:
         try:
             async with asyncio.timeout(run.request.budget_s):
                 await self._acquire_and_send(run)
         except TimeoutError:
-            self._give_up(run, Reason.EXPIRED, "its deadline has passed")
+            self._abandon(run, Reason.EXPIRED, "its deadline has passed")
         except asyncio.CancelledError:
-            self._give_up(run, Reason.CALLER_LEFT, "its caller has left")
+            self._abandon(run, Reason.CALLER_LEFT, "its caller has left")
         except InvariantBroken:
             raise
         except Exception as error:
             log.error("{}: {!r}", run.id, error)
             self._metrics.count("faults")
-            self._give_up(run, Reason.INTERNAL, "this host has a fault")
+            self._abandon(run, Reason.INTERNAL, "this host has a fault")
         finally:
-            self._acquirer.forget(run)
+            self._acquirer.forget_run(run)
 
     async def _acquire_and_send(self, run: Run) -> None:
         while run.end is None:
             verdict = await self._acquirer.acquire(run)
             if isinstance(verdict, Shed):
-                self._ends.refuse_shed(run, verdict)
+                self._recorder.refuse_shed(run, verdict)
                 return
             run.grant = verdict
             self._events.add(EventKind.GRANTED, run.id, upstream=verdict.upstream)
@@ -152,7 +152,9 @@
                 await self._dispatcher.send(run, verdict)
             else:
                 # Once sent it goes on, so that a retry with the same token learns its end.
-                await asyncio.shield(self._start(f"{run.id}/run", self._send_once(run, verdict)))
+                await asyncio.shield(
+                    self._start_task(f"{run.id}/run", self._send_once(run, verdict))
+                )
 
     async def _send_once(self, run: Run, grant: Grant) -> None:
         try:
@@ -160,20 +162,20 @@
                 await self._dispatcher.send(run, grant)
         except TimeoutError:
             if run.dispatched and run.end is None:
-                self._ends.fail(run, Reason.NO_ANSWER, "it was sent and no answer came")
+                self._recorder.fail(run, Reason.NO_ANSWER, "it was sent and no answer came")
 
-    def _give_up(self, run: Run, reason: Reason, detail: str) -> None:
+    def _abandon(self, run: Run, reason: Reason, detail: str) -> None:
         """End a run whose time is over or whose callers have left."""
         if run.end is not None:
             return
         if not run.dispatched:
             self._acquirer.withdraw(run)
-            self._ends.refuse(run, not_run(reason, detail))
+            self._recorder.refuse(run, not_run(reason, detail))
         elif run.request.repeatable:
-            self._ends.fail(run, reason, detail)
-            self._start(f"{run.id}/cancel", self._dispatcher.cancel(run))
+            self._recorder.fail(run, reason, detail)
+            self._start_task(f"{run.id}/cancel", self._dispatcher.cancel(run))
 
-    def _reader_left(self, run: Run) -> None:
+    def _on_reader_closed(self, run: Run) -> None:
         """Cancel what nobody waits for, unless its caller may come back for it."""
         if run.readers > 0 or run.end is not None or run.request.held_token:
             return
@@ -185,13 +187,13 @@
         if task is not None:
             task.cancel()
 
-    def _start(self, name: str, work: Coroutine[None, None, None]) -> "asyncio.Task[None]":
+    def _start_task(self, name: str, work: Coroutine[None, None, None]) -> "asyncio.Task[None]":
         task = asyncio.create_task(work, name=name)
         self._tasks[name] = task
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self._tasks.pop(task.get_name(), None)
         if not task.cancelled() and (error := task.exception()) is not None:
             report = {"message": "a run broke", "exception": error}
--- a/packages/chalkyoke/src/chalkyoke/entry/state.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/state.py
@@ -17,11 +17,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Complete:
     """The answer came whole."""
 
 
-End = Whole | Refusal
+End = Complete | Refusal
 
 
 @dataclass(slots=True, eq=False)
@@ -54,7 +54,7 @@
     size: int = 0
     end: End | None = None
     ended_at: float = 0.0
-    replay_gone: bool = False
+    answer_dropped: bool = False
     readers: int = 0
     watchers: list[Callable[[], None]] = field(default_factory=list)
 
@@ -68,11 +68,11 @@
         """Whether bytes may have left for an upstream."""
         return self.record.dispatches > 0
 
-    def queue(self) -> None:
+    def mark_queued(self) -> None:
         """Note that it waits for a grant."""
         self.ledger.transition(self.record, TokenState.QUEUED)
 
-    def dispatch(self, now: float) -> bool:
+    def claim_dispatch(self, now: float) -> bool:
         """Take the one permission to send it; call before the first byte leaves.
 
         :param now: seconds on this process's monotonic clock.
@@ -89,7 +89,7 @@
         self.head = head
         self._changed()
 
-    def add(self, data: bytes, now: float, tokens: int = 0) -> None:
+    def append_chunk(self, data: bytes, now: float, tokens: int = 0) -> None:
         """Add a piece of the answer.
 
         :param tokens: output tokens in it.
@@ -106,7 +106,7 @@
     def finish(self, now: float) -> None:
         """Note that the answer is whole."""
         self.ledger.transition(self.record, TokenState.ANSWERED)
-        self._end(Whole(), now)
+        self._end(Complete(), now)
 
     def refuse(self, refusal: Refusal, now: float) -> None:
         """End it before it ran: the caller is told "not run", finally.
@@ -131,7 +131,9 @@
         self.ledger.transition(self.record, TokenState.FAILED)
         self._end(refusal, now)
 
-    def failure(self, reason: Reason, detail: str, retry_after_s: float | None = None) -> Refusal:
+    def make_failure(
+        self, reason: Reason, detail: str, retry_after_s: float | None = None
+    ) -> Refusal:
         """Word the failure of a dispatched run by how far it got.
 
         :return: ``failed`` where a part of the answer came, else ``unknown``.
@@ -142,7 +144,7 @@
     def drop_answer(self) -> None:
         """Forget the kept answer, to stay within bounds."""
         self.chunks.clear()
-        self.replay_gone = True
+        self.answer_dropped = True
 
     def _end(self, end: End, now: float) -> None:
         require(self.end is None, "a request ends once", request=self.id)
--- a/packages/chalkyoke/src/chalkyoke/entry/streams.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/streams.py
@@ -12,18 +12,18 @@
 DATA_PREFIX = b"data: "
 
 
-class EventCutter:
+class EventSplitter:
     """Take bytes in, give whole events out.
 
     :ivar events: whole events so far; the offset at which a stream is resumed.
     :ivar done: whether the final event has come.
     """
 
-    __slots__ = ("_rest", "done", "events")
+    __slots__ = ("_partial", "done", "event_count")
 
     def __init__(self) -> None:
-        self._rest = b""
-        self.events = 0
+        self._partial = b""
+        self.event_count = 0
         self.done = False
 
     def feed(self, data: bytes) -> bytes:
@@ -31,32 +31,32 @@
 
         :return: the events that are whole now, as they came.
         """
-        if self._rest:
-            data = self._rest + data
+        if self._partial:
+            data = self._partial + data
         end = data.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self._rest = data
+            self._partial = data
             return b""
 
-        whole, self._rest = data[:end], data[end:]
-        self.events += whole.count(EVENT_END)
+        whole, self._partial = data[:end], data[end:]
+        self.event_count += whole.count(EVENT_END)
         if whole.endswith(DONE_EVENT):
             self.done = True
         return whole
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Forget a partial event, before the stream is resumed."""
-        self._rest = b""
+        self._partial = b""
 
 
-class _Details(msgspec.Struct):
+class _PromptTokensDetails(msgspec.Struct):
     cached_tokens: int = -1
 
 
 class _UsageBody(msgspec.Struct):
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: _Details | None = None
+    prompt_tokens_details: _PromptTokensDetails | None = None
 
 
 class _Choice(msgspec.Struct):
@@ -94,12 +94,12 @@
         except msgspec.MsgspecError:
             continue
         if usage is not None:
-            details = usage.prompt_tokens_details or _Details()
+            details = usage.prompt_tokens_details or _PromptTokensDetails()
             return StreamUsage(usage.prompt_tokens, usage.completion_tokens, details.cached_tokens)
     return StreamUsage()
 
 
-def assemble(stream: bytes) -> bytes:
+def assemble_completion(stream: bytes) -> bytes:
     """Put a streamed completion together as one JSON answer.
 
     :param stream: all events, the final one included.
--- a/packages/chalkyoke/src/chalkyoke/node/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleet.py
@@ -12,7 +12,7 @@
 from chalkyoke.configuration.messages import ListedHost
 from chalkyoke.configuration.resources import Resources, Route, Service, Team, UpstreamClass
 from chalkyoke.configuration.selectors import labels_match
-from chalkyoke.entry.reception import Directory
+from chalkyoke.entry.reception import ConfigurationLookup
 from chalkyoke.membership.state import Candidate
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
@@ -39,7 +39,7 @@
     return max(found, key=lambda each: (len(each.selector), each.name), default=None)
 
 
-class FleetView(Directory):
+class FleetView(ConfigurationLookup):
     """Look up teams, routes, pools and upstreams.
 
     :param resources: the configuration in force.
--- a/packages/chalkyoke/src/chalkyoke/node/ports.py
+++ b/packages/chalkyoke/src/chalkyoke/node/ports.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Mapping
 
 from chalkyoke.configuration.resources import Route, Service, Team
-from chalkyoke.entry.reception import Directory
+from chalkyoke.entry.reception import ConfigurationLookup
 from chalkyoke.node.fleet import FleetView
 
 
-class FleetPort(Directory):
+class FleetPort(ConfigurationLookup):
     """Look things up in the current fleet view.
 
     :param fleet: gives the view in force.
--- a/packages/chalkyoke/src/chalkyoke/node/process.py
+++ b/packages/chalkyoke/src/chalkyoke/node/process.py
@@ -27,7 +27,7 @@
 from chalkyoke.entry.acquirer import Acquirer
 from chalkyoke.entry.answers import serve_forward
 from chalkyoke.entry.dispatcher import Dispatcher
-from chalkyoke.entry.ends import Ends
+from chalkyoke.entry.ends import OutcomeRecorder
 from chalkyoke.entry.http import CallerApi
 from chalkyoke.entry.messages import Forward, ForwardChunk, ForwardEnd, ForwardHead
 from chalkyoke.entry.runs import Runs
@@ -189,15 +189,15 @@
         self._upstream_session = make_session()
         self.upstreams = UpstreamClient(self._upstream_session)
         self.acquirer = Acquirer(runs, self.schedulers, port, self.metrics, self.now)
-        ends = Ends(runs, self.acquirer, self.events, self.metrics, self.now)
+        recorder = OutcomeRecorder(runs, self.acquirer, self.events, self.metrics, self.now)
         dispatcher = Dispatcher(
-            self.acquirer, ends, port, self.upstreams, self.events, self.metrics, self.now
+            self.acquirer, recorder, port, self.upstreams, self.events, self.metrics, self.now
         )
         self.entry = EntryService(
-            runs, self.acquirer, ends, dispatcher, port, self.events, self.metrics, self.now
+            runs, self.acquirer, recorder, dispatcher, port, self.events, self.metrics, self.now
         )
         self.schedulers.deliver = self.acquirer.receive
-        self.schedulers.report_running = self.acquirer.tell_running
+        self.schedulers.report_running = self.acquirer.report_running
 
     def _make_apis(self) -> None:
         settings, tls = self.settings, self.settings.tls
@@ -349,7 +349,7 @@
         elif isinstance(message, Grant | Queued | Shed):
             self.acquirer.receive(connection.peer, message)
         elif isinstance(message, AdoptRequest):
-            self.acquirer.tell_running(message.pool, connection.peer)
+            self.acquirer.report_running(message.pool, connection.peer)
         elif isinstance(message, Acquire | Adopt | Progress | Release | Withdraw):
             self.schedulers.remember_address(connection.peer, connection.peer_address)
             self.schedulers.receive(connection.peer, connection.peer_domain, message)
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -10,7 +10,7 @@
 from chalkyoke.entry.runs import Runs
 from chalkyoke.entry.service import EntryService
 from chalkyoke.entry.state import Run
-from chalkyoke.entry.streams import EventCutter
+from chalkyoke.entry.streams import EventSplitter
 from chalkyoke.node.fleet import FleetView
 from chalkyoke.scheduling import refusals
 from chalkyoke.scheduling.state import ReleaseOutcome, Upstream
@@ -21,18 +21,20 @@
 def dispatch_again_after_no_answer(monkeypatch):
     """A request that was sent and got no answer is sent once more; nothing marks the first."""
 
-    def dispatch(run, now):
+    def claim_dispatch(run, now):
         run.dispatched_at = now
         return run.end is None
 
-    def not_answered(dispatcher, run, outcome):
+    def fail_unanswered(dispatcher, run, outcome):
         dispatcher._acquirer.release(run, ReleaseOutcome.UNUSED)
 
-    monkeypatch.setattr(Run, "dispatch", dispatch)
-    monkeypatch.setattr(Run, "add", lambda run, data, now, tokens=0: run.chunks.append(data))
+    monkeypatch.setattr(Run, "claim_dispatch", claim_dispatch)
+    monkeypatch.setattr(
+        Run, "append_chunk", lambda run, data, now, tokens=0: run.chunks.append(data)
+    )
     monkeypatch.setattr(TokenLedger, "transition", lambda ledger, record, state: None)
     monkeypatch.setattr(TokenLedger, "check_not_run", lambda ledger, record: None)
-    monkeypatch.setattr(Dispatcher, "_not_answered", not_answered)
+    monkeypatch.setattr(Dispatcher, "_fail_unanswered", fail_unanswered)
 
 
 def refused_token_runs_again(monkeypatch):
@@ -64,24 +66,24 @@
 
 def end_of_stream_counts_as_whole(monkeypatch):
     """A stream that ends is taken for whole, with or without its final event."""
-    read_events = Dispatcher._read_events
+    relay_events = Dispatcher._relay_events
 
-    async def trusting(dispatcher, run, response, cutter, most):
-        await read_events(dispatcher, run, response, cutter, most)
-        cutter.done = True
+    async def trusting(dispatcher, run, response, splitter, most):
+        await relay_events(dispatcher, run, response, splitter, most)
+        splitter.done = True
 
-    monkeypatch.setattr(Dispatcher, "_read_events", trusting)
+    monkeypatch.setattr(Dispatcher, "_relay_events", trusting)
 
 
 def partial_events_are_passed_on(monkeypatch):
     """Bytes go to the caller as they come, cut events included."""
-    feed = EventCutter.feed
+    feed = EventSplitter.feed
 
-    def careless(cutter, data):
-        feed(cutter, data)
+    def careless(splitter, data):
+        feed(splitter, data)
         return data
 
-    monkeypatch.setattr(EventCutter, "feed", careless)
+    monkeypatch.setattr(EventSplitter, "feed", careless)
 
 
 def leaving_is_not_heard(monkeypatch):
@@ -101,7 +103,7 @@
 
 def running_is_not_told(monkeypatch):
     """A new scheduler is not told what runs under its predecessor."""
-    monkeypatch.setattr(Acquirer, "tell_running", lambda acquirer, pool, process: None)
+    monkeypatch.setattr(Acquirer, "report_running", lambda acquirer, pool, process: None)
 
 
 def shed_by_arrival(monkeypatch):
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,9 +18,9 @@
 from chalkyoke.configuration.messages import ListedHost
 from chalkyoke.configuration.resources import build_resources, read_document
 from chalkyoke.entry.acquirer import Acquirer
-from chalkyoke.entry.answers import LocalAnswer, issuer_gone
+from chalkyoke.entry.answers import LocalAnswer, issuer_gone_refusal
 from chalkyoke.entry.dispatcher import Dispatcher
-from chalkyoke.entry.ends import Ends
+from chalkyoke.entry.ends import OutcomeRecorder
 from chalkyoke.entry.messages import CallerRequest
 from chalkyoke.entry.runs import Runs
 from chalkyoke.entry.service import EntryService
@@ -118,10 +118,10 @@
         ledger = TokenLedger(self.host, self.address, self.incarnation, lifetime_s=120)
         self.runs = Runs(ledger, TokenCodec(KEY))
         self.acquirer = Acquirer(self.runs, self.schedulers, port, self.metrics, self.now)
-        ends = Ends(self.runs, self.acquirer, self.events, self.metrics, self.now)
+        recorder = OutcomeRecorder(self.runs, self.acquirer, self.events, self.metrics, self.now)
         dispatcher = Dispatcher(
             self.acquirer,
-            ends,
+            recorder,
             port,
             FakeUpstreamClient(world, self),
             self.events,
@@ -129,10 +129,17 @@
             self.now,
         )
         self.entry = EntryService(
-            self.runs, self.acquirer, ends, dispatcher, port, self.events, self.metrics, self.now
+            self.runs,
+            self.acquirer,
+            recorder,
+            dispatcher,
+            port,
+            self.events,
+            self.metrics,
+            self.now,
         )
         self.schedulers.deliver = self.acquirer.receive
-        self.schedulers.report_running = self.acquirer.tell_running
+        self.schedulers.report_running = self.acquirer.report_running
         self.every(self.view.interval_s, self.beat)
         self.every(0.05, self.tick)
         self.every(1.0, self.keep_house)
@@ -196,7 +203,7 @@
         elif isinstance(message, Grant | Shed):
             self.acquirer.receive(sender.process, message)
         elif isinstance(message, AdoptRequest):
-            self.acquirer.tell_running(message.pool, sender.process)
+            self.acquirer.report_running(message.pool, sender.process)
         else:
             self.schedulers.remember_address(sender.process, sender.address)
             self.schedulers.receive(sender.process, sender.domain, message)
@@ -319,7 +326,7 @@
         node = self.pick_node()
         if node is None:
             return
-        token = node.runs.issue(node.now()) if held else (None, "")
+        token = node.runs.issue_token(node.now()) if held else (None, "")
         tries = self.random.choice([1, 1, 2, 3]) if held else 1
         tasks = []
         for _ in range(tries):
@@ -347,7 +354,7 @@
                 issuer.domain, node.domain
             )
             if issuer.dead or not both or not issuer.runs.ledger.is_issued_here(token):
-                self.hear(token.request, issuer_gone(), b"")
+                self.hear(token.request, issuer_gone_refusal(), b"")
                 return
             self.steps["forwarded"] += 1
         submitted = issuer.entry.submit(request, token, text)
@@ -358,10 +365,10 @@
         answer = LocalAnswer(issuer.entry, issuer.entry.open_reader(run))
         try:
             pieces = []
-            while (piece := await answer.next()) is not None:
+            while (piece := await answer.next_chunk()) is not None:
                 pieces.append(piece)
             if not issuer.dead:
-                self.hear(run.id, answer.verdict(), b"".join(pieces))
+                self.hear(run.id, answer.refusal(), b"".join(pieces))
         finally:
             answer.close()
 
