--- a/packages/chalkyoke/src/chalkyoke/entry/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/__init__.py
@@ -1,5 +1,5 @@
 """
 chalkyoke.entry
 
-Caller requests: admission, dispatch, streams and replay.
+Handles callers' requests: admission, dispatch, streaming and replay of kept answers.
 """
--- a/packages/chalkyoke/src/chalkyoke/entry/acquirer.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/acquirer.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.acquirer
 
-The entry process's side of scheduling: ask the pool's scheduler for grants, give them back, and
-move to another scheduler when a pool's owner changes.
+The entry process's side of scheduling: acquires grants from a pool's scheduler, releases them, and
+switches to another scheduler when the pool's owner changes.
 """
 
 import asyncio
@@ -29,14 +29,15 @@
 from chalkyoke.scheduling.state import ReleaseOutcome
 from chalkyoke.tokens.state import TokenState
 
-# How often a scheduler that has not decided is asked again, in seconds: its owner may have changed.
+# Interval in seconds at which a request without a decision is sent again: the pool's owner may have
+# changed.
 ACQUIRE_RESEND_S = 1.0
-# Empty reports after the last running request, in number, in case a release was lost.
+# Number of empty progress reports after a pool's last running request, in case a release was lost.
 TRAILING_REPORT_COUNT = 5
 
 
 class Acquirer:
-    """Acquire and release grants.
+    """Acquire grants for runs, release them and report progress to schedulers.
 
     :param now: seconds on the monotonic clock since this process started.
     """
@@ -60,7 +61,7 @@
         self._trailing_reports: dict[str, int] = {}
 
     async def acquire(self, run: Run) -> Grant | Shed:
-        """Ask the pool's scheduler until it decides; whoever that is by then."""
+        """Request a grant from the pool's current owner until a decision arrives."""
         run.attempt += 1
         future: asyncio.Future[Grant | Shed] = self._loop.create_future()
         self._decisions[run.id] = future
@@ -88,52 +89,58 @@
             budget_s=run.deadline - self._now(),
             waited_s=self._now() - run.arrived,
         )
-        self._schedulers.send(self._owner(pool), message)
+        self._schedulers.send(self._current_owner(pool), message)
 
     def forget_run(self, run: Run) -> None:
-        """Drop what is kept for a run that is over."""
+        """Drop the pending decision of a run that has ended."""
         self._decisions.pop(run.id, None)
 
     def withdraw(self, run: Run) -> None:
-        """Take a waiting run back from its scheduler."""
+        """Withdraw a waiting run from its scheduler, or release its grant if it has one already."""
         if run.grant is not None and run.grant.attempt == run.attempt:
             self.release(run, ReleaseOutcome.UNUSED)
             return
         pool = self._configuration.pool(run.request.service, run.id)
-        self._schedulers.send(self._owner(pool), Withdraw(run.id, pool))
+        self._schedulers.send(self._current_owner(pool), Withdraw(run.id, pool))
 
     def release(
         self,
         run: Run,
         outcome: ReleaseOutcome,
-        seen: StreamUsage | None = None,
+        stream_usage: StreamUsage | None = None,
         rest_s: float = 0.0,
     ) -> None:
-        """Give a run's grant back, with what the upstream did for it.
+        """Release a run's grant and report the usage of the upstream.
 
-        :param rest_s: for how long the upstream wants nothing of this process, in seconds.
+        Does nothing for a run without a grant.
+
+        :param stream_usage: usage that the upstream reported; the tokens counted here are used
+            where it reported none.
+        :param rest_s: time for which the upstream asks this process to send it nothing, in seconds.
         """
         grant = run.grant
         if grant is None:
             return
         if outcome in (ReleaseOutcome.UNUSED, ReleaseOutcome.UNREACHABLE):
             run.grant = None
-        seen = seen or StreamUsage()
+        stream_usage = stream_usage or StreamUsage()
         total = self._now() - run.dispatched_at if run.dispatched else 0.0
         usage = Usage(
             prompt_tokens=run.request.prompt_tokens,
-            cached_tokens=seen.cached_tokens,
-            output_tokens=seen.output_tokens if seen.output_tokens >= 0 else run.output_tokens,
+            cached_tokens=stream_usage.cached_tokens,
+            output_tokens=stream_usage.output_tokens
+            if stream_usage.output_tokens >= 0
+            else run.output_tokens,
             first_s=run.first_s,
             total_s=total,
         )
         message = Release(run.id, grant.attempt, grant.pool, outcome, usage, rest_s=rest_s)
-        self._schedulers.send(self._owner(grant.pool), message)
+        self._schedulers.send(self._current_owner(grant.pool), message)
 
-    # What schedulers say.
+    # Messages from schedulers and changes of owners.
 
     def receive(self, process: str, message: Grant | Shed | Queued) -> None:
-        """Take a scheduler's decision; a grant that nobody waits for is given back.
+        """Apply a scheduler's decision; release a grant that no run waits for.
 
         :param process: id of the scheduler's process.
         """
@@ -146,7 +153,7 @@
             and not future.done()
             and run is not None
             and run.attempt == message.attempt
-            and self._owner(message.pool) == process
+            and self._current_owner(message.pool) == process
         )
         if awaited and future is not None:
             future.set_result(message)
@@ -161,32 +168,36 @@
             return False
         return run.grant.attempt == grant.attempt and run.grant.upstream == grant.upstream
 
-    def _owner(self, pool: str) -> str:
+    def _current_owner(self, pool: str) -> str:
+        """Return the pool's owner; switch to the new one first if the owner has changed."""
         owner = self._schedulers.owner(pool)
-        before = self._known_owners.get(pool)
-        if before != owner:
+        previous = self._known_owners.get(pool)
+        if previous != owner:
             self._known_owners[pool] = owner
-            self._switch_owner(pool, before, owner)
+            self._switch_owner(pool, previous, owner)
         return owner
 
     def check_owners(self) -> None:
-        """Move to the new schedulers of pools whose owner has changed."""
+        """Switch to the new scheduler of each pool whose owner has changed."""
         for pool in self._configuration.pools():
-            self._owner(pool)
+            self._current_owner(pool)
+
+    def _switch_owner(self, pool: str, previous: str | None, owner: str) -> None:
+        """Report this process's grants to the new scheduler and acquire again for its waiting runs.
 
-    def _switch_owner(self, pool: str, before: str | None, owner: str) -> None:
-        """Tell a new scheduler what runs here, and ask it for what waits here."""
+        A previous owner that is still alive gets a withdrawal for each of those runs.
+        """
         self.report_running(pool, owner)
-        for run in [each for each in self._runs.active() if self._in_pool(each, pool)]:
+        for run in [each for each in self._runs.active() if self._belongs_to_pool(each, pool)]:
             future = self._decisions.get(run.id)
             if run.state is not TokenState.QUEUED or future is None or future.done():
                 continue
-            if before is not None and self._schedulers.is_alive(before):
-                self._schedulers.send(before, Withdraw(run.id, pool))
+            if previous is not None and self._schedulers.is_alive(previous):
+                self._schedulers.send(previous, Withdraw(run.id, pool))
             self._send_acquire(run)
 
     def report_running(self, pool: str, process: str) -> None:
-        """Tell a scheduler which of a pool's grants are held here.
+        """Report to a scheduler which of a pool's grants this process holds.
 
         :param process: id of the scheduler's process.
         """
@@ -198,15 +209,15 @@
         )
         self._schedulers.send(process, Adopt(pool, items))
 
-    def _in_pool(self, run: Run, pool: str) -> bool:
+    def _belongs_to_pool(self, run: Run, pool: str) -> bool:
         if run.grant is not None:
             return run.grant.pool == pool
         return self._configuration.pool(run.request.service, run.id) == pool
 
     def send_progress(self) -> None:
-        """Tell each pool's scheduler how far running work has come; call once a second.
+        """Report the progress of running requests to each pool's scheduler; call once a second.
 
-        A pool where nothing runs any more is told so a few times, in case a release was lost.
+        A pool without running requests gets a few empty reports, in case a release was lost.
         """
         items: dict[str, list[ProgressItem]] = {pool: [] for pool in self._trailing_reports}
         for run in self._runs.active():
@@ -218,7 +229,7 @@
                 item = ProgressItem(run.id, 0, -1.0, 0.0)
                 items.setdefault(run.grant.pool, []).append(item)
         for pool, each in items.items():
-            self._schedulers.send(self._owner(pool), Progress(pool, tuple(each)))
+            self._schedulers.send(self._current_owner(pool), Progress(pool, tuple(each)))
             self._trailing_reports[pool] = (
                 TRAILING_REPORT_COUNT if each else self._trailing_reports[pool] - 1
             )
--- a/packages/chalkyoke/src/chalkyoke/entry/answers.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/answers.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.entry.answers
 
-The answer to one caller, from this process's own run or from the process that issued the token.
+The answer to one caller, from a run of this process or of the process that issued the token.
 """
 
 import asyncio
@@ -24,25 +24,26 @@
 from chalkyoke.outcomes import Reason, Refusal, Verdict
 from chalkyoke.tokens.messages import Token, TokenProblem
 
+# Retry-After in seconds where the issuing host can't be reached or stops answering.
 RETRY_AFTER_S = 1.0
-# How much longer than its deadline an answer of another process is waited for, in seconds.
+# Time after the deadline for which an answer of another process is still awaited, in seconds.
 FORWARD_GRACE_S = 0.5
 
 
 class Answer(Protocol):
-    """What the HTTP side reads, wherever the run is."""
+    """An answer as the HTTP side reads it, from a local or a remote run."""
 
     async def read_head(self) -> AnswerHead | None:
-        """Wait for the start; nothing where there is none."""
+        """Wait until the answer starts; None where it never does."""
 
     async def next_chunk(self) -> bytes | None:
-        """Give the next piece; nothing after the last one."""
+        """Wait for the next chunk; None after the last one."""
 
     def refusal(self) -> Refusal | None:
-        """Tell why it is not whole; nothing when it is."""
+        """Return why the answer is incomplete; None for a complete one."""
 
     def close(self) -> None:
-        """Leave it; a second call does nothing."""
+        """Stop reading; a second call does nothing."""
 
 
 class LocalAnswer:
@@ -53,25 +54,28 @@
         self._reader = reader
 
     async def read_head(self) -> AnswerHead | None:
-        """Wait for the start; nothing where there is none."""
+        """Wait until the answer starts; None where it never does."""
         await self._reader.wait_for_head()
         return self._reader.run.head if not self._reader.run.answer_dropped else None
 
     async def next_chunk(self) -> bytes | None:
-        """Give the next piece; nothing after the last one."""
+        """Wait for the next chunk; None after the last one."""
         return await self._reader.next_chunk()
 
     def refusal(self) -> Refusal | None:
-        """Tell why it is not whole; nothing when it is."""
+        """Return why the answer is incomplete; None for a complete one."""
         return self._service.refusal_for(self._reader.run)
 
     def close(self) -> None:
-        """Leave it; a second call does nothing."""
+        """Stop reading; a second call does nothing."""
         self._reader.close()
 
 
 class RemoteAnswer:
-    """The answer of a run of another process, read over a stream of its own."""
+    """The answer of a run of another process, read from a dedicated connection.
+
+    :param budget_s: time until the request's deadline, in seconds.
+    """
 
     def __init__(self, connection: Connection, budget_s: float) -> None:
         self._connection = connection
@@ -81,7 +85,7 @@
         self._started = False
 
     async def read_head(self) -> AnswerHead | None:
-        """Wait for the start; nothing where there is none."""
+        """Wait until the answer starts; None where it never does."""
         message = await self._receive()
         if isinstance(message, ForwardHead):
             self._started = True
@@ -89,7 +93,7 @@
         return None
 
     async def next_chunk(self) -> bytes | None:
-        """Give the next piece; nothing after the last one."""
+        """Wait for the next chunk; None after the last one."""
         if self._end is not None:
             return None
         message = await self._receive()
@@ -99,7 +103,7 @@
         return message.data
 
     def token_problem(self) -> TokenProblem | None:
-        """Tell a fault of the request itself that the issuer found.
+        """Return the problem that the issuer found with the token; None where it found none.
 
         :rtype: TokenProblem or None
         """
@@ -108,7 +112,7 @@
         return TokenProblem(self._end.problem)
 
     def refusal(self) -> Refusal | None:
-        """Tell why it is not whole; nothing when it is."""
+        """Return why the answer is incomplete; None for a complete one."""
         if self._end is not None:
             return self._end.refusal
         verdict = Verdict.FAILED if self._started else Verdict.UNKNOWN
@@ -116,7 +120,7 @@
         return Refusal(verdict, Reason.ISSUER_UNREACHABLE, text, RETRY_AFTER_S, self._size)
 
     def close(self) -> None:
-        """Leave it; a second call does nothing."""
+        """Stop reading; a second call does nothing."""
         self._connection.abort()
 
     async def _receive(self) -> object:
@@ -133,10 +137,11 @@
 async def forward_request(
     links: Links, token: Token, text: str, request: CallerRequest
 ) -> RemoteAnswer | Refusal:
-    """Hand a request to the process that issued its token.
+    """Forward a request to the process that issued its token.
 
-    :param text: the token as the caller sent it.
-    :return: its answer, or ``unknown`` where the issuer is not reached.
+    :param text: the encoded token as the caller sent it.
+    :return: the answer, or a refusal with verdict ``unknown`` where the issuer can't be reached or
+        has restarted.
     """
     try:
         connection = await links.open(token.address)
@@ -151,7 +156,7 @@
 
 
 def issuer_gone_refusal() -> Refusal:
-    """Word the answer for a token whose issuing process is no more.
+    """Build the refusal for a token whose issuing process no longer exists.
 
     :rtype: Refusal
     """
@@ -162,9 +167,9 @@
 async def serve_forward(
     connection: Connection, service: EntryService, token: Token, message: Forward
 ) -> None:
-    """Answer a forwarded request on its stream.
+    """Answer a forwarded request on its connection, then close the connection.
 
-    :param token: the token of the message, already opened.
+    :param token: the decoded token of the message.
     """
     if not service.runs.ledger.is_issued_here(token):
         await connection.send_and_wait(ForwardEnd(issuer_gone_refusal()))
@@ -176,7 +181,7 @@
 
     reader = service.open_reader(submitted.unwrap())
     answer = LocalAnswer(service, reader)
-    watching = asyncio.create_task(_close_on_disconnect(connection, answer))
+    disconnect_watch = asyncio.create_task(_close_on_disconnect(connection, answer))
     try:
         head = await answer.read_head()
         if head is not None:
@@ -188,13 +193,13 @@
         return
     finally:
         answer.close()
-        # The stream serves one forward; nothing may read it after this.
-        watching.cancel()
+        # A connection serves one forwarded request; nothing may read it after this.
+        disconnect_watch.cancel()
         await connection.close()
 
 
 async def _close_on_disconnect(connection: Connection, answer: LocalAnswer) -> None:
-    """Leave the run when the forwarding host has closed the stream."""
+    """Stop reading the run when the forwarding host closes the connection."""
     with contextlib.suppress(ProtocolError):
         await connection.receive()
     answer.close()
--- a/packages/chalkyoke/src/chalkyoke/entry/dispatcher.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/dispatcher.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.dispatcher
 
-One dispatch: the call on the upstream, its answer passed on, and a broken stream resumed at the
-same engine. There is no second dispatch, to any upstream, for any reason.
+Sends a request to its upstream and relays the answer. A broken stream is resumed at the same
+engine. A request is never dispatched a second time, to any upstream, for any reason.
 """
 
 from collections.abc import Callable
@@ -31,14 +31,15 @@
     Opened,
 )
 
-# How often a broken stream is taken up again at its engine, in number.
+# Maximum number of times that a broken stream is resumed at its engine.
 MAX_STREAM_RESUMES = 3
-# The end of an answer in which usage is looked for, and the most of an error's text, in bytes.
+# Size in bytes of the end of an answer that is searched for usage, and of the longest error body
+# that is relayed.
 TAIL_BYTES = 4_096
 
 
 class Dispatcher:
-    """Send runs to upstreams.
+    """Send runs to upstreams and relay their answers.
 
     :param now: seconds on the monotonic clock since this process started.
     """
@@ -62,9 +63,9 @@
         self._now = now
 
     async def send(self, run: Run, grant: Grant) -> None:
-        """Send a run to the upstream of its grant and see it to its end.
+        """Send a run to the upstream of its grant and relay the answer until the run ends.
 
-        A run that has no end afterwards was not sent, and may acquire again.
+        A run that has not ended when this returns was not sent and may acquire another grant.
         """
         service = self._configuration.service(run.request.service)
         if service is None:
@@ -126,7 +127,7 @@
     async def _relay_stream(
         self, run: Run, grant: Grant, outcome: CallOutcome, max_answer_bytes: int
     ) -> None:
-        """Pass events on until the final one, resuming at the same engine where that helps."""
+        """Relay events until the final one; resume a broken stream at the same engine."""
         splitter = EventSplitter()
         for _ in range(1 + MAX_STREAM_RESUMES):
             if not isinstance(outcome, Opened):
@@ -164,13 +165,13 @@
     ) -> None:
         try:
             while data := await response.content.readany():
-                before = splitter.event_count
-                whole = splitter.feed(data)
-                if not whole:
+                events_before = splitter.event_count
+                complete = splitter.feed(data)
+                if not complete:
                     continue
                 if run.head is None:
                     self._record_first_byte(run, response)
-                run.append_chunk(whole, self._now(), splitter.event_count - before)
+                run.append_chunk(complete, self._now(), splitter.event_count - events_before)
                 if splitter.done or run.size > max_answer_bytes:
                     break
         except (aiohttp.ClientError, TimeoutError, OSError):
@@ -187,7 +188,7 @@
         self._metrics.time("first_byte", self._now() - run.arrived, tier=run.request.tier)
 
     async def _relay_error(self, run: Run, response: aiohttp.ClientResponse) -> None:
-        """Hand on an engine's own 4xx: the whole answer to a request that it does not take."""
+        """Relay an engine's 4xx response as the complete answer to a request that it rejects."""
         try:
             data = await response.content.read(TAIL_BYTES)
         except (aiohttp.ClientError, OSError):
@@ -212,18 +213,22 @@
         self._recorder.fail(run, Reason.NO_ANSWER, f"it was sent and no answer came: {detail}")
 
     async def cancel(self, run: Run) -> None:
-        """Tell the upstream of a run that nobody waits for it any more."""
+        """Ask the upstream to cancel a run whose answer is no longer needed."""
         if run.grant is not None:
             await self._upstreams.cancel(run.grant.address, run.request.path, run.id)
 
 
 def _encode_request(run: Run, grant: Grant) -> tuple[bytes, dict[str, str]]:
-    """Write the request as the upstream takes it."""
+    """Build the body and headers for the upstream.
+
+    A request for a model engine always asks for a stream with usage and carries the priority of its
+    grant; a plain request is sent unchanged.
+    """
     headers = {REQUEST_ID: run.id, "Content-Type": run.request.content_type}
     if run.request.max_output == 0:
         return run.request.body, headers
 
-    # It was read as JSON, whatever the caller called it.
+    # The body was parsed as JSON, whatever content type the caller declared.
     headers["Content-Type"] = "application/json"
     body = msgspec.json.decode(run.request.body)
     body["stream"] = True
--- a/packages/chalkyoke/src/chalkyoke/entry/ends.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/ends.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.ends
 
-The ends of runs: each is noted in the ledger, told to the scheduler, counted and put on the time
-line, in this one place.
+Ends runs in one place: records each end in the ledger, the events and the metrics, and releases the
+grant to the scheduler.
 """
 
 from collections.abc import Callable
@@ -17,8 +17,10 @@
 from chalkyoke.scheduling.messages import Shed
 from chalkyoke.scheduling.state import ReleaseOutcome
 
+# Retry-After in seconds for a run that failed after its dispatch.
 RETRY_AFTER_S = 1.0
 
+# Detail that callers get for each reason of a scheduler's refusal.
 SHED_DETAILS = {
     Reason.HOPELESS: "its deadline can't be met, even on an idle pool",
     Reason.EXPIRED: "its deadline passed while it waited",
@@ -27,11 +29,12 @@
 }
 
 
+# Reasons whose grants are released as cancelled: the upstream did not fail.
 CANCELLATION_REASONS = (Reason.EXPIRED, Reason.CALLER_LEFT, Reason.TOO_LARGE)
 
 
 class OutcomeRecorder:
-    """End runs.
+    """End runs and record their outcomes.
 
     :param now: seconds on the monotonic clock since this process started.
     """
@@ -51,7 +54,7 @@
         self._now = now
 
     def finish(self, run: Run, usage: StreamUsage) -> None:
-        """End a run whose answer came whole."""
+        """End a run with a complete answer, release its grant and keep the answer."""
         run.finish(self._now())
         tier = run.request.tier
         self._events.add(EventKind.ANSWERED, run.id, bytes=run.size)
@@ -63,13 +66,13 @@
         self._runs.keep_answer(run)
 
     def fail(self, run: Run, reason: Reason, detail: str) -> None:
-        """End a run that was sent and brought no whole answer."""
+        """End a dispatched run without a complete answer; the verdict depends on what arrived."""
         self.fail_with(run, run.make_failure(reason, detail, RETRY_AFTER_S))
 
     def fail_with(self, run: Run, refusal: Refusal, rest_s: float = 0.0) -> None:
-        """End a run that was sent, with a refusal that is already worded.
+        """End a dispatched run with the given refusal.
 
-        :param rest_s: for how long its upstream wants nothing of this process, in seconds.
+        :param rest_s: time for which the upstream asks this process to send it nothing, in seconds.
         """
         run.fail(refusal, self._now())
         self._events.add(EventKind.FAILED, run.id, reason=refusal.reason)
@@ -80,13 +83,13 @@
         self._runs.keep_answer(run)
 
     def refuse(self, run: Run, refusal: Refusal) -> None:
-        """End a run that was not sent; from here on it can't be."""
+        """End a run before its dispatch; it can't be dispatched afterwards."""
         run.refuse(refusal, self._now())
         self._events.add(EventKind.REFUSED, run.id, reason=refusal.reason)
         self._metrics.count("not_run", reason=refusal.reason, tier=run.request.tier)
         self._runs.keep_answer(run)
 
     def refuse_shed(self, run: Run, message: Shed) -> None:
-        """End a run that its scheduler gave up."""
+        """End a run that its scheduler shed."""
         text = SHED_DETAILS.get(message.reason, message.reason)
         self.refuse(run, not_run(message.reason, text, message.retry_after_s))
--- a/packages/chalkyoke/src/chalkyoke/entry/http.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/http.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.entry.http
 
-The callers' API: completions in the usual format, calls on plain services, and tokens.
+The HTTP API for callers: completions in the usual format, calls to plain services, and tokens.
 """
 
 import asyncio
@@ -38,10 +38,14 @@
 from chalkyoke.outcomes import Reason, Refusal, not_run
 from chalkyoke.tokens.messages import Token, TokenProblem
 
+# Limit on the body of any request, in bytes; a service may set a lower one.
 MAX_BODY_BYTES = 16_000_000
+# Key of the ASGI scope under which a request's receive channel is kept.
 RECEIVE_KEY = "chalkyoke.receive"
+# Retry-After in seconds where the token ledger is full.
 LEDGER_FULL_RETRY_S = 5.0
 
+# HTTP status and detail that callers get for each problem with a token.
 TOKEN_PROBLEMS = {
     TokenProblem.MALFORMED: (400, "it is not a token"),
     TokenProblem.FORGED: (400, "its seal is not this fleet's"),
@@ -57,7 +61,9 @@
 
 
 def keep_receive_channel(app: App) -> App:
-    """Keep a request's receive channel in its scope, so that a disconnect can be watched for.
+    """Wrap an application to keep each request's receive channel in its scope.
+
+    The handler needs the channel to notice that the caller disconnects.
 
     :rtype: App
     """
@@ -70,9 +76,9 @@
 
 
 class CallerApi:
-    """Serve callers.
+    """Serve the HTTP API for callers.
 
-    :param ready: tells whether a configuration is in force here.
+    :param ready: returns whether this process has an active configuration.
     """
 
     def __init__(
@@ -90,7 +96,7 @@
         self._ready = ready
 
     def app(self) -> App:
-        """Build the ASGI application.
+        """Build the ASGI application with all routes.
 
         :rtype: App
         """
@@ -104,7 +110,7 @@
         return keep_receive_channel(app)
 
     async def issue_token(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Issue a token for one request to come."""
+        """Issue a token for one later request; respond 201 with its lifetime in seconds."""
         team = authenticate(req.headers_lower, self.configuration)
         if isinstance(team, Err):
             _respond_bad_request(resp, team.err_value)
@@ -123,9 +129,9 @@
         resp: falcon.asgi.Response,
         read: Callable[[bytes, Any], Result[CallerRequest, BadRequest]],
     ) -> None:
-        """Serve one request.
+        """Authenticate, validate and answer one request.
 
-        :param read: checks its body, for a team.
+        :param read: parses and validates the body for a team.
         """
         if not self._ready():
             refusal = not_run(Reason.NOT_READY, "no configuration is in force here yet", 1.0)
@@ -204,7 +210,7 @@
 
 
 class _Delivery:
-    """Hand one answer to its caller, and leave it when the caller does."""
+    """Send one answer to its caller; stop reading the answer when the caller disconnects."""
 
     def __init__(
         self,
@@ -218,10 +224,12 @@
         self._answer = answer
         self._token = token
         self._event = event
-        self._watching = asyncio.create_task(self._watch(req.scope[RECEIVE_KEY]))
+        self._disconnect_watch = asyncio.create_task(
+            self._close_on_disconnect(req.scope[RECEIVE_KEY])
+        )
 
     async def start_stream(self) -> None:
-        """Pass the answer on as it comes; a broken one ends with an error event."""
+        """Stream the answer as it arrives; an incomplete one ends with an error event."""
         head = await self._answer.read_head()
         if head is None:
             self._respond_refusal()
@@ -232,18 +240,18 @@
         self._resp.stream = self._iter_chunks()
 
     async def send_complete(self, assembled: bool) -> None:
-        """Answer once all is there.
+        """Send the answer once it is complete.
 
-        :param assembled: whether the answer is a stream of events to put together.
+        :param assembled: whether the answer is a stream of events to assemble into one body.
         """
         head = await self._answer.read_head()
-        pieces: list[bytes] = []
-        while (piece := await self._answer.next_chunk()) is not None:
-            pieces.append(piece)
+        chunks: list[bytes] = []
+        while (chunk := await self._answer.next_chunk()) is not None:
+            chunks.append(chunk)
         if head is None or self._answer.refusal() is not None:
             self._respond_refusal()
             return
-        data = b"".join(pieces)
+        data = b"".join(chunks)
         self._resp.status = head.status
         if assembled and head.status == 200:
             self._resp.content_type = "application/json"
@@ -255,8 +263,8 @@
 
     async def _iter_chunks(self) -> AsyncIterator[bytes]:
         try:
-            while (piece := await self._answer.next_chunk()) is not None:
-                yield piece
+            while (chunk := await self._answer.next_chunk()) is not None:
+                yield chunk
             refusal = self._answer.refusal()
             if refusal is not None:
                 problem = problems.of_refusal(refusal, self._token, self._event)
@@ -274,10 +282,10 @@
         self._close()
 
     def _close(self) -> None:
-        self._watching.cancel()
+        self._disconnect_watch.cancel()
         self._answer.close()
 
-    async def _watch(self, receive: Receive) -> None:
+    async def _close_on_disconnect(self, receive: Receive) -> None:
         while (await receive())["type"] != "http.disconnect":
             pass
         self._answer.close()
@@ -288,7 +296,7 @@
         self._api = api
 
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Complete a prompt."""
+        """Answer a completion request, streamed or in one body as the request asks."""
 
         def read(body: bytes, team: Any) -> Result[CallerRequest, BadRequest]:
             configuration = self._api.configuration
@@ -304,7 +312,7 @@
     async def on_post(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response, service: str, path: str
     ) -> None:
-        """Call a plain service."""
+        """Call a plain service at the given path and return its answer."""
 
         def read(body: bytes, team: Any) -> Result[CallerRequest, BadRequest]:
             configuration = self._api.configuration
@@ -318,14 +326,16 @@
         self._api = api
 
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Issue a token."""
+        """Issue a token for one later request."""
         await self._api.issue_token(req, resp)
 
 
-def _respond_bad_request(resp: falcon.asgi.Response, bad: BadRequest) -> None:
-    problem = problems.document(bad.status, "bad_request", bad.detail, field=bad.field)
+def _respond_bad_request(resp: falcon.asgi.Response, rejected: BadRequest) -> None:
+    problem = problems.document(
+        rejected.status, "bad_request", rejected.detail, field=rejected.field
+    )
     problems.respond(resp, problem)
-    if bad.status == 401:
+    if rejected.status == 401:
         resp.set_header("WWW-Authenticate", "Bearer")
 
 
--- a/packages/chalkyoke/src/chalkyoke/entry/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/messages.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.entry.messages
 
-A caller's request as the entry process keeps it, and how a retry is handed to its issuer.
+A validated caller request, and the messages that forward a retry to the issuer of its token.
 """
 
 import msgspec
@@ -10,13 +10,16 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True, array_like=True):
-    """One request of a caller, checked.
+    """A validated request of a caller.
 
     :param path: path at the upstream.
-    :param labels: the request's labels over those of its team.
-    :param budget_s: time that the caller gives it, in seconds.
-    :param repeatable: whether running it twice would do no harm.
-    :param held_token: whether the caller took the token first, and so may come back with it.
+    :param labels: labels of the request, merged over those of its team.
+    :param budget_s: time from arrival to the caller's deadline, in seconds.
+    :param repeatable: whether running the request twice does no harm.
+    :param prompt_tokens: estimated size of the prompt, in tokens.
+    :param max_output: limit on the output, in tokens; 0 for a plain request.
+    :param blocks: chained hashes of the prompt's leading blocks.
+    :param held_token: whether the caller obtained a token beforehand and so may come back with it.
     """
 
     service: str
@@ -37,35 +40,39 @@
 
 
 class AnswerHead(msgspec.Struct, frozen=True, array_like=True):
-    """The start of an answer."""
+    """HTTP status and content type of an answer."""
 
     status: int
     content_type: str
 
 
 class Forward(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
-    """Hand a retry to the process that issued its token; the answer comes on the same stream."""
+    """Forward a retry to the process that issued its token.
+
+    The answer arrives on the same connection.
+    """
 
     token: str
     request: CallerRequest
 
 
 class ForwardHead(msgspec.Struct, frozen=True, array_like=True, tag="forward_head"):
-    """The issuer's answer starts."""
+    """Start the issuer's answer."""
 
     head: AnswerHead
 
 
 class ForwardChunk(msgspec.Struct, frozen=True, array_like=True, tag="forward_chunk"):
-    """A piece of the issuer's answer."""
+    """Carry a chunk of the issuer's answer."""
 
     data: bytes
 
 
 class ForwardEnd(msgspec.Struct, frozen=True, array_like=True, tag="forward_end"):
-    """The issuer's answer is whole, or was refused.
+    """End the issuer's answer.
 
-    :param problem: a fault of the request itself, which changed nothing.
+    :param refusal: why the answer is incomplete; None for a complete one.
+    :param problem: a problem with the token, which changed no state; empty where there is none.
     """
 
     refusal: Refusal | None = None
--- a/packages/chalkyoke/src/chalkyoke/entry/readers.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/readers.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.readers
 
-One caller's way through a run's answer: from its start, as it comes, until the end or until the
-caller's time is over.
+Reads a run's answer for one caller, from its start and as it arrives, until the run ends or the
+caller's deadline passes.
 """
 
 import asyncio
@@ -10,14 +10,15 @@
 
 from chalkyoke.entry.state import Run
 
-# How long after its deadline a reader is told, in seconds: the run itself should end first.
+# Time in seconds that a reader waits after its deadline: the run itself should end first.
 READER_GRACE_S = 0.05
 
 
 class AnswerReader:
-    """Read one run's answer. Close it when the caller is served or has left.
+    """Read one run's answer. Close the reader when the caller is served or has left.
 
-    :param closed: called once when it is closed.
+    :param budget_s: time until the caller's deadline, in seconds.
+    :param on_close: called once with the run when the reader is closed.
 
     Usage::
 
@@ -27,9 +28,9 @@
       >>> reader.close()
     """
 
-    def __init__(self, run: Run, budget_s: float, closed: Callable[[Run], None]) -> None:
+    def __init__(self, run: Run, budget_s: float, on_close: Callable[[Run], None]) -> None:
         self.run = run
-        self._on_close: Callable[[Run], None] | None = closed
+        self._on_close: Callable[[Run], None] | None = on_close
         self._next_index = 0
         self._time_over = False
         self._loop = asyncio.get_running_loop()
@@ -39,17 +40,17 @@
         run.readers += 1
 
     async def wait_for_head(self) -> None:
-        """Wait until the answer starts, the run ends or the time is over."""
+        """Wait until the answer starts, the run ends or the deadline passes."""
         while self.run.head is None and not self._is_over():
             await self._wait()
 
     async def wait_for_end(self) -> None:
-        """Wait until the run ends or the time is over."""
+        """Wait until the run ends or the deadline passes."""
         while not self._is_over():
             await self._wait()
 
     async def next_chunk(self) -> bytes | None:
-        """Give the next piece of the answer; nothing after the last one.
+        """Wait for the next chunk of the answer; None after the last one or the deadline.
 
         :rtype: bytes or None
         """
@@ -63,15 +64,15 @@
             await self._wait()
 
     def close(self) -> None:
-        """Leave the run; a second call does nothing."""
+        """Detach from the run; a second call does nothing."""
         if self._on_close is None:
             return
-        closed, self._on_close = self._on_close, None
+        on_close, self._on_close = self._on_close, None
         self._timer.cancel()
         self._on_deadline()
         self.run.watchers.remove(self._wake)
         self.run.readers -= 1
-        closed(self.run)
+        on_close(self.run)
 
     def _is_over(self) -> bool:
         return self._time_over or self.run.end is not None
@@ -85,6 +86,6 @@
             self._waiter.set_result(None)
 
     async def _wait(self) -> None:
-        # A bare future: this is on the way of every streamed chunk.
+        # A plain future keeps the cost low: this runs for every streamed chunk.
         self._waiter = self._loop.create_future()
         await self._waiter
--- a/packages/chalkyoke/src/chalkyoke/entry/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/reception.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.entry.reception
 
-Read and check a caller's request: headers and body in, a typed request or a clear 4xx out. No I/O.
+Parses and validates a caller's headers and body into a typed request or a 4xx error. No I/O.
 """
 
 import hashlib
@@ -18,16 +18,18 @@
 from chalkyoke.entry.messages import CallerRequest
 from chalkyoke.scheduling.placement import BLOCK_TOKENS
 
-# What a token is taken to be of a prompt, in characters: a usual figure for English text.
+# Assumed length of a prompt token, in characters: a usual figure for English text.
 CHARACTERS_PER_TOKEN = 4
+# Length of a prompt block, in characters.
 BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN
-# Leading blocks of a prompt that are compared, in number: a message stays below half a kilobyte.
+# Maximum number of leading blocks of a prompt that are hashed; it keeps a message below half a
+# kilobyte.
 MAX_BLOCKS = 48
-# The most output that a request is taken to ask for where it names none, in tokens.
+# Output limit in tokens that is assumed for a request without one.
 DEFAULT_MAX_TOKENS = 256
-# The longest deadline that a caller may name, in milliseconds: an hour.
+# Longest deadline that a caller may set, in milliseconds: one hour.
 MAX_DEADLINE_MS = 3_600_000
-# Labels that a request may bear, in number; routes look at a few.
+# Maximum number of labels of a request; routes match only a few.
 MAX_LABELS = 16
 
 TOKEN_HEADER = "Chalkyoke-Token"
@@ -41,10 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """Why a request is not taken; nothing has changed.
+    """A rejected request; it has changed no state.
 
     :param status: the HTTP status, 4xx.
-    :param field: header or path of the field that is wrong.
+    :param field: header or path of the invalid field.
+    :param detail: the error text for the caller.
     """
 
     status: int
@@ -53,22 +56,22 @@
 
 
 class ConfigurationLookup:
-    """What reception looks up in the configuration in force; implemented by the node."""
+    """Lookups in the active configuration that validation needs; the node implements them."""
 
     def team_of(self, key_sha256: str) -> Team | None:
-        """Find a team by the hash of its key."""
+        """Find a team by the SHA-256 of its key, in hexadecimal; None for an unknown key."""
         raise NotImplementedError
 
     def service(self, name: str) -> Service | None:
-        """Find a service."""
+        """Find a service by its name; None for an unknown one."""
         raise NotImplementedError
 
     def route(self, service: str, labels: Mapping[str, str]) -> Route | None:
-        """Find the route of a request."""
+        """Find the route that matches a request's labels; None where none matches."""
         raise NotImplementedError
 
     def tier_deadline_s(self, tier: str) -> float | None:
-        """Give a tier's deadline for requests that name none; nothing for an unknown tier."""
+        """Return a tier's default deadline in seconds; None for an unknown tier."""
         raise NotImplementedError
 
 
@@ -81,9 +84,9 @@
 
 
 def prompt_blocks(prompt: str) -> tuple[int, ...]:
-    """Hash the leading blocks of a prompt, each chained to the one before it.
+    """Hash the leading blocks of a prompt; each hash includes the blocks before it.
 
-    :return: one number for each whole block.
+    :return: one hash for each complete block.
     """
     blocks: list[int] = []
     seed = 0
@@ -99,7 +102,7 @@
 def authenticate(
     headers: Mapping[str, str], configuration: ConfigurationLookup
 ) -> Result[Team, BadRequest]:
-    """Find the team that a caller's key belongs to.
+    """Find the team of the caller's bearer key.
 
     :param headers: with lower-case names.
     :rtype: Team, or BadRequest with status 401
@@ -120,7 +123,7 @@
     team: Team,
     configuration: ConfigurationLookup,
 ) -> Result[CallerRequest, BadRequest]:
-    """Check a request for a model engine.
+    """Parse and validate a request for a model engine.
 
     :param headers: with lower-case names.
     :rtype: CallerRequest or BadRequest
@@ -156,7 +159,7 @@
     team: Team,
     configuration: ConfigurationLookup,
 ) -> Result[CallerRequest, BadRequest]:
-    """Check a request for a plain service.
+    """Validate a request for a plain service.
 
     :param path: path at the upstream.
     :rtype: CallerRequest or BadRequest
@@ -278,7 +281,7 @@
     text = headers.get(REPEATABLE_HEADER.lower())
     if text not in (None, "true", "false"):
         return Err(BadRequest(400, REPEATABLE_HEADER, "is neither 'true' nor 'false'"))
-    # A caller can make a request stricter than its service, never laxer.
+    # A caller can forbid repeating a request of a repeatable service, but not allow it for others.
     repeatable = service.repeatable and text != "false"
     if not repeatable and IDEMPOTENCY_HEADER.lower() in headers:
         text = f"not supported for requests that may not be repeated; take a {TOKEN_HEADER} first"
--- a/packages/chalkyoke/src/chalkyoke/entry/runs.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/runs.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.runs
 
-All runs of one entry process: admission by token, joining, and the bounds within which answers
-are kept for callers that come back.
+All runs of one entry process: admits requests by token, joins retries to the existing run, and
+limits which answers are kept for callers that come back.
 """
 
 import hashlib
@@ -19,14 +19,17 @@
 from chalkyoke.tokens.messages import Token, TokenProblem
 from chalkyoke.tokens.state import TokenState
 
-# How long an answer is kept for a retry with the same token, in seconds.
+# Time for which an answer is kept for a retry with the same token, in seconds.
 ANSWER_RETENTION_S = 120.0
-# What answers are kept of all tokens together, in bytes: half of what a node may use for control.
+# Limit on the kept answers of all tokens together, in bytes: half of the memory that a node may use
+# for control.
 MAX_KEPT_ANSWER_BYTES = 16_000_000
 
 
 def request_digest(request: CallerRequest) -> bytes:
-    """Hash what makes two requests the same: all but the time left and the form of the answer.
+    """Hash the fields that identify a request.
+
+    The time budget and the form of the answer are not among them.
 
     :rtype: bytes
     """
@@ -38,8 +41,8 @@
 class Runs:
     """Admit requests by their tokens and keep their runs.
 
-    :param ledger: this process's own tokens.
-    :param codec: seals tokens under the fleet's key.
+    :param ledger: the tokens that this process issued.
+    :param codec: signs and encodes tokens with the fleet's key.
     """
 
     def __init__(self, ledger: TokenLedger, codec: TokenCodec) -> None:
@@ -53,15 +56,15 @@
         return len(self._runs)
 
     def active(self) -> Iterator[Run]:
-        """Walk over the runs that have not ended."""
+        """Iterate over a copy of the runs that have not ended."""
         return (run for run in list(self._runs.values()) if run.end is None)
 
     def all(self) -> Iterator[Run]:
-        """Walk over all runs that are known, ended ones included."""
+        """Iterate over a copy of all runs, including those that have ended."""
         return iter(list(self._runs.values()))
 
     def find(self, request: str) -> Run | None:
-        """Find a run by its request id.
+        """Find a run by its request id; None for an unknown or malformed id.
 
         :rtype: Run or None
         """
@@ -71,9 +74,10 @@
             return None
 
     def issue_token(self, now: float) -> tuple[Token, str]:
-        """Issue a token.
+        """Issue a token for one request.
 
-        :return: the token and its text.
+        :param now: seconds on this process's monotonic clock.
+        :return: the token and its encoded form.
         """
         token = self.ledger.issue(now)
         return token, self.codec.encode(token)
@@ -81,9 +85,11 @@
     def admit(
         self, token: Token, text: str, request: CallerRequest, now: float
     ) -> Result[tuple[Run, bool], TokenProblem]:
-        """Find the one run of a token, or start it.
+        """Find the run of a token, or create it.
 
-        :return: the run, and whether it is new and has to be driven.
+        :param text: the encoded token.
+        :param now: seconds on this process's monotonic clock.
+        :return: the run, and whether it is new and the caller of this method has to start it.
         """
         admitted = self.ledger.admit(token, request_digest(request), now)
         if isinstance(admitted, Err):
@@ -99,14 +105,17 @@
         return Ok((run, record.state is TokenState.ISSUED))
 
     def keep_answer(self, run: Run) -> None:
-        """Keep an ended run's answer, and drop the oldest ones beyond the bound."""
+        """Keep an ended run's answer and drop the oldest ones above the size limit.
+
+        The newest answer is kept even where it alone exceeds the limit.
+        """
         self._kept_answers[run.record.token.sequence] = run
         self._kept_bytes += run.size
         while self._kept_bytes > MAX_KEPT_ANSWER_BYTES and len(self._kept_answers) > 1:
             self._drop_oldest()
 
     def expire(self, now: float) -> None:
-        """Drop answers that were kept long enough, and runs whose tokens have expired.
+        """Drop answers older than the retention time, and runs whose tokens have expired.
 
         :param now: seconds on this process's monotonic clock.
         """
--- a/packages/chalkyoke/src/chalkyoke/entry/service.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/service.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.entry.service
 
-Take requests in, drive each to one end, and let callers read the answers.
+Accepts requests, runs each to exactly one end, and lets callers read the answers.
 """
 
 import asyncio
@@ -26,18 +26,19 @@
 from chalkyoke.scheduling.state import ReleaseOutcome
 from chalkyoke.tokens.messages import Token, TokenProblem
 
-# How long a run that may not be repeated goes on without its caller, in seconds.
+# Time limit in seconds for a dispatched run that must not be repeated; the run goes on without its
+# caller.
 NOT_REPEATABLE_RUN_S = 60.0
-# When a caller comes back to another host of a fleet from one that stops, in seconds.
+# Retry-After in seconds that a stopping host returns; the caller then retries at another host.
 STOPPING_RETRY_S = 0.5
-# How often a stopping node looks whether all is finished, in seconds.
+# Interval in seconds at which a stopping node checks whether all runs and readers have finished.
 DRAIN_CHECK_S = 0.05
 
 log = logger("entry")
 
 
 class EntryService:
-    """Keep the promises to callers while schedulers, upstreams and callers come and go.
+    """Run each accepted request to one end while schedulers, upstreams and callers fail or leave.
 
     :param now: seconds on the monotonic clock since this process started.
     """
@@ -69,11 +70,11 @@
     def submit(
         self, request: CallerRequest, token: Token | None, text: str
     ) -> Result[Run, TokenProblem]:
-        """Start a run, or find the one that the token already has.
+        """Start a run, or join the run that the token already has.
 
-        :param token: the caller's token; one is issued where it has none.
-        :param text: the token as text.
-        :return: the run, or why there is none; then nothing has changed.
+        :param token: the caller's token; None issues a new one.
+        :param text: the encoded token.
+        :return: the run, or the problem with the token; then no state has changed.
         """
         if token is None:
             token, text = self.runs.issue_token(self.now())
@@ -97,7 +98,7 @@
         return Ok(run)
 
     def open_reader(self, run: Run) -> AnswerReader:
-        """Let a caller read a run's answer.
+        """Open a reader of a run's answer; its deadline is the request's full time budget from now.
 
         :rtype: Reader
         """
@@ -105,7 +106,7 @@
         return AnswerReader(run, budget, self._on_reader_closed)
 
     def refusal_for(self, run: Run) -> Refusal | None:
-        """Tell what a caller hears that stops waiting now; nothing for a whole answer.
+        """Return the refusal for a caller that stops waiting now; None for a complete answer.
 
         :rtype: Refusal or None
         """
@@ -119,7 +120,7 @@
         text = "it runs on; ask again with the same token to learn its end"
         return Refusal(Verdict.UNKNOWN, Reason.EXPIRED, text, RETRY_AFTER_S)
 
-    # Driving.
+    # Running a request.
 
     async def _run_to_end(self, run: Run) -> None:
         try:
@@ -132,7 +133,7 @@
         except InvariantBroken:
             raise
         except Exception as error:
-            log.error("{}: {!r}", run.id, error)
+            log.error("request {} failed with an unexpected error: {!r}", run.id, error)
             self._metrics.count("faults")
             self._abandon(run, Reason.INTERNAL, "this host has a fault")
         finally:
@@ -140,20 +141,21 @@
 
     async def _acquire_and_send(self, run: Run) -> None:
         while run.end is None:
-            verdict = await self._acquirer.acquire(run)
-            if isinstance(verdict, Shed):
-                self._recorder.refuse_shed(run, verdict)
+            decision = await self._acquirer.acquire(run)
+            if isinstance(decision, Shed):
+                self._recorder.refuse_shed(run, decision)
                 return
-            run.grant = verdict
-            self._events.add(EventKind.GRANTED, run.id, upstream=verdict.upstream)
-            if not self._configuration.may_dispatch(verdict.upstream):
+            run.grant = decision
+            self._events.add(EventKind.GRANTED, run.id, upstream=decision.upstream)
+            if not self._configuration.may_dispatch(decision.upstream):
                 self._acquirer.release(run, ReleaseOutcome.UNUSED)
             elif run.request.repeatable:
-                await self._dispatcher.send(run, verdict)
+                await self._dispatcher.send(run, decision)
             else:
-                # Once sent it goes on, so that a retry with the same token learns its end.
+                # A dispatched run goes on without its caller, so that a retry with the same token
+                # can read its outcome.
                 await asyncio.shield(
-                    self._start_task(f"{run.id}/run", self._send_once(run, verdict))
+                    self._start_task(f"{run.id}/run", self._send_once(run, decision))
                 )
 
     async def _send_once(self, run: Run, grant: Grant) -> None:
@@ -165,7 +167,10 @@
                 self._recorder.fail(run, Reason.NO_ANSWER, "it was sent and no answer came")
 
     def _abandon(self, run: Run, reason: Reason, detail: str) -> None:
-        """End a run whose time is over or whose callers have left."""
+        """End a run after its deadline, after its callers have left or after an internal error.
+
+        A dispatched run that must not be repeated is left running.
+        """
         if run.end is not None:
             return
         if not run.dispatched:
@@ -176,7 +181,7 @@
             self._start_task(f"{run.id}/cancel", self._dispatcher.cancel(run))
 
     def _on_reader_closed(self, run: Run) -> None:
-        """Cancel what nobody waits for, unless its caller may come back for it."""
+        """Cancel a run without readers, unless its caller may come back for the answer."""
         if run.readers > 0 or run.end is not None or run.request.held_token:
             return
         if run.dispatched and not run.request.repeatable:
@@ -196,19 +201,19 @@
     def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self._tasks.pop(task.get_name(), None)
         if not task.cancelled() and (error := task.exception()) is not None:
-            report = {"message": "a run broke", "exception": error}
+            report = {"message": "a task of a request raised an exception", "exception": error}
             asyncio.get_running_loop().call_exception_handler(report)
 
     # Stopping.
 
     def in_progress(self) -> list[Run]:
-        """List the runs that a stop now would cut off.
+        """List the runs that have not ended; stopping now would cut them off.
 
         :rtype: list[Run]
         """
         return list(self.runs.active())
 
     async def drain(self) -> None:
-        """Wait until every run has ended and every reader has read its answer."""
+        """Wait until every run has ended and every reader is closed."""
         while self._tasks or any(run.readers for run in self.runs.all()):  # noqa: ASYNC110
             await asyncio.sleep(DRAIN_CHECK_S)
--- a/packages/chalkyoke/src/chalkyoke/entry/state.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/state.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.state
 
-One run: a request on its way from a caller to one dispatch and back, with its answer kept for
-callers that join. No I/O; the ledger behind it decides what is allowed.
+State of one run: a request, its single dispatch, and the answer, kept for callers that join later.
+No I/O; the token ledger decides which transitions are allowed.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """The answer came whole."""
+    """End of a run whose answer is complete."""
 
 
 End = Complete | Refusal
@@ -26,15 +26,21 @@
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One request and its one way to an answer.
-
-    :param id: id of the request over the fleet, from its token.
-    :param arrived: seconds on this process's monotonic clock.
-    :param deadline: on the same clock.
-    :ivar chunks: the answer so far, kept for callers that join.
-    :ivar end: how it ended, once it has.
-    :ivar readers: callers that read the answer now.
-    :ivar watchers: called after each change; a shell's way to wake its readers.
+    """One request with its state and answer.
+
+    :param id: fleet-wide id of the request, from its token.
+    :param token: the encoded token.
+    :param arrived: arrival time, in seconds on this process's monotonic clock.
+    :param deadline: in seconds on the same clock.
+    :ivar attempt: number of acquire attempts so far.
+    :ivar dispatched_at: in seconds on the same clock; -1 before the dispatch.
+    :ivar first_s: time from the dispatch to the first chunk, in seconds; -1 before.
+    :ivar chunks: the answer so far, kept for callers that join later.
+    :ivar size: size of the answer so far, in bytes.
+    :ivar end: how the run ended; None while it has not.
+    :ivar answer_dropped: whether the kept answer was discarded to stay within the limits.
+    :ivar readers: number of callers that read the answer now.
+    :ivar watchers: callbacks after each change; they wake the readers.
     """
 
     id: str
@@ -60,7 +66,7 @@
 
     @property
     def state(self) -> TokenState:
-        """Where its token stands."""
+        """State of the run's token in the ledger."""
         return self.record.state
 
     @property
@@ -69,14 +75,15 @@
         return self.record.dispatches > 0
 
     def mark_queued(self) -> None:
-        """Note that it waits for a grant."""
+        """Mark the run as waiting for a grant."""
         self.ledger.transition(self.record, TokenState.QUEUED)
 
     def claim_dispatch(self, now: float) -> bool:
-        """Take the one permission to send it; call before the first byte leaves.
+        """Claim the run's only dispatch; call before the first byte is sent.
 
         :param now: seconds on this process's monotonic clock.
-        :return: whether it may be sent; not after its end or its deadline.
+        :return: whether the run may be sent: it is queued, has not ended and its deadline has not
+            passed.
         """
         if self.end is not None or self.state is not TokenState.QUEUED or now >= self.deadline:
             return False
@@ -85,17 +92,18 @@
         return True
 
     def start_answer(self, head: AnswerHead) -> None:
-        """Note the start of the answer."""
+        """Store the status and content type of the answer."""
         self.head = head
         self._changed()
 
     def append_chunk(self, data: bytes, now: float, tokens: int = 0) -> None:
-        """Add a piece of the answer.
+        """Append a chunk of the answer.
 
-        :param tokens: output tokens in it.
+        :param now: seconds on this process's monotonic clock.
+        :param tokens: number of output tokens in the chunk.
         """
         if self.record.dispatches != 1:
-            require(False, "an answer has one dispatch before it", request=self.id)
+            require(False, "an answer follows exactly one dispatch", request=self.id)
         if self.first_s < 0:
             self.first_s = now - self.dispatched_at
         self.output_tokens += tokens
@@ -104,28 +112,32 @@
         self._changed()
 
     def finish(self, now: float) -> None:
-        """Note that the answer is whole."""
+        """End the run with a complete answer."""
         self.ledger.transition(self.record, TokenState.ANSWERED)
         self._end(Complete(), now)
 
     def refuse(self, refusal: Refusal, now: float) -> None:
-        """End it before it ran: the caller is told "not run", finally.
+        """End the run before its dispatch; the verdict "not run" is final.
 
-        :raises InvariantBroken: when it was dispatched.
+        :raises InvariantBroken: when the run was dispatched or the refusal has another verdict.
         """
-        require(refusal.verdict is Verdict.NOT_RUN, "a refusal says 'not run'", request=self.id)
+        require(
+            refusal.verdict is Verdict.NOT_RUN,
+            "a refusal before the dispatch has the verdict 'not run'",
+            request=self.id,
+        )
         self.ledger.transition(self.record, TokenState.REFUSED)
         self.ledger.check_not_run(self.record)
         self._end(refusal, now)
 
     def fail(self, refusal: Refusal, now: float) -> None:
-        """End it after it was dispatched, without a whole answer.
+        """End a dispatched run without a complete answer.
 
-        :raises InvariantBroken: when it says "not run" or it was not dispatched.
+        :raises InvariantBroken: when the verdict is "not run" or the run was not dispatched.
         """
         require(
             refusal.verdict is not Verdict.NOT_RUN,
-            "a dispatched request is never told 'not run'",
+            "a dispatched request never gets the verdict 'not run'",
             request=self.id,
         )
         self.ledger.transition(self.record, TokenState.FAILED)
@@ -134,15 +146,16 @@
     def make_failure(
         self, reason: Reason, detail: str, retry_after_s: float | None = None
     ) -> Refusal:
-        """Word the failure of a dispatched run by how far it got.
+        """Build the refusal for a dispatched run that failed.
 
-        :return: ``failed`` where a part of the answer came, else ``unknown``.
+        :param retry_after_s: time after which the caller may retry, in seconds.
+        :return: verdict ``failed`` where the answer has started, else ``unknown``.
         """
         verdict = Verdict.FAILED if self.head is not None else Verdict.UNKNOWN
         return Refusal(verdict, reason, detail, retry_after_s, self.size)
 
     def drop_answer(self) -> None:
-        """Forget the kept answer, to stay within bounds."""
+        """Discard the kept answer to stay within the limits on kept answers."""
         self.chunks.clear()
         self.answer_dropped = True
 
--- a/packages/chalkyoke/src/chalkyoke/entry/streams.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/streams.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.streams
 
-Cut an engine's server-sent events at their ends, so that callers get whole events only and a
-broken stream can be resumed at an exact offset.
+Splits an engine's stream into complete server-sent events, so that callers get only complete events
+and a broken stream can be resumed at an exact offset.
 """
 
 import msgspec
@@ -13,10 +13,10 @@
 
 
 class EventSplitter:
-    """Take bytes in, give whole events out.
+    """Buffer bytes of a stream and return complete events.
 
-    :ivar events: whole events so far; the offset at which a stream is resumed.
-    :ivar done: whether the final event has come.
+    :ivar event_count: number of complete events so far; the offset at which a stream is resumed.
+    :ivar done: whether the final event has arrived.
     """
 
     __slots__ = ("_partial", "done", "event_count")
@@ -27,9 +27,9 @@
         self.done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes in.
+        """Add bytes of the stream.
 
-        :return: the events that are whole now, as they came.
+        :return: the events that are complete now, unchanged; empty where none is.
         """
         if self._partial:
             data = self._partial + data
@@ -38,14 +38,14 @@
             self._partial = data
             return b""
 
-        whole, self._partial = data[:end], data[end:]
-        self.event_count += whole.count(EVENT_END)
-        if whole.endswith(DONE_EVENT):
+        complete, self._partial = data[:end], data[end:]
+        self.event_count += complete.count(EVENT_END)
+        if complete.endswith(DONE_EVENT):
             self.done = True
-        return whole
+        return complete
 
     def discard_partial(self) -> None:
-        """Forget a partial event, before the stream is resumed."""
+        """Discard the buffered partial event before the stream is resumed."""
         self._partial = b""
 
 
@@ -73,7 +73,7 @@
 
 
 class StreamUsage(msgspec.Struct, frozen=True):
-    """What an engine said of its work at the end of a stream; -1 where it did not."""
+    """Usage in tokens that an engine reported at the end of a stream; -1 where it reported none."""
 
     prompt_tokens: int = -1
     output_tokens: int = -1
@@ -81,9 +81,9 @@
 
 
 def read_usage(tail: bytes) -> StreamUsage:
-    """Find the usage in the last events of a stream.
+    """Parse the usage from the last events of a stream.
 
-    :param tail: bytes that hold at least the last two events whole.
+    :param tail: end of the stream, with at least the last two events complete.
     :rtype: StreamUsage
     """
     for part in reversed(tail.split(EVENT_END)):
@@ -100,10 +100,10 @@
 
 
 def assemble_completion(stream: bytes) -> bytes:
-    """Put a streamed completion together as one JSON answer.
+    """Assemble the events of a streamed completion into one JSON answer.
 
-    :param stream: all events, the final one included.
-    :return: the answer in the usual whole form.
+    :param stream: all events, including the final one.
+    :return: the body of a completion that is not streamed.
     """
     text: list[str] = []
     content: list[str] = []
