--- a/packages/chalkyoke/src/chalkyoke/discovery/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/discovery/__init__.py
@@ -1,5 +1,5 @@
 """
 chalkyoke.discovery
 
-Where upstreams and entry hosts are found: the client for the product's own host list format.
+Discovery of upstreams and entry hosts: the client for the product's own host list format.
 """
--- a/packages/chalkyoke/src/chalkyoke/discovery/host_list.py
+++ b/packages/chalkyoke/src/chalkyoke/discovery/host_list.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.discovery.host_list
 
-The platform's list of live and leaving hosts, as JSON over HTTP. The list lags.
+The platform's list of live and leaving hosts, as JSON over HTTP. The list may be out of date.
 """
 
 import aiohttp
@@ -10,6 +10,7 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.configuration.messages import HostsAnswer, ListedHost
 
+# How long one fetch of the list may take, in seconds.
 FETCH_TIMEOUT_S = 2.0
 
 
@@ -27,9 +28,9 @@
 
 
 class HostListClient:
-    """Read the host list.
+    """Fetch the host list.
 
-    :param url: address of the list.
+    :param url: URL of the list.
     """
 
     def __init__(self, session: aiohttp.ClientSession, url: str, metrics: Metrics) -> None:
@@ -38,7 +39,7 @@
         self._metrics = metrics
 
     async def fetch(self) -> HostsAnswer | None:
-        """Read the list once; nothing where it can't be had.
+        """Fetch the list once; return None if it is unavailable or invalid.
 
         :rtype: HostsAnswer or None
         """
--- a/packages/chalkyoke/src/chalkyoke/node/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/node/__init__.py
@@ -1,5 +1,5 @@
 """
 chalkyoke.node
 
-One process: the slices put together over one event loop.
+The node process, which runs all slices on one event loop.
 """
--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.announcements
 
-What replicas say of themselves in their answers: that they leave and what they take from all nodes,
-which all nodes are told, and that they want nothing of this node for a while.
+Applies what replicas state in their answers. That a replica leaves and its rate limit for all nodes
+are broadcast; that it wants no requests of this node for a while is applied here only.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class Announcements:
-    """Take what replicas say, and what other nodes were told.
+    """Apply the statements of replicas and the leaving replicas that other nodes broadcast.
 
     :param send: sends a message to a node by its link address.
     :param changed: called after a replica's standing has changed.
@@ -52,7 +52,7 @@
         self._first_announced_here: set[str] = set()
 
     def note_answer(self, replica: Replica, statement: Statement) -> None:
-        """Take what an answer says of its replica."""
+        """Apply the statement of a replica in one of its answers."""
         if statement.leaving:
             self._apply_leaving(replica)
         if statement.rest_s > 0:
@@ -61,10 +61,11 @@
             self._limits.note_answer(replica.id, statement.limit_per_s)
 
     def _apply_leaving(self, replica: Replica) -> None:
-        """Note that a replica says that it leaves, and tell all nodes unless its record did.
+        """Mark a replica as leaving and broadcast it, unless it is already known to leave.
 
-        Its answers tell it some milliseconds before its record does, and alone while the store is
-        silent: a scheduler that knew the record only would go on sending it work.
+        The answers state it some milliseconds before the replica's record does, and are the only
+        source while the store sends no updates: a scheduler that relied on the record alone would
+        keep sending requests to the replica.
         """
         if not self._state.note_leaving(replica.id, self._now()):
             return
@@ -75,16 +76,16 @@
         self._metrics.count("replica_leaves", source="answer")
 
     def _apply_rest(self, replica: Replica, seconds: float) -> None:
-        """Note that a replica wants nothing of this node for some time."""
+        """Stop sending requests to a replica for the time that it asked for."""
         is_new, for_s = self._balancer.note_rest(replica.id, seconds, self._now())
         if is_new:
             log.info("replica_rests", replica=replica.id, asked_s=seconds, for_s=for_s)
             self._metrics.count("replica_rests")
 
     def receive(self, address: str, message: ReplicasLeave) -> None:
-        """Take what another node was told.
+        """Apply and relay a broadcast of leaving replicas.
 
-        :param address: link address of the node.
+        :param address: link address of the sender.
         """
         now = self._now()
         new = [each for each in message.replicas if self._state.note_leaving(each, now)]
@@ -96,15 +97,19 @@
         relay_on(self._view, self._send, message)
 
     def member_joined(self, member: MemberRecord) -> None:
-        """Tell a node that has started or was cut off who leaves, where the store may not do so.
+        """Send the leaving replicas that the store may not have to a node that has joined.
 
-        That is what was first heard here, and what a restored store has lost. A node that misses
-        this learns it by the first answer of the replica itself.
+        The node has started or was cut off. The replicas are those that were first announced to
+        this node and those that a restored store has lost. A node that misses this message learns
+        it from the first answer of the replica itself.
         """
         leaving = self._announced_leaving() | self._state.leaving_despite_restore()
         if leaving:
             self._send(member.address, ReplicasLeave(tuple(sorted(leaving))))
 
     def _announced_leaving(self) -> set[str]:
-        """Give what was first heard here and is still remembered, which bounds it."""
+        """Return the replicas first announced to this node that still count as leaving.
+
+        This bounds the set.
+        """
         return {each for each in self._first_announced_here if self._state.leaves(each)}
--- a/packages/chalkyoke/src/chalkyoke/node/api.py
+++ b/packages/chalkyoke/src/chalkyoke/node/api.py
@@ -1,7 +1,8 @@
 """
 chalkyoke.node.api
 
-The administration API: resources, plan and apply, status, events, metrics and planned stops.
+The administration API: resources, plan and apply, history, status, events, metrics and planned
+stops.
 """
 
 import hashlib
@@ -34,8 +35,10 @@
     from chalkyoke.node.process import Node
 
 MAX_DOCUMENT_BYTES = 8_000_000
+# The roles of operators.
 VIEW = "view"
 OPERATE = "operate"
+# The time after which a client may retry while the store is unavailable, in seconds.
 STORE_RETRY_S = 2.0
 
 log = logger("administration")
@@ -49,9 +52,9 @@
 
 
 class NodeApi:
-    """Serve operators.
+    """Serve the administration API to operators.
 
-    :param node: the process that is administered.
+    :param node: the node that is administered.
     """
 
     def __init__(self, node: "Node") -> None:
@@ -83,10 +86,10 @@
         return app
 
     def check_role(self, req: falcon.asgi.Request, role: str) -> str:
-        """Check the caller's role.
+        """Check that the caller's token has a role.
 
-        :param role: ``view`` or ``operate``; who may operate may view.
-        :return: a short name of the token, for the history.
+        :param role: ``view`` or ``operate``; a token that may operate may also view.
+        :return: the first 8 digits of the token's digest, as the author in the history.
         :raises falcon.HTTPError: 401 or 403.
         """
         scheme, _, token = (req.auth or "").partition(" ")
@@ -105,9 +108,9 @@
     async def read_change(
         self, req: falcon.asgi.Request, author: str
     ) -> Result[Change, list[Problem]]:
-        """Read a change from a request's body.
+        """Decode a change from a request's body.
 
-        :return: the change, or every mistake in it.
+        :return: the change, or all problems in it.
         """
         body = await req.stream.read(MAX_DOCUMENT_BYTES + 1)
         if len(body) > MAX_DOCUMENT_BYTES:
@@ -123,21 +126,21 @@
         return Ok(Change(parsed.change_id, author, parsed.base, specs.ok_value, deletes))
 
 
-class _Page:
+class _Endpoint:
     def __init__(self, api: NodeApi) -> None:
         self._api = api
         self._node = api.node
 
 
-class _Health(_Page):
+class _Health(_Endpoint):
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Tell that the process lives."""
+        """Report that the process is alive."""
         resp.media = {"alive": True, "process": self._node.process}
 
 
-class _Ready(_Page):
+class _Ready(_Endpoint):
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Tell whether callers should be sent here."""
+        """Report whether this node is ready for callers; 503 if not."""
         state = self._node.configuration.state
         stopping = self._node.entry.stopping
         ready = state.revision > 0 and not stopping
@@ -148,14 +151,14 @@
             resp.media["reason"] = reason
 
 
-class _MetricsPage(_Page):
+class _MetricsPage(_Endpoint):
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Give the metrics in the text exposition format."""
+        """Return the metrics in the Prometheus text exposition format."""
         resp.content_type = "text/plain; version=0.0.4; charset=utf-8"
         resp.data = metrics_page(self._node.metrics)
 
 
-class _Resources(_Page):
+class _Resources(_Endpoint):
     async def on_get(
         self,
         req: falcon.asgi.Request,
@@ -163,7 +166,7 @@
         kind: str = "",
         name: str = "",
     ) -> None:
-        """Read the resources of the revision in force."""
+        """Return the resources of the revision in force, filtered by kind and name."""
         self._api.check_role(req, VIEW)
         if kind and kind not in KINDS:
             raise falcon.HTTPNotFound(description=f"kinds are {', '.join(KINDS)}")
@@ -178,7 +181,10 @@
 
 
 def _plan_warnings(before: FleetView, specs: Specs) -> dict[str, Any]:
-    """Work out what a configuration would leave without an upstream or unused."""
+    """Return the routes without an upstream and the unused tiers of a planned configuration.
+
+    The result is empty if the configuration is invalid.
+    """
     built = build(specs)
     if isinstance(built, Err):
         return {}
@@ -189,9 +195,9 @@
     }
 
 
-class _Plan(_Page):
+class _Plan(_Endpoint):
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Show what a change would do; nothing is written."""
+        """Return the effects of a change without writing anything."""
         author = self._api.check_role(req, VIEW)
         change = await self._api.read_change(req, author)
         if isinstance(change, Err):
@@ -208,9 +214,9 @@
             _respond_invalid(resp, planned.problems)
 
 
-class _Apply(_Page):
+class _Apply(_Endpoint):
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Apply a change: accepted only when it is known to have taken effect."""
+        """Apply a change; it is accepted only if it is known to have taken effect."""
         author = self._api.check_role(req, OPERATE)
         change = await self._api.read_change(req, author)
         if isinstance(change, Err):
@@ -247,7 +253,7 @@
             _respond_problem(resp, 504, "unsettled", text, retry_after_s=STORE_RETRY_S)
 
 
-class _History(_Page):
+class _History(_Endpoint):
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """List the latest changes, oldest first."""
         self._api.check_role(req, VIEW)
@@ -267,9 +273,9 @@
         }
 
 
-class _Status(_Page):
+class _Status(_Endpoint):
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Show nodes, pools and upstreams as this node sees them."""
+        """Return the nodes, pools and upstreams that this node sees."""
         self._api.check_role(req, VIEW)
         node = self._node
         now = node.now()
@@ -304,7 +310,7 @@
         }
 
 
-class _Events(_Page):
+class _Events(_Endpoint):
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """List this node's events, oldest first."""
         self._api.check_role(req, VIEW)
@@ -316,7 +322,7 @@
         resp.data = msgspec.json.encode({"events": events})
 
 
-class _Drain(_Page):
+class _Drain(_Endpoint):
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Begin a planned stop of this node."""
         self._api.check_role(req, OPERATE)
--- a/packages/chalkyoke/src/chalkyoke/node/configuration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/configuration.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.configuration
 
-Keep the configuration and the host list up to date: one watcher for each failure domain asks the
-platform, all others ask their peers.
+Keeps the configuration and the host list up to date: one watcher in each failure domain queries the
+platform, all other nodes query their peers.
 """
 
 import asyncio
@@ -32,7 +32,9 @@
 from chalkyoke.storage.keyvalue import StoreClient
 
 WATCH_DUTY = "watch"
+# The shortest time between two requests to peers for the same item, in seconds.
 REQUEST_INTERVAL_S = 0.3
+# How long a watcher waits after a failed call or while it has no watch duty, in seconds.
 RETRY_DELAY_S = 0.25
 
 log = logger("configuration")
@@ -71,16 +73,16 @@
         self._root_version = 0
         self._requested_at: dict[str, float] = {}
 
-    # Starting.
+    # Start.
 
     async def start(self) -> None:
-        """Ask the platform once; where it is away, the peers will tell."""
+        """Query the platform once; if it is unavailable, the peers will send both."""
         await asyncio.gather(self._poll_hosts(), self._read_root())
 
     # Loops of the watcher.
 
     async def watch_root(self) -> None:
-        """Wait on the root while this process is its failure domain's watcher."""
+        """Watch the root key while this process is its failure domain's watcher."""
         while True:
             if not self._view.holds_duty(WATCH_DUTY):
                 await asyncio.sleep(RETRY_DELAY_S)
@@ -102,7 +104,7 @@
     # Peers.
 
     def receive_heartbeat(self, address: str, record: MemberRecord) -> None:
-        """Ask a peer for what it has and this node lacks.
+        """Request a newer revision or host list from the peer whose heartbeat announces it.
 
         :param address: link address of the peer.
         """
@@ -117,7 +119,7 @@
         connection: Connection,
         message: RevisionRequest | RevisionAnswer | HostsRequest | HostsAnswer,
     ) -> None:
-        """Take a peer's question or answer."""
+        """Answer a peer's request, or apply its answer if it is newer."""
         if isinstance(message, RevisionRequest):
             if self.state.revision > message.above:
                 chunks = {h: c for h, c in self.state.chunks.items() if h not in message.held}
@@ -132,19 +134,19 @@
         else:
             self._adopt_hosts(message)
 
-    # Taking.
+    # Applying revisions and host lists.
 
     def adopt(self, root: Root, chunks: dict[str, bytes], source: str) -> None:
-        """Move to a configuration, if its revision is higher.
+        """Apply a configuration if its revision is higher than the current one.
 
-        :param source: where it came from, for the log.
+        :param source: the origin of the configuration, for the log.
         """
-        taken = self.state.adopt(root, chunks)
-        if isinstance(taken, Err):
+        adopted = self.state.adopt(root, chunks)
+        if isinstance(adopted, Err):
             self._metrics.count("revision_unreadable")
-            log.warning("a revision from {} was not taken: {}", source, taken.err_value)
-        elif taken.ok_value:
-            log.info("revision {} is in force, from {}", root.revision, source)
+            log.warning("revision from {} was rejected: {}", source, adopted.err_value)
+        elif adopted.ok_value:
+            log.info("revision {} from {} is in force", root.revision, source)
             self._rebuild()
 
     async def _read_root(self) -> None:
@@ -157,7 +159,7 @@
             root = decode_root(found.value)
         except ValueError as error:
             self._metrics.count("revision_unreadable")
-            log.error("the root in the store is not readable: {}", error)
+            log.error("root in the store is unreadable: {}", error)
             await asyncio.sleep(RETRY_DELAY_S)
             return
         if root.revision > self.state.revision:
@@ -198,9 +200,9 @@
         )
         self._changed()
 
-    def _may_request(self, what: str) -> bool:
+    def _may_request(self, item: str) -> bool:
         now = self._now()
-        if now - self._requested_at.get(what, -REQUEST_INTERVAL_S) < REQUEST_INTERVAL_S:
+        if now - self._requested_at.get(item, -REQUEST_INTERVAL_S) < REQUEST_INTERVAL_S:
             return False
-        self._requested_at[what] = now
+        self._requested_at[item] = now
         return True
--- a/packages/chalkyoke/src/chalkyoke/node/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleet.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.fleet
 
-The fleet as configuration and host list together describe it: upstreams with their labels, pools
-and routes. Rebuilt when either changes; looked up for each request.
+The fleet that configuration and host list define together: upstreams with their labels, pools and
+routes. The view is rebuilt when either changes and is read for each request.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,7 +26,7 @@
 
 
 def pool_name(service: Service, shard: int) -> str:
-    """Name one shard of a service's pool.
+    """Return the pool name of one shard of a service.
 
     :rtype: str
     """
@@ -34,9 +34,12 @@
 
 
 def _match_class(host: ListedHost, classes: Iterable[UpstreamClass]) -> UpstreamClass | None:
-    """Find the class of an upstream: the matching one with the most conditions."""
-    found = [each for each in classes if matches(each.selector, host.labels)]
-    return max(found, key=lambda each: (len(each.selector), each.name), default=None)
+    """Return the matching class with the most conditions, or None if no class matches.
+
+    Of several, the class with the last name in sort order is returned.
+    """
+    matched = [each for each in classes if matches(each.selector, host.labels)]
+    return max(matched, key=lambda each: (len(each.selector), each.name), default=None)
 
 
 class FleetView(Directory):
@@ -65,32 +68,32 @@
         for service in resources.service.values():
             self._add_pools(service)
 
-    # For reception.
+    # Lookups of request reception.
 
     def team_of(self, key_sha256: str) -> Team | None:
-        """Find a team by the hash of its key."""
+        """Return the team of an API key's SHA-256 digest, or None if no team has the key."""
         return self._teams.get(key_sha256)
 
     def service(self, name: str) -> Service | None:
-        """Find a service."""
+        """Return a service by name, or None if there is none."""
         return self.resources.service.get(name)
 
     def route(self, service: str, labels: Mapping[str, str]) -> Route | None:
-        """Find the route of a request: the matching one with the most conditions."""
+        """Return the matching route with the most conditions, or None if no route matches."""
         for route in self._routes.get(service, ()):
             if matches(route.match, labels):
                 return route
         return None
 
     def tier_deadline_s(self, tier: str) -> float | None:
-        """Give a tier's deadline for requests that name none; nothing for an unknown tier."""
-        found = self.resources.tier.get(tier)
-        return found.default_deadline_s if found is not None else None
+        """Return a tier's default deadline in seconds, or None for an unknown tier."""
+        matched = self.resources.tier.get(tier)
+        return matched.default_deadline_s if matched is not None else None
 
-    # For the entry and scheduling sides.
+    # Lookups of the entry and scheduling slices.
 
     def pool(self, service: str, request: str) -> str:
-        """Give the pool that a request of a service belongs to.
+        """Return the name of the pool that a service's request belongs to.
 
         :rtype: str
         """
@@ -98,7 +101,7 @@
         return shards[_hash(request) % len(shards)] if shards else service
 
     def may_dispatch(self, upstream: str) -> bool:
-        """Tell whether an upstream takes new work, as far as this process knows.
+        """Return whether an upstream is listed here and not leaving.
 
         :rtype: bool
         """
@@ -106,7 +109,7 @@
         return spec is not None and not spec.leaving
 
     def candidates(self) -> list[Candidate]:
-        """List the entry hosts.
+        """List the entry hosts as candidates for membership.
 
         :rtype: list[Candidate]
         """
@@ -116,10 +119,10 @@
             if host.labels.get(KIND_LABEL) == ENTRY_KIND
         ]
 
-    # What plan and status show.
+    # Warnings of plan and status.
 
     def routes_without_upstream(self) -> list[str]:
-        """List the routes that no upstream could serve now.
+        """List the names of the routes that have no upstream now.
 
         :rtype: list[str]
         """
@@ -129,7 +132,7 @@
         return sorted(set(self.resources.route) - served)
 
     def unused_tiers(self) -> list[str]:
-        """List the tiers that no team may use.
+        """List the names of the tiers that no team and no route uses.
 
         :rtype: list[str]
         """
@@ -137,29 +140,29 @@
         used |= {route.tier for route in self.resources.route.values() if route.tier}
         return sorted(set(self.resources.tier) - used)
 
-    # Building.
+    # Construction.
 
     def _add_upstreams(self) -> None:
         classes = list(self.resources.upstream_class.values())
         for host in self.hosts:
             if host.labels.get(KIND_LABEL) == ENTRY_KIND:
                 continue
-            found = _match_class(host, classes)
-            if found is None:
+            matched = _match_class(host, classes)
+            if matched is None:
                 continue
             self._upstreams[host.id] = UpstreamSpec(
                 id=host.id,
                 address=host.address,
                 failure_domain=host.failure_domain,
-                slots=found.slots,
-                prefill_tokens_per_s=found.prefill_tokens_per_s,
-                decode_tokens_per_s=found.decode_tokens_per_s,
-                batch_slowdown=found.batch_slowdown,
-                cache_blocks=found.cache_blocks,
+                slots=matched.slots,
+                prefill_tokens_per_s=matched.prefill_tokens_per_s,
+                decode_tokens_per_s=matched.decode_tokens_per_s,
+                batch_slowdown=matched.batch_slowdown,
+                cache_blocks=matched.cache_blocks,
                 leaving=host.leaving,
             )
             own = {DOMAIN_LABEL: host.failure_domain}
-            self._labels[host.id] = {**host.labels, **found.labels, **own}
+            self._labels[host.id] = {**host.labels, **matched.labels, **own}
 
     def _group_routes(self) -> dict[str, list[Route]]:
         routes: dict[str, list[Route]] = {}
@@ -170,22 +173,22 @@
         return routes
 
     def _add_pools(self, service: Service) -> None:
-        """Cut a service's upstreams into shards; requests go to those that have upstreams."""
+        """Split a service's upstreams into shards; requests go to shards that have upstreams."""
         served = [uid for uid, held in self._labels.items() if matches(service.selector, held)]
         for shard in range(service.shards):
-            mine = [uid for uid in served if _hash(uid) % service.shards == shard]
+            own = [uid for uid in served if _hash(uid) % service.shards == shard]
             routes = tuple(
                 RouteSpec(
                     route.name,
-                    frozenset(u for u in mine if matches(route.upstreams, self._labels[u])),
+                    frozenset(u for u in own if matches(route.upstreams, self._labels[u])),
                 )
                 for route in self._routes.get(service.name, ())
             )
             name = pool_name(service, shard)
-            upstreams = tuple(self._upstreams[uid] for uid in mine)
+            upstreams = tuple(self._upstreams[uid] for uid in own)
             self.pools[name] = PoolSpec(
                 name, upstreams, self._tiers, self._team_specs, routes, service.caution
             )
-            if mine:
+            if own:
                 self._shards.setdefault(service.name, []).append(name)
         self._shards.setdefault(service.name, [pool_name(service, 0)])
--- a/packages/chalkyoke/src/chalkyoke/node/fleetsize.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleetsize.py
@@ -1,39 +1,39 @@
 """
 chalkyoke.node.fleetsize
 
-How many nodes there may be: those alive, and those that were alive not long ago and may only be
-out of sight.
+Estimates how many nodes may exist: the live ones, and those that were live or registered recently
+and may only be unreachable.
 """
 
 from collections.abc import Iterable
 
 from chalkyoke.membership.messages import MemberRecord
 
-# How long a host that is gone still counts among those that there may be, in seconds: a cut or a
-# restart is over by then.
+# How long a host that is gone still counts, in seconds: a network partition or a restart is over by
+# then.
 HOST_RETENTION_S = 120.0
 
 
 class FleetSize:
-    """Remember the hosts that were seen lately."""
+    """Count the hosts that were seen recently."""
 
     def __init__(self) -> None:
         self._last_seen: dict[str, float] = {}
 
     def record_live(self, records: Iterable[MemberRecord], now: float) -> None:
-        """Note who is alive."""
+        """Record the live members that don't leave, and drop hosts that were gone for too long."""
         for record in records:
             if not record.leaving:
                 self._last_seen[record.host] = now
         self._drop_expired(now)
 
     def record_registered(self, hosts: Iterable[str], now: float) -> None:
-        """Note who is registered in the store, whether or not it was ever heard."""
+        """Record the hosts registered in the store, whether or not they ever sent a message."""
         for host in hosts:
             self._last_seen[host] = now
 
     def count(self) -> int:
-        """Count the hosts that there may be.
+        """Return the number of hosts that may exist, at least 1.
 
         :rtype: int
         """
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.gateway
 
-The gateway node: requests as they are, on a platform whose store declares routes and replicas. The
-slices put together, started, and stopped without cutting anything off.
+The gateway node, for a platform whose store declares routes and replicas. Builds the slices of one
+process, starts them, and stops them after the requests in progress have ended.
 """
 
 import asyncio
@@ -78,31 +78,32 @@
 from chalkyoke.retries.budget import BudgetLimits, RetryBudget
 from chalkyoke.rollouts.exposure import ExposureBounds
 
-# How often a pool's scheduler gives up what is late, in seconds: a twentieth of the shortest goals.
+# How often a pool's scheduler expires late requests, in seconds: a twentieth of the shortest goals.
 TICK_S = 0.05
-# How often what is old is dropped and what was lost is told again, in seconds.
+# How often expired state is dropped and reports that may have been lost are repeated, in seconds.
 HOUSEKEEPING_S = 1.0
-# Bits of the random number that tells two starts of a process apart: it stays positive in 64.
+# Bits of the random incarnation number, which distinguishes two starts of a process. 62 bits keep
+# the number positive in 64 bits.
 INCARNATION_BITS = 62
-# New connections that may wait to be taken, in number: a burst while the loop is busy.
+# Number of new connections that may wait for accept: enough for a burst while the loop is busy.
 BACKLOG_CONNECTIONS = 1024
-# How long a node that stops still takes callers, in seconds: the balancer asks each second and goes
-# by two misses.
+# How long a stopping node still accepts callers, in seconds: the load balancer checks readiness
+# each second and removes a node after two failed checks.
 LEAVE_DELAY_S = 2.5
-# When a node that finds no other takes duties for the fleet, in seconds since its start: four
-# heartbeats.
+# When a node that has found no other ready node declares itself ready for fleet duties, in seconds
+# since its start: four heartbeats.
 READY_ALONE_AFTER_S = 1.0
-# How much sooner than it may be killed a node that stops ends, in seconds: for its last answers and
-# for taking itself off the list.
+# How long before the end of the grace period a stopping node ends, in seconds: time for its last
+# answers and for its removal from the store. After the grace period it may be killed.
 GRACE_MARGIN_S = 0.6
 
 log = logger("node")
 
 
 class GatewayNode:
-    """One process of the fleet. Make it inside a running loop.
+    """One gateway process of the fleet. Create it inside a running event loop.
 
-    :param path: where the settings lie, to read them again.
+    :param path: the settings file, which is read again on a reload.
     """
 
     def __init__(self, settings: GatewaySettings, path: Path, platform: PlatformParts) -> None:
@@ -126,7 +127,7 @@
             hosts_version=0,
             capacity=settings.node.capacity,
         )
-        self.events = EventRing(settings.node.host, HybridClock(), _wall_ms)
+        self.events = EventRing(settings.node.host, HybridClock(), _wall_clock_ms)
         self.view = MembershipView(self.record, settings.scheduling.heartbeat_interval_s)
         self.fleet_size = FleetSize()
         self.request_log = RequestLog(self.metrics, self.now)
@@ -160,11 +161,11 @@
         )
         self._pages = PageServer(self.is_ready, self.metrics)
 
-    # Putting together.
+    # Construction.
 
     def _make_links(self) -> None:
         settings = self.settings
-        me = Identity(
+        identity = Identity(
             self.record.process,
             settings.listen.links_reached_at,
             settings.node.failure_domain,
@@ -172,7 +173,7 @@
         )
         listen = settings.listen.links
         self.links = Links(
-            me,
+            identity,
             LINK_MESSAGES,
             self.events,
             self._receive,
@@ -366,24 +367,24 @@
             share=round(kept.share, 3),
         )
 
-    # What the parts ask of the node.
+    # Callbacks of the slices.
 
     def count_nodes(self) -> int:
-        """Count the nodes that there may be in the fleet.
+        """Return the number of nodes that may exist in the fleet, whether or not they are alive.
 
         :rtype: int
         """
         return self.fleet_size.count()
 
     def presence(self) -> Presence:
-        """Tell how much of the fleet this node sees.
+        """Return how much of the fleet this node sees.
 
         :rtype: Presence
         """
         return Presence(len(self.view.live()), self.count_nodes(), self.view.foreign_patience_s)
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here.
+        """Return whether the catalog is complete and no planned stop has begun.
 
         :rtype: bool
         """
@@ -398,12 +399,12 @@
             limits.idle_timeout_s,
         )
 
-    # Life.
+    # Start and stop.
 
     async def run(self) -> None:
-        """Serve until a planned stop is through.
+        """Serve until a planned stop is complete.
 
-        :raises InvariantBroken: when a promise of the program does not hold.
+        :raises InvariantBroken: if an invariant of the program is violated.
         """
         loop = asyncio.get_running_loop()
         for each in (signal.SIGTERM, signal.SIGINT):
@@ -440,13 +441,13 @@
         )
 
     async def _run_planned_stop(self, server: asyncio.Server) -> None:
-        """Call for no new callers, finish what is in progress, then end."""
+        """Stop accepting callers, finish the requests in progress, then end the process."""
         await self._stopping.wait()
         began = self.now()
         log.notice("stopping", in_progress=self.gateway.in_progress)
         self.view.update_self(leaving=True, ready=False)
         self._send_heartbeats()
-        # Callers still come until the balancer has noticed.
+        # Callers still connect until the load balancer has noticed.
         await asyncio.sleep(LEAVE_DELAY_S)
         server.close()
         for connection in list(self._connections):
@@ -473,7 +474,7 @@
         await asyncio.sleep(TICK_S)
 
     def _reload(self) -> None:
-        """Read the settings again; a file that can't be read changes nothing."""
+        """Reload the settings; keep the current ones if the file is invalid."""
         try:
             self.settings = load(self._path)
         except SettingsError as error:
@@ -506,7 +507,11 @@
                 self.links.send(seed, self.view.introduction())
 
     def _declare_ready(self) -> None:
-        """Take duties for the fleet once this node knows the others, or finds none that does."""
+        """Declare this node ready for fleet duties once it may take them.
+
+        With other ready nodes in the view it takes them at once, otherwise after
+        ``READY_ALONE_AFTER_S``. Both need a complete catalog.
+        """
         if self.view.record.ready or self._stopping.is_set() or not self.catalog.state.complete:
             return
         others = any(each.ready for each in self.view.live())
@@ -527,7 +532,7 @@
             self.quotas.keep_house()
 
     async def _tick_pools(self) -> None:
-        """Let the pools that are scheduled here go on; most nodes schedule none."""
+        """Tick the pools that this node schedules; most nodes schedule none."""
         while True:
             await self.scheduler_host.has_pools.wait()
             self.scheduler_host.tick()
@@ -554,7 +559,7 @@
         except InvariantBroken as error:
             self._supervisor.fail(error)
 
-    # Changes.
+    # Changes of membership and catalog.
 
     def _apply_member_changes(self, changes: list[Change]) -> None:
         for change in changes:
@@ -589,7 +594,7 @@
         self.quarantine.stored(state.held, state.released)
 
     def _epoch_changed(self, epoch: int) -> None:
-        """Check what this node has in the store, where it was restored from a copy."""
+        """Check this node's records in the store again if it was restored from a copy."""
         before, self._store_epoch = self._store_epoch, epoch
         if not before:
             return
@@ -608,5 +613,5 @@
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
-def _wall_ms() -> int:
+def _wall_clock_ms() -> int:
     return time.time_ns() // 1_000_000
--- a/packages/chalkyoke/src/chalkyoke/node/linkgauges.py
+++ b/packages/chalkyoke/src/chalkyoke/node/linkgauges.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.linkgauges
 
-What the metrics of a node show of its links.
+Adds the gauges of a node's links to its metrics.
 """
 
 from chalkyoke.administration.metrics import Metrics
@@ -9,7 +9,7 @@
 
 
 def add_link_gauges(metrics: Metrics, links: Links) -> None:
-    """Show bytes and messages over all links, and what is late or lost on them."""
+    """Add gauges for bytes sent, received and unsent, lost messages and silent links."""
     counters = links.counters
     metrics.gauge("link_sent_bytes", lambda: counters.sent_bytes)
     metrics.gauge("link_received_bytes", lambda: counters.received_bytes)
--- a/packages/chalkyoke/src/chalkyoke/node/pages.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pages.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.pages
 
-The pages of a gateway node: whether callers may be sent here, and its metrics.
+The HTTP pages of a gateway node: readiness and metrics.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,10 @@
 
 
 class _FinishedPage:
-    """A page is answered at once: there is nothing to stop or to hold back."""
+    """The handler of a page request, which is complete as soon as it is created.
+
+    It ignores disconnects and flow control.
+    """
 
     def caller_left(self) -> None:
         pass
@@ -26,9 +29,9 @@
 
 
 class PageServer:
-    """Answer for pages.
+    """Serve the readiness and metrics pages.
 
-    :param is_ready: whether callers may be sent here.
+    :param is_ready: returns whether this node is ready for callers.
     """
 
     def __init__(self, is_ready: Callable[[], bool], metrics: Metrics) -> None:
@@ -36,7 +39,7 @@
         self._metrics = metrics
 
     def start(self, request: Request, answering: Answering) -> _FinishedPage:
-        """Answer one request."""
+        """Answer one page request at once; 404 for other paths."""
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
             status = 200 if self._is_ready() else 503
--- a/packages/chalkyoke/src/chalkyoke/node/parts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/parts.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.parts
 
-What the start-up code brings of the users' platform.
+The platform-specific parts that the start-up code passes to a gateway node.
 """
 
 from collections.abc import Callable
@@ -18,11 +18,14 @@
 
 
 class PlatformParts:
-    """The users' platform, as a gateway node sees it.
-
-    :param make_store: makes the store's client over a caller.
-    :param read_record: reads a replica's record, an order of a roll-out or the answer to one.
-    :param write_status: words the answer to an order: its key and document.
+    """The platform-specific parts of a gateway node.
+
+    :param make_store: creates the store client on an HTTP caller.
+    :param headers: reads and writes the platform's headers.
+    :param read_catalog: decodes the catalog document.
+    :param read_record: decodes a replica's record, a roll-out order or the status of one.
+    :param write_status: encodes the status of an order; returns its key and document.
+    :param keys: the keys and key prefixes of the store.
     """
 
     def __init__(
--- a/packages/chalkyoke/src/chalkyoke/node/peers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/peers.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.peers
 
-The way to the schedulers and quota owners in other nodes.
+Finds the schedulers, permit keepers and quota owners in the fleet and sends messages to them.
 """
 
 from collections.abc import Callable
@@ -14,26 +14,27 @@
 from chalkyoke.quotas.owner import Presence
 from chalkyoke.scheduling.messages import EntryMessage
 
-# A node that sees this share of the fleet takes its owners for those that others see. With less,
-# after the loss of all nodes, several nodes would lease at once, each as the owner of a small side.
+# The smallest share of the fleet that a node must see to rely on the owners that it computes. With
+# a smaller share, after the loss of all nodes, several nodes would grant leases at once, each as
+# the owner within its own small partition.
 MIN_VISIBLE_FLEET_SHARE = 0.95
 
 
 class PeerSchedulers:
-    """The pool schedulers, here and in other processes."""
+    """Find the pool schedulers in all processes, including this one, and send them messages."""
 
-    def __init__(self, hosted: SchedulerHost, view: MembershipView) -> None:
-        self._scheduler_host = hosted
+    def __init__(self, scheduler_host: SchedulerHost, view: MembershipView) -> None:
+        self._scheduler_host = scheduler_host
         self._view = view
         self._generation = -1
         self._owners: dict[str, list[str]] = {}
 
     def send(self, process: str, message: EntryMessage) -> None:
-        """Send a message to the scheduler in a process."""
+        """Send a message to the scheduler of a process."""
         self._scheduler_host.send(process, message)
 
     def owners(self, pool: str) -> list[str]:
-        """List the processes that may schedule a pool, the present owner first."""
+        """List the processes that may schedule a pool, starting with the current owner."""
         if self._generation != self._view.generation:
             self._generation = self._view.generation
             self._owners.clear()
@@ -45,50 +46,50 @@
 
 
 class PeerKeepers:
-    """The processes that count what limited replicas get: those that may schedule a pool.
+    """Find the processes that keep the limits of replicas: those that may schedule the pool.
 
     :param send: sends a message to a link address.
-    :param nodes: counts the nodes that there may be in the fleet.
+    :param nodes: returns the number of nodes that may exist in the fleet.
     """
 
     def __init__(
         self,
         schedulers: PeerSchedulers,
-        hosted: SchedulerHost,
+        scheduler_host: SchedulerHost,
         view: MembershipView,
         send: Callable[[str, PermitMessage], None],
         nodes: Callable[[], int],
     ) -> None:
         self._schedulers = schedulers
-        self._scheduler_host = hosted
+        self._scheduler_host = scheduler_host
         self._view = view
         self._send = send
         self._nodes = nodes
 
     def keepers(self, service: str) -> list[str]:
-        """List the processes that may count for a service, the present keeper first."""
+        """List the processes that may keep a service's limits, starting with the current keeper."""
         return self._schedulers.owners(service)
 
     def is_here(self, process: str) -> bool:
-        """Tell whether a process is this one."""
+        """Return whether a process is this one."""
         return process == self._view.record.process
 
     def send(self, process: str, message: PermitMessage) -> None:
-        """Send a message to a process; nothing where it is not there any more."""
+        """Send a message to a process; drop it if the address of the process is unknown."""
         address = self._scheduler_host.address(process)
         if address is not None:
             self._send(address, message)
 
     def nodes(self) -> int:
-        """Count the nodes that there may be in the fleet."""
+        """Return the number of nodes that may exist in the fleet."""
         return self._nodes()
 
 
 class PeerQuotas:
-    """The owners of teams' quotas.
+    """Find the owners of teams' quotas and send them messages.
 
     :param send: sends a message to a link address.
-    :param presence: tells how much of the fleet this node sees.
+    :param presence: returns how much of the fleet this node sees.
     """
 
     def __init__(
@@ -105,7 +106,7 @@
         self._successors: dict[str, list[str]] = {}
 
     def owner(self, team: str) -> str | None:
-        """Give the link address of a team's owner; nothing where it is this node."""
+        """Return the link address of the node that owns a team's quota; None if it is this node."""
         self._follow_view()
         if team not in self._owners:
             found = self._ranked(team)[:1]
@@ -116,8 +117,8 @@
     def successors(self, team: str) -> list[str]:
         """List the link addresses of the nodes that may own a team's quota after this one.
 
-        These are the next in line, for when this node is lost, and the first in line of each
-        other failure domain, for when the domain is cut off.
+        These are the next ranked node, which takes over if this node is lost, and the first ranked
+        node of each failure domain, which takes over if this domain is cut off.
         """
         self._follow_view()
         found = self._successors.get(team)
@@ -131,7 +132,7 @@
         return found
 
     def _follow_view(self) -> None:
-        """Forget owners and successors when the view has changed."""
+        """Drop the cached owners and successors when the view has changed."""
         if self._generation != self._view.generation:
             self._generation = self._view.generation
             self._owners.clear()
@@ -141,7 +142,7 @@
         return self._view.ranked(f"quota/{team}")
 
     def host(self) -> str:
-        """Give this node's host id."""
+        """Return the host id of this node."""
         return self._view.record.host
 
     def others(self) -> list[str]:
@@ -150,13 +151,13 @@
         return [each.address for each in self._view.live() if each.host != mine]
 
     def knows_owners(self) -> bool:
-        """Tell whether this node knows the fleet well enough to find owners."""
+        """Return whether this node sees enough of the fleet to rely on computed owners."""
         return self._presence().share >= MIN_VISIBLE_FLEET_SHARE
 
     def presence(self) -> Presence:
-        """Tell how much of the fleet this node sees."""
+        """Return how much of the fleet this node sees."""
         return self._presence()
 
     def send(self, address: str, message: QuotaMessage) -> None:
-        """Send a message to a node."""
+        """Send a message to a node by its link address."""
         self._send(address, message)
--- a/packages/chalkyoke/src/chalkyoke/node/pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pools.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.pools
 
-The catalog as the pool schedulers and the gateway ask for it.
+Builds pool specifications and replica lists from the catalog for the schedulers and the gateway.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,39 +14,39 @@
 from chalkyoke.rollouts.standing import Standing, trial_route
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
-# The part of an engine's memory that is thought to hold prompts; the rest is for what runs.
+# Share of an engine's cache that is assumed to hold prompt prefixes; running requests use the rest.
 CACHE_SHARE = 0.7
-# How long a replica whose record has gone may still be tried where a service has no other, in
-# seconds: less than the 2 s after which operators forbid it.
+# How long a replica whose record was removed may still get requests if its service has no other
+# replica, in seconds: less than the 2 s after which the operators' rules forbid it.
 DEPARTED_FALLBACK_S = 1.2
 
 
 class ReplicaStandings(Protocol):
-    """Which replicas take which requests while versions change."""
+    """Define which requests each replica takes during a roll-out."""
 
     def standing(self, replica: Replica) -> Standing:
-        """Tell what a replica takes."""
+        """Return which requests a replica takes."""
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
-        """Choose, of the replicas of a version under trial, those that the trial uses."""
+        """Select the replicas that a trial uses from all replicas of the version under trial."""
 
 
 class NoRollouts:
-    """All replicas take whatever there is."""
+    """Let every replica take all requests, as there is no roll-out."""
 
     def standing(self, replica: Replica) -> Standing:  # noqa: ARG002
-        """Tell that a replica takes whatever there is."""
+        """Return that a replica takes all requests."""
         return Standing.USUAL
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:  # noqa: ARG002
-        """Choose all."""
+        """Return all given replicas."""
         return replicas
 
 
 class _CatalogSpecs:
-    """What pools need of a catalog, whatever its replicas are.
+    """The tiers, teams and routes of a catalog, which don't depend on its replicas.
 
-    Replicas change far more often than the catalog, whose routes and teams may be many.
+    Replicas change far more often than the catalog, which may have many routes and teams.
     """
 
     def __init__(self, catalog: Catalog) -> None:
@@ -66,19 +66,21 @@
 class DeclaredPools:
     """The pools that the catalog declares, rebuilt when it changes.
 
-    :param guess: first guesses for engines that nothing is known of yet.
-    :param standings: which replicas take which requests.
+    :param defaults: assumed speeds of engines that have no measurements yet.
+    :param standings: defines which requests each replica takes; all of them if None.
     """
 
-    def __init__(self, guess: SchedulingSection, standings: ReplicaStandings | None = None) -> None:
-        self._defaults = guess
+    def __init__(
+        self, defaults: SchedulingSection, standings: ReplicaStandings | None = None
+    ) -> None:
+        self._defaults = defaults
         self._standings = standings or NoRollouts()
         self._catalog = Catalog()
         self._parts = _CatalogSpecs(self._catalog)
         self.pools: dict[str, PoolSpec] = {}
 
     def rebuild(self, catalog: Catalog, replicas: dict[str, Replica]) -> None:
-        """Take a new catalog or other replicas."""
+        """Rebuild all pools after the catalog or the replicas have changed."""
         if catalog is not self._catalog:
             self._catalog = catalog
             self._parts = _CatalogSpecs(catalog)
@@ -89,8 +91,8 @@
         }
 
     def _pool(self, service: Service, replicas: dict[str, Replica]) -> PoolSpec:
-        mine = [each for each in replicas.values() if each.service == service.name]
-        usual, trial = _split_by_standing(mine, self._standings)
+        own = [each for each in replicas.values() if each.service == service.name]
+        usual, trial = _split_by_standing(own, self._standings)
         names = frozenset(each.id for each in usual)
         tried = frozenset(each.id for each in self._standings.trial_replicas(service.name, trial))
         routes: list[RouteSpec] = []
@@ -98,35 +100,35 @@
             routes.append(RouteSpec(each, names))
             if tried:
                 routes.append(RouteSpec(trial_route(each), tried))
-        upstreams = tuple(self._upstream(service, each) for each in mine)
+        upstreams = tuple(self._upstream(service, each) for each in own)
         return PoolSpec(
             service.name, upstreams, self._parts.tiers, self._parts.teams, tuple(routes)
         )
 
     def _upstream(self, service: Service, replica: Replica) -> UpstreamSpec:
-        guess = self._defaults
+        defaults = self._defaults
         return UpstreamSpec(
             id=replica.id,
             address=replica.address,
             failure_domain=replica.failure_domain,
             slots=replica.slots,
-            prefill_tokens_per_s=guess.prefill_tokens_per_s,
-            decode_tokens_per_s=1.0 / guess.token_s,
+            prefill_tokens_per_s=defaults.prefill_tokens_per_s,
+            decode_tokens_per_s=1.0 / defaults.token_s,
             batch_slowdown=1.1,
             cache_blocks=int(service.cache_tokens * CACHE_SHARE) // BLOCK_TOKENS,
             leaving=replica.draining,
-            setup_s=guess.setup_s,
-            attention_s_per_pair=guess.attention_s_per_pair,
-            prefill_chunk_tokens=guess.prefill_chunk_tokens,
+            setup_s=defaults.setup_s,
+            attention_s_per_pair=defaults.attention_s_per_pair,
+            prefill_chunk_tokens=defaults.prefill_chunk_tokens,
             tokens_per_event=service.tokens_per_event,
         )
 
 
 class DeclaredReplicas:
-    """The replicas that may take new work, as the gateway asks for them.
+    """Look up the replicas that may take new requests.
 
     :param now: the node's clock, in seconds.
-    :param standings: which replicas take which requests.
+    :param standings: defines which requests each replica takes; all of them if None.
     """
 
     def __init__(
@@ -142,19 +144,19 @@
         self._trial: dict[str, list[Replica]] = {}
 
     def rebuild(self) -> None:
-        """Take other replicas."""
+        """Rebuild the lists after the replicas or their standings have changed."""
         self._usual, self._trial = {}, {}
-        open_ones = (each for each in self._state.replicas.values() if not each.draining)
-        usual, trial = _split_by_standing(open_ones, self._standings)
+        not_draining = (each for each in self._state.replicas.values() if not each.draining)
+        usual, trial = _split_by_standing(not_draining, self._standings)
         for replica in usual:
             self._usual.setdefault(replica.service, []).append(replica)
         for replica in trial:
             self._trial.setdefault(replica.service, []).append(replica)
 
     def find(self, replica: str, *, for_trial: bool = False) -> Replica | None:
-        """Find a replica that takes new work.
+        """Return a replica by its id, or None if it takes no new requests.
 
-        :param for_trial: whether one of a version under trial will do.
+        :param for_trial: whether a replica of a version under trial is allowed.
         """
         found = self._state.replicas.get(replica)
         if found is None:
@@ -164,12 +166,12 @@
         return found if allowed and not found.draining else None
 
     def of(self, service: str, *, for_trial: bool = False) -> list[Replica]:
-        """List a service's replicas that take new work.
+        """List a service's replicas that take new requests.
 
-        Where all of them are gone from the list, those that went a moment ago are tried: they
-        serve on for a while, and a list that has lost all at once may be wrong.
+        If none is left, the replicas that were removed a moment ago are listed: they keep serving
+        for a while, and a store listing that loses all replicas at once may be wrong.
 
-        :param for_trial: those of a version under trial in place of the others.
+        :param for_trial: list the replicas of a version under trial instead.
         """
         if for_trial:
             return self._trial.get(service, [])
@@ -192,7 +194,7 @@
 def _split_by_standing(
     replicas: Iterable[Replica], standings: ReplicaStandings
 ) -> tuple[list[Replica], list[Replica]]:
-    """Split replicas into those that take whatever there is, and those under trial."""
+    """Split replicas into those that take all requests and those of a version under trial."""
     found: dict[Standing, list[Replica]] = {each: [] for each in Standing}
     for replica in replicas:
         found[standings.standing(replica)].append(replica)
--- a/packages/chalkyoke/src/chalkyoke/node/ports.py
+++ b/packages/chalkyoke/src/chalkyoke/node/ports.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.ports
 
-The configuration as the entry slice asks for it, always by the revision in force.
+The configuration port of the entry slice, which always reads the revision in force.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,38 +12,38 @@
 
 
 class FleetPort(Directory):
-    """Look things up in the current fleet view.
+    """Look up teams, services, routes and pools in the current fleet view.
 
-    :param fleet: gives the view in force.
+    :param fleet: returns the view in force.
     """
 
     def __init__(self, fleet: Callable[[], FleetView]) -> None:
         self._fleet = fleet
 
     def team_of(self, key_sha256: str) -> Team | None:
-        """Find a team by the hash of its key."""
+        """Return the team of an API key's SHA-256 digest, or None if no team has the key."""
         return self._fleet().team_of(key_sha256)
 
     def service(self, name: str) -> Service | None:
-        """Find a service."""
+        """Return a service by name, or None if there is none."""
         return self._fleet().service(name)
 
     def route(self, service: str, labels: Mapping[str, str]) -> Route | None:
-        """Find the route of a request."""
+        """Return the matching route with the most conditions, or None if no route matches."""
         return self._fleet().route(service, labels)
 
     def tier_deadline_s(self, tier: str) -> float | None:
-        """Give a tier's deadline for requests that name none; nothing for an unknown tier."""
+        """Return a tier's default deadline in seconds, or None for an unknown tier."""
         return self._fleet().tier_deadline_s(tier)
 
     def pool(self, request_service: str, request: str) -> str:
-        """Give the pool that a request of a service belongs to."""
+        """Return the name of the pool that a service's request belongs to."""
         return self._fleet().pool(request_service, request)
 
     def pools(self) -> list[str]:
-        """List all pools."""
+        """List the names of all pools."""
         return list(self._fleet().pools)
 
     def may_dispatch(self, upstream: str) -> bool:
-        """Tell whether an upstream takes new work, as far as this process knows."""
+        """Return whether an upstream is listed here and not leaving."""
         return self._fleet().may_dispatch(upstream)
--- a/packages/chalkyoke/src/chalkyoke/node/probes.py
+++ b/packages/chalkyoke/src/chalkyoke/node/probes.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.probes
 
-Ask the upstreams of the pools scheduled here for their load and cache events.
+Fetches load reports and cache events from the upstreams of the pools scheduled here.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 async def probe_once(
     schedulers: SchedulerHost, client: UpstreamClient, metrics: Metrics, now: float
 ) -> None:
-    """Probe each upstream of each pool hosted here once.
+    """Probe each upstream of each pool scheduled here once.
 
     :param now: seconds on the monotonic clock since this process started.
     """
--- a/packages/chalkyoke/src/chalkyoke/node/process.py
+++ b/packages/chalkyoke/src/chalkyoke/node/process.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.process
 
-The node: all slices of one process put together, started, and stopped without cutting anything
-off.
+The node: builds all slices of one process, starts them, and stops them after the requests in
+progress have ended.
 """
 
 import asyncio
@@ -66,11 +66,14 @@
 from chalkyoke.tokens.ledger import TokenLedger
 from chalkyoke.upstreams.client import UpstreamClient, make_session
 
+# How often schedulers and the membership view are ticked, in seconds.
 TICK_S = 0.05
+# How often expired runs are dropped and progress is reported, in seconds.
 HOUSEKEEPING_S = 1.0
-# How long a stop is announced before it begins, in heartbeats.
+# How long a stop is announced before requests are drained, in heartbeats.
 LEAVE_NOTICE_HEARTBEATS = 3
-# Bits of the random number that tells two starts of a process apart: it stays positive in 64.
+# Bits of the random incarnation number, which distinguishes two starts of a process. 62 bits keep
+# the number positive in 64 bits.
 INCARNATION_BITS = 62
 
 LINK_MESSAGES: tuple[type[msgspec.Struct], ...] = (
@@ -97,14 +100,14 @@
 log = logger("node")
 
 
-def _wall_ms() -> int:
+def _wall_clock_ms() -> int:
     return time.time_ns() // 1_000_000
 
 
 class Node:
-    """One process of the fleet. Make it inside a running loop.
+    """One process of the fleet. Create it inside a running event loop.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
 
     Usage::
 
@@ -131,7 +134,7 @@
             hosts_version=0,
         )
         self.process = self._record.process
-        self.events = EventRing(settings.node.host, HybridClock(), _wall_ms)
+        self.events = EventRing(settings.node.host, HybridClock(), _wall_clock_ms)
         self.view = MembershipView(self._record, settings.timing.heartbeat_interval_s)
         self._stopping = asyncio.Event()
         self._supervisor = Supervisor(self.metrics)
@@ -140,14 +143,14 @@
         self._make_entry(incarnation)
         self._make_apis()
 
-    # Putting together.
+    # Construction.
 
     def _make_links(self) -> None:
         settings = self.settings
-        me = Identity(
+        identity = Identity(
             self.process, settings.listen.links, settings.node.failure_domain, settings.fleet.key
         )
-        self.links = Links(me, LINK_MESSAGES, self.events, self._receive)
+        self.links = Links(identity, LINK_MESSAGES, self.events, self._receive)
 
     def _make_platform(self) -> None:
         self._platform_session = aiohttp.ClientSession()
@@ -220,29 +223,29 @@
         self.metrics.gauge("revision", lambda: self.configuration.state.revision)
         self.metrics.gauge("live_members", lambda: len(self.view.live()))
 
-    # Life.
+    # Start and stop.
 
     def is_ready(self) -> bool:
-        """Tell whether a configuration is in force here.
+        """Return whether a configuration is in force on this node.
 
         :rtype: bool
         """
         return self.configuration.state.revision > 0
 
     def stop(self) -> None:
-        """Begin a planned stop; a second call says what is still in progress."""
+        """Begin a planned stop; a second call logs the requests still in progress."""
         if self._stopping.is_set():
             runs = self.entry.in_progress()
-            log.warning("still in progress: {} requests; a kill would cut them off", len(runs))
+            log.warning("{} requests are still in progress; a kill would abort them", len(runs))
             for run in runs:
-                log.warning("in progress: {} ({})", run.id, run.state)
+                log.warning("request in progress: {} ({})", run.id, run.state)
             return
         self._stopping.set()
 
     async def run(self) -> None:
-        """Serve until a planned stop is through.
+        """Serve until a planned stop is complete.
 
-        :raises InvariantBroken: when a promise of the program does not hold.
+        :raises InvariantBroken: if an invariant of the program is violated.
         """
         loop = asyncio.get_running_loop()
         for each in (signal.SIGTERM, signal.SIGINT):
@@ -264,7 +267,7 @@
             raise failure
 
     async def _run_planned_stop(self) -> None:
-        """Take no new callers, give pools up, finish what is in progress, then end."""
+        """Stop accepting requests, hand pools off, finish requests in progress, then end."""
         await self._stopping.wait()
         log.notice("planned stop: {} requests in progress", len(self.entry.in_progress()))
         self.events.add(EventKind.STOPPING, in_progress=len(self.entry.in_progress()))
@@ -362,7 +365,7 @@
         if opened.is_ok():
             await serve_forward(connection, self.entry, opened.unwrap(), message)
 
-    # Changes.
+    # Changes of membership and configuration.
 
     def _apply_member_changes(self, changes: list[Change]) -> None:
         for change in changes:
--- a/packages/chalkyoke/src/chalkyoke/node/registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/registration.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.registration
 
-This node's own entry in the store, by which others find it.
+Keeps this node's entry in the store, by which other nodes find it.
 """
 
 import asyncio
@@ -15,24 +15,24 @@
 from chalkyoke.storage.messages import LeaseGone, LeaseGranted, Unavailable, Written
 from chalkyoke.storage.port import MOST_COPY_AGE_S, Store
 
-# Pause after a failed call, in seconds: doubled with each, up to the longest. A store that comes
-# back must not meet all nodes at once, and each call is priced.
+# Backoff after a failed call, in seconds: doubled with each failure, up to the longest. A store
+# that recovers must not get the calls of all nodes at once, and each call costs money.
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
-# A lease is renewed so often within its time, so that one lost renewal does not end it.
+# Number of renewals within the lifetime of a lease, so that one lost renewal doesn't expire it.
 RENEWALS_PER_LEASE = 3
-# Over how long the nodes spread their calls after the store was restored, in seconds: all learn of
-# it at the same moment.
+# The period over which the nodes spread their calls after the store was restored, in seconds: all
+# of them detect it at the same moment.
 RESTORED_SPREAD_S = 2.0
 
 log = logger("registration")
 
 
 class NodeEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What is listed of a node.
+    """The value of a node's entry in the store.
 
     :param address: ``ip:port`` of its link listener.
-    :param capacity: what its host can bear, in cores.
+    :param capacity: capacity of its host, in cores.
     """
 
     address: str
@@ -41,28 +41,29 @@
 
 
 def read_candidates(registered: Mapping[str, bytes], prefix: str) -> list[Candidate]:
-    """Read the nodes that are listed in the store.
+    """Decode the node entries of the store; skip and log unreadable ones.
 
-    :param registered: what is listed, by key.
-    :param prefix: of the keys; the host's id follows.
+    :param registered: the encoded entries by key.
+    :param prefix: the prefix of the keys, which the host id follows.
     """
     found: list[Candidate] = []
     for key, value in registered.items():
         try:
-            listed = msgspec.msgpack.decode(value, type=NodeEntry)
+            entry = msgspec.msgpack.decode(value, type=NodeEntry)
         except (msgspec.MsgspecError, ValueError) as error:
             log.info("node_unreadable", key=key, why=str(error))
             continue
         host = key.removeprefix(prefix)
-        found.append(Candidate(host, listed.address, listed.failure_domain, listed.capacity))
+        found.append(Candidate(host, entry.address, entry.failure_domain, entry.capacity))
     return found
 
 
 class Registration:
-    """Keep this node listed in the store, under a lease.
+    """Keep this node registered in the store under a lease.
 
-    :param key: where.
-    :param value: what is listed.
+    :param key: key of the entry.
+    :param value: the encoded :class:`NodeEntry`.
+    :param lease_s: lifetime of the lease, in seconds.
     :param random: source of numbers in [0, 1).
     :param now: the node's clock, in seconds.
     """
@@ -88,15 +89,17 @@
         self._restored = asyncio.Event()
 
     def store_restored(self, epoch: int) -> None:
-        """Learn that the store was restored from a copy, which may lack this node's entry.
+        """Check the registration soon, as the store was restored from a copy.
 
-        :param epoch: the store's epoch since then.
+        The copy may lack this node's entry.
+
+        :param epoch: the epoch of the restored store.
         """
         self._epoch = epoch
         self._restored.set()
 
     async def run(self) -> None:
-        """Register, and renew the lease for as long as the process lives."""
+        """Register this node and renew its lease until the task is cancelled."""
         await self._register()
         while True:
             if await self._wait_for_renewal():
@@ -105,12 +108,12 @@
                 await self._register()
 
     async def deregister(self) -> None:
-        """Take this node off the list."""
+        """Remove this node's entry, unless its lease may belong to another writer by now."""
         if self._lease is not None and not self._lease_may_be_lost(self._lease, self._epoch):
             await self._store.end_lease(self._lease.lease)
 
     async def _wait_for_renewal(self) -> bool:
-        """Wait until the lease is due, or until the store was restored."""
+        """Wait until a renewal is due or the store was restored; return whether it was."""
         try:
             async with asyncio.timeout(self._lease_s / RENEWALS_PER_LEASE):
                 await self._restored.wait()
@@ -122,7 +125,7 @@
     async def _renew(self) -> bool:
         """Renew the lease.
 
-        :return: whether this node is still listed, as far as it knows.
+        :return: whether this node is still registered, as far as it knows.
         """
         lease = self._lease
         if lease is None or self._lease_may_be_lost(lease, self._epoch):
@@ -136,7 +139,7 @@
         return True
 
     def _lease_may_be_lost(self, lease: LeaseGranted, epoch: int) -> bool:
-        """Tell whether a restored store may have lost a lease, or given it to another writer."""
+        """Return whether a restored store may have lost a lease or reissued it to another node."""
         return epoch > lease.epoch and self._now() - self._registered_at < MOST_COPY_AGE_S
 
     async def _register(self) -> None:
--- a/packages/chalkyoke/src/chalkyoke/node/requestlog.py
+++ b/packages/chalkyoke/src/chalkyoke/node/requestlog.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.requestlog
 
-One line for each decision that touches a request, and the counters beside it.
+Writes a log line for each decision on a request and counts it.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from chalkyoke.http1.messages import Request
 from chalkyoke.logs import logger
 
-# Of a request's target, so many characters are logged.
+# The number of characters of a request's target that are logged.
 MAX_TARGET_CHARS = 200
 REFUSAL_EVENTS = frozenset(("refused", "given_up", "over_quota"))
 FAILURE_EVENTS = frozenset(("held_back", "refused", "given_up", "expired", "over_quota"))
@@ -23,7 +23,7 @@
 
 
 class RequestLog:
-    """Write decisions on requests.
+    """Log and count decisions on requests.
 
     :param now: the node's clock, in seconds.
     """
@@ -33,7 +33,7 @@
         self._now = now
 
     def log_rejection(self, request: Request, fields: RequestFields, rejection: Rejection) -> None:
-        """Write that a request is refused as it stands."""
+        """Log a request that is rejected before it is scheduled."""
         self._metrics.count("rejected", status=str(rejection.status))
         log.notice(
             "rejected",
@@ -44,10 +44,10 @@
         )
 
     def log_decision(self, event: str, admission: Admission, **facts: object) -> None:
-        """Write one decision.
+        """Log one decision.
 
-        :param event: what was decided.
-        :param facts: what decided it, and the outcome.
+        :param event: the decision, as the name of the log line.
+        :param facts: the reasons and the outcome, as fields of the log line.
         """
         tier = str(admission.rank)
         self._metrics.count("requests", event=event, route=admission.service.name, tier=tier)
--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.rolloutleads
 
-The orders of roll-outs that this node leads: decide how far each has come, tell all nodes, and
-answer the operators in the store.
+The roll-out orders that this node leads: decides the phase of each, announces it to all nodes, and
+writes its status to the store for the operators.
 """
 
 import asyncio
@@ -35,9 +35,10 @@
 from chalkyoke.storage.messages import Conflict, LeaseGone, Unavailable
 from chalkyoke.storage.port import Store
 
-# How often the leader repeats its word, in seconds.
+# How often the leader repeats its announcement, in seconds.
 ANNOUNCE_INTERVAL_S = 1.0
-# Pause after a write, in seconds: a failed one is tried again, a done one is seen in the catalog.
+# Pause after a write of a status, in seconds. A failed write is retried after the first one; the
+# second one gives a successful write time to arrive in the catalog.
 WRITE_RETRY_S = 0.3
 CONFIRMED_WRITE_RETRY_S = 1.3
 
@@ -47,13 +48,13 @@
 
 
 def stored_outcome(state: CatalogState, order: RolloutOrder) -> RolloutStatus | None:
-    """Give the end of an order as it stands in the store; nothing while it runs."""
+    """Return the final status of an order in the store, or None while the order runs."""
     stored = answer_to(order, state.statuses.get(order.service))
     return None if stored is None or stored.state is RolloutState.RUNNING else stored
 
 
 def current_order(state: CatalogState, share: RolloutShare, now: float) -> Order:
-    """Put an order and its answer together, as the store or the leader tells it."""
+    """Combine an order with its final status from the store or else from the leader."""
     order = share.order
     status = stored_outcome(state, order)
     if status is None and share.ended is not None:
@@ -65,8 +66,10 @@
 class _LedOrder(msgspec.Struct):
     """An order that this node leads.
 
-    :ivar phase: as last decided.
-    :ivar written: the answer that was written last.
+    :ivar phase: the phase that was decided last.
+    :ivar announced_at: the time of the last announcement, in seconds.
+    :ivar written: the state of the last successful write.
+    :ivar written_at: the time of the last attempt to write, in seconds.
     """
 
     lead: RolloutLead
@@ -78,12 +81,12 @@
 
 
 class RolloutLeads:
-    """Lead the orders that this node is to lead.
+    """Lead the roll-out orders for which this node ranks first.
 
-    :param presence: tells how much of the fleet this node sees.
-    :param standing: tells what a replica takes.
+    :param presence: returns how much of the fleet this node sees.
+    :param standing: returns which requests a replica takes.
     :param send: sends a message to a node by its link address.
-    :param hear: takes the leader's word on this node.
+    :param apply_locally: applies an announcement on this node.
     :param now: the node's clock, in seconds.
     """
 
@@ -97,7 +100,7 @@
         presence: Callable[[], Presence],
         standing: Callable[[Replica], Standing],
         send: Callable[[str, RolloutTold], None],
-        hear: Callable[[RolloutShare, RolloutTold], None],
+        apply_locally: Callable[[RolloutShare, RolloutTold], None],
         now: Callable[[], float],
     ) -> None:
         self._view = view
@@ -108,65 +111,66 @@
         self._presence = presence
         self._standing = standing
         self._send = send
-        self._apply_locally = hear
+        self._apply_locally = apply_locally
         self._now = now
-        self._leading: dict[str, _LedOrder] = {}
+        self._led_orders: dict[str, _LedOrder] = {}
         self._writes: set[asyncio.Task[None]] = set()
 
     def leader(self, service: str) -> MemberRecord:
-        """Name the node that leads a service's order."""
+        """Return the node that leads a service's order; this node if it knows no other."""
         return next(iter(self._view.ranked(f"rollout/{service}")), self._view.record)
 
     def receive_report(self, process: str, share: RolloutShare, report: RolloutReport) -> None:
-        """Take a node's report.
+        """Add a node's report to the evidence of an order.
 
         :param process: id of the node's process.
         """
         self._led_order(share).lead.take(process, report)
 
     def drop_order(self, service: str) -> None:
-        """Drop an order that was withdrawn."""
-        self._leading.pop(service, None)
+        """Drop the state of an order that was withdrawn."""
+        self._led_orders.pop(service, None)
 
     def advance(self, share: RolloutShare) -> None:
-        """Decide how far an order has come, and tell it; only where this node leads it."""
+        """Decide the phase of an order and announce it, if this node leads the order."""
         service = share.order.service
         if self.leader(service).host != self._view.record.host:
             return
         order = current_order(self._state, share, self._now())
-        leading = self._led_order(share)
-        decision = self._decide(share, order, leading)
-        self._log_decision(order, leading, decision)
+        led = self._led_order(share)
+        decision = self._decide(share, order, led)
+        self._log_decision(order, led, decision)
         ended = stored_outcome(self._state, share.order)
         stored = answer_to(share.order, self._state.statuses.get(service))
         state = STATE_OF_PHASE.get(decision.phase, RolloutState.RUNNING)
         if ended is None and (stored is None or stored.state is not state):
-            self._start_status_write(order, leading, state)
-        # A version is left at once; that it is the only one holds from the answer in the store on.
+            self._start_status_write(order, led, state)
+        # A rollback is announced at once. A completed roll-out is announced as closing until the
+        # store has its final status.
         phase = decision.phase
         if phase is Phase.DONE and ended is None:
             phase = Phase.CLOSING
-        self._announce(share, leading, phase)
+        self._announce(share, led, phase)
 
     def _led_order(self, share: RolloutShare) -> _LedOrder:
         service, name = share.order.service, share.order.name
-        found = self._leading.get(service)
+        found = self._led_orders.get(service)
         if found is None or found.order != name:
-            found = self._leading[service] = _LedOrder(RolloutLead(), name)
+            found = self._led_orders[service] = _LedOrder(RolloutLead(), name)
         return found
 
-    def _decide(self, share: RolloutShare, order: Order, leading: _LedOrder) -> Decision:
+    def _decide(self, share: RolloutShare, order: Order, led: _LedOrder) -> Decision:
         if share.ended is Phase.UNDONE and not order.ended:
             return Decision(Phase.UNDONE)
-        wanted = order.order
+        ordered = order.order
         new = [
             each
             for each in self._state.replicas.values()
-            if each.service == wanted.service
-            and each.version == wanted.version
+            if each.service == ordered.service
+            and each.version == ordered.version
             and not each.draining
         ]
-        return leading.lead.decide(
+        return led.lead.decide(
             order,
             share.passed(self._now()).most_s,
             new_replicas=len(new),
@@ -175,8 +179,8 @@
             sees_fleet=self._presence().share >= MIN_VISIBLE_FLEET_SHARE,
         )
 
-    def _log_decision(self, order: Order, leading: _LedOrder, decision: Decision) -> None:
-        if leading.phase is decision.phase:
+    def _log_decision(self, order: Order, led: _LedOrder, decision: Decision) -> None:
+        if led.phase is decision.phase:
             return
         finding = decision.finding
         log.notice(
@@ -192,17 +196,17 @@
             ends=finding.ends,
             bad=finding.found,
             expected=round(finding.expected, 3),
-            old_running=leading.lead.old_running(each.process for each in self._view.live()),
+            old_running=led.lead.old_running(each.process for each in self._view.live()),
         )
         self._metrics.count("rollout_phases", service=order.order.service, phase=decision.phase)
-        leading.phase = decision.phase
+        led.phase = decision.phase
 
-    def _announce(self, share: RolloutShare, leading: _LedOrder, phase: Phase) -> None:
+    def _announce(self, share: RolloutShare, led: _LedOrder, phase: Phase) -> None:
         now = self._now()
         changed = share.phase(now) is not phase
-        if not changed and now - leading.announced_at < ANNOUNCE_INTERVAL_S:
+        if not changed and now - led.announced_at < ANNOUNCE_INTERVAL_S:
             return
-        leading.announced_at = now
+        led.announced_at = now
         order = share.order
         name = order.name
         message = RolloutTold(
@@ -216,18 +220,18 @@
         tell_all(self._view, self._send, message)
         self._apply_locally(share, message)
 
-    def _start_status_write(self, order: Order, leading: _LedOrder, state: RolloutState) -> None:
-        """Write how an order stands, unless that is being done."""
-        pause_s = CONFIRMED_WRITE_RETRY_S if leading.written is state else WRITE_RETRY_S
-        if self._now() - leading.written_at < pause_s:
+    def _start_status_write(self, order: Order, led: _LedOrder, state: RolloutState) -> None:
+        """Start a write of an order's status, unless the pause after the last write still runs."""
+        pause_s = CONFIRMED_WRITE_RETRY_S if led.written is state else WRITE_RETRY_S
+        if self._now() - led.written_at < pause_s:
             return
-        leading.written_at = self._now()
-        task = asyncio.get_running_loop().create_task(self._write_answer(order, leading, state))
+        led.written_at = self._now()
+        task = asyncio.get_running_loop().create_task(self._write_order_status(order, led, state))
         self._writes.add(task)
         task.add_done_callback(self._writes.discard)
 
-    async def _write_answer(self, order: Order, leading: _LedOrder, state: RolloutState) -> None:
-        """Write under the condition that nobody has answered meanwhile: an end never changes."""
+    async def _write_order_status(self, order: Order, led: _LedOrder, state: RolloutState) -> None:
+        """Write a status if no other node wrote one meanwhile: a final status never changes."""
         key, document = self._write_status(order.order, state)
         held = self._state.statuses.get(order.order.service)
         expected = held.revision if held else 0
@@ -243,4 +247,4 @@
             why=written.reason if isinstance(written, Unavailable) else "",
         )
         if done:
-            leading.written = state
+            led.written = state
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.rollouts
 
-Orders of roll-outs on this node: which replicas its requests may go to, what it reports, and the
-orders that it leads.
+Roll-out orders on this node: selects the replicas that its requests may go to, reports their
+outcomes, and advances the orders that this node leads.
 """
 
 import math
@@ -34,27 +34,28 @@
 from chalkyoke.rollouts.standing import Standing, Versions
 from chalkyoke.storage.port import Store
 
-# How often orders are looked at, in seconds: a heartbeat. A bad version is left within one report,
-# one look and one telling, a sixth of what operators allow.
+# How often orders are evaluated, in seconds: a heartbeat. A bad version is abandoned after one
+# report, one evaluation and one announcement, a sixth of the time that operators allow.
 TICK_S = 0.25
-# How often a node reports, in seconds; failures of the new version are told at once.
+# How often a node reports, in seconds; failures of the new version are reported at once.
 REPORT_INTERVAL_S = 0.25
-# How often it reports all that it has met and not only what is new, in seconds: a report may be
-# lost, or come before the leader knows of the order. 35 counts, some 2 kB.
+# How often a node reports all its counts instead of the new ones only, in seconds: a report may be
+# lost, or arrive before the leader knows the order. A full report has 35 counts, about 2 kB.
 FULL_REPORT_INTERVAL_S = 2.0
-# Replicas of a pool of engines that a trial uses, at the least, and as a part of all new ones: so
-# few that they are as busy as the old ones, since some versions fail under load only.
+# The smallest number of replicas of an engine pool that a trial uses, and their share of all new
+# replicas. Both are low so that these replicas are as busy as the old ones, since some versions
+# fail only under load.
 MIN_TRIAL_REPLICAS = 6
 TRIAL_REPLICA_SHARE = 0.1
-# A request is taken to last up to so many times its expected time: callers' own estimates are right
-# at the median and spread by about that.
+# A request is assumed to last up to this multiple of its expected duration: callers' estimates are
+# right at the median and spread by about this factor.
 DURATION_FACTOR = 2.5
 
 log = logger("rollouts")
 
 
 class _ReportTimes(msgspec.Struct):
-    """When a node reported last, and when it last reported all, to which leader."""
+    """When this node sent its last report and its last full report, and to which leader."""
 
     leader: str = ""
     at: float = float("-inf")
@@ -62,13 +63,13 @@
 
 
 class Rollouts:
-    """A node's part in all orders.
+    """Take part in all roll-out orders as one node of the fleet.
 
     :param send: sends a message to a node by its link address.
-    :param presence: tells how much of the fleet this node sees.
-    :param guess: what engines are taken to need, to compare requests of unlike sizes.
+    :param presence: returns how much of the fleet this node sees.
+    :param engine_defaults: assumed engine speeds, to compare requests of different sizes.
     :param random: source of numbers in [0, 1).
-    :param changed: called when replicas may take other requests than before.
+    :param changed: called when the requests that replicas may take have changed.
     :param now: the node's clock, in seconds.
     """
 
@@ -79,7 +80,7 @@
         store: Store,
         write_status: WriteStatus,
         bounds: ExposureBounds,
-        guess: SchedulingSection,
+        engine_defaults: SchedulingSection,
         metrics: Metrics,
         send: Callable[[str, RolloutMessage], None],
         presence: Callable[[], Presence],
@@ -90,7 +91,7 @@
         self._view = view
         self._state = state
         self._bounds = bounds
-        self._engine_defaults = guess
+        self._engine_defaults = engine_defaults
         self._send = send
         self._presence = presence
         self._random = random
@@ -113,10 +114,10 @@
             now,
         )
 
-    # What the catalog tells.
+    # Changes of the catalog.
 
     def rebuild(self) -> None:
-        """Take other orders, answers or replicas."""
+        """Apply changed orders, statuses or replicas of the catalog."""
         for service, ordered in self._state.orders.items():
             share = self._shares.get(service)
             if share is not None and share.order.name == ordered.order.name:
@@ -150,11 +151,11 @@
         return RolloutShare(ordered.order, exposure, since, now)
 
     def standing(self, replica: Replica) -> Standing:
-        """Tell what a replica takes."""
+        """Return which requests a replica takes."""
         return self._versions.standing(replica.service, replica.version)
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
-        """Choose, of the replicas of a version under trial, those that the trial uses."""
+        """Select the replicas that a trial uses from all replicas of the version under trial."""
         share = self._shares.get(service)
         if share is not None and share.phase(self._now()) is Phase.CLOSING:
             return replicas
@@ -164,23 +165,23 @@
     # Requests.
 
     def takes_new(self, admission: Admission, *, again: bool) -> bool:
-        """Tell whether a request is to go to the version under trial; it is counted then."""
+        """Return whether a request goes to the version under trial, and count it if so."""
         share = self._shares.get(admission.service.name)
         if share is None or share.ended is not None:
             return False
         return share.takes_new(self._expected_duration_s(admission), self._now(), again=again)
 
     def give_back(self, admission: Admission) -> None:
-        """Take back that a request goes to the version under trial."""
+        """Uncount a request that doesn't go to the version under trial after all."""
         share = self._shares.get(admission.service.name)
         if share is not None:
             share.exposure.give_back()
 
     def may_send(self, replica: Replica) -> bool:
-        """Tell whether a replica that was granted may still be sent to.
+        """Return whether a granted request may still be sent to its replica.
 
-        A grant is used a moment after it was given. Once this node has told that it has left the
-        old replicas they may stop, and what is sent to one then is cut off.
+        A grant is used a moment after it was issued. Once this node has reported that it no longer
+        uses the old replicas, they may stop, which would abort a request sent to one of them.
         """
         share = self._shares.get(replica.service)
         if share is None or self._is_new(share, replica):
@@ -188,14 +189,14 @@
         return not share.has_left_old(self._now())
 
     def note_sent(self, replica: Replica) -> None:
-        """Count a request that goes to a replica."""
+        """Count a request that is sent to a replica."""
         self._running[replica.service, replica.version] += 1
         share = self._shares.get(replica.service)
         if share is not None:
             share.exposure.note_sent()
 
     def note_left(self, replica: Replica) -> None:
-        """Count a request that the replica no longer works on."""
+        """Uncount a request that its replica no longer runs."""
         self._running[replica.service, replica.version] -= 1
 
     def _old_running(self, order: RolloutOrder) -> int:
@@ -214,9 +215,9 @@
         output_tokens: int,
         took_s: float,
     ) -> None:
-        """Count how a request ended.
+        """Count the outcome of a request; report a failure of the new version at once.
 
-        :param took_s: from the send to the end, in seconds; 0 where it tells nothing.
+        :param took_s: time from the send to the end, in seconds; 0 if it isn't meaningful.
         """
         share = self._shares.get(replica.service)
         if share is None:
@@ -238,12 +239,12 @@
         return replica.version == share.order.version
 
     def _estimated_work_s(self, prompt_tokens: float, output_tokens: float) -> float:
-        guess = self._engine_defaults
-        read_s = prompt_tokens / guess.prefill_tokens_per_s
-        return guess.setup_s + read_s + output_tokens * guess.token_s
+        engine_defaults = self._engine_defaults
+        prefill_s = prompt_tokens / engine_defaults.prefill_tokens_per_s
+        return engine_defaults.setup_s + prefill_s + output_tokens * engine_defaults.token_s
 
     def _expected_duration_s(self, admission: Admission) -> float:
-        """Tell how long a request may last, in seconds."""
+        """Return how long a request may last, in seconds, at most the time until its deadline."""
         left = admission.ends - self._now()
         if not admission.route.streams:
             return min(left, admission.route.goal_s)
@@ -252,10 +253,10 @@
         likely = likely or (fields.most_output_tokens or DEFAULT_OUTPUT_TOKENS) // 4
         return min(left, DURATION_FACTOR * self._estimated_work_s(fields.prompt_tokens, likely))
 
-    # Reports and the leader's word.
+    # Reports and the leader's announcements.
 
     def tick(self) -> None:
-        """Report, and lead the orders that this node is to lead."""
+        """Send the reports that are due and advance the orders that this node leads."""
         for service, share in list(self._shares.items()):
             if (
                 self._now() - self._report_times.setdefault(service, _ReportTimes()).at
@@ -265,7 +266,7 @@
             self._leads.advance(share)
 
     def receive(self, process: str, message: RolloutMessage) -> None:
-        """Take a report, or the leader's word.
+        """Handle a report of a node or an announcement of the leader.
 
         :param process: id of the sender.
         """
--- a/packages/chalkyoke/src/chalkyoke/node/routing.py
+++ b/packages/chalkyoke/src/chalkyoke/node/routing.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.routing
 
-Which part of a gateway node takes which message of another node.
+Routes messages of other nodes to the parts of a gateway node.
 """
 
 from collections.abc import Callable
@@ -94,8 +94,8 @@
     AdoptRequest,
 )
 
-# What nodes understand whose version does not tell its kinds when a link is opened. Any other kind
-# tears the link on which it comes to such a node.
+# Message kinds that a node understands if its version doesn't advertise its kinds when a link is
+# opened. Any other kind breaks the link to such a node.
 LEGACY_KINDS = frozenset(
     (
         "acquire",
@@ -132,13 +132,13 @@
     )
 )
 
-# Of the nodes that do not tell, the later ones understand these too; they tell them to all at the
-# first end of a replica under their runs.
+# Kinds that later versions without advertisement understand too. Such a node broadcasts messages of
+# these kinds when a replica ends for the first time during its requests.
 LEGACY_QUARANTINE_KINDS = frozenset(str(each.__struct_config__.tag) for each in QUARANTINE_MESSAGES)
 
 
 class RoutedParts(msgspec.Struct, frozen=True):
-    """The parts of a node that take messages."""
+    """The parts of a node that receive messages."""
 
     view: MembershipView
     links: Links
@@ -155,26 +155,26 @@
 
 
 class MessageRouter:
-    """Hand each message to the part that it is for.
+    """Route each message to the part of the node that handles its kind.
 
-    :param changed: called with what a message has changed in the membership view.
+    :param apply_changes: called with the changes of the membership view that a message caused.
     :param now: the node's clock, in seconds.
     """
 
     def __init__(
         self,
         parts: RoutedParts,
-        changed: Callable[[list[Change]], None],
+        apply_changes: Callable[[list[Change]], None],
         now: Callable[[], float],
     ) -> None:
         self._parts = parts
-        self._apply_changes = changed
+        self._apply_changes = apply_changes
         self._now = now
 
     def route(self, connection: Connection, message: msgspec.Struct) -> None:
-        """Hand a message on.
+        """Pass a message to the part that handles its kind.
 
-        :raises InvariantBroken: when a part finds that a promise does not hold.
+        :raises InvariantBroken: if a part detects a violated invariant.
         """
         parts, address = self._parts, connection.peer_address
         if isinstance(message, MEMBERSHIP_MESSAGES):
--- a/packages/chalkyoke/src/chalkyoke/node/schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/schedulers.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.schedulers
 
-The schedulers that this process hosts, and the way to those of other processes.
+Hosts the pool schedulers of this process and sends messages to those of other processes.
 """
 
 import asyncio
@@ -34,12 +34,14 @@
 from chalkyoke.scheduling.scheduler import PoolScheduler
 from chalkyoke.scheduling.state import PoolSpec
 
-# How long the scheduler of a pool that has moved is kept, in seconds: it may come back at once.
+# How long the scheduler of a pool that another process owns now is kept, in seconds: the pool may
+# move back at once.
 MOVED_POOL_RETENTION_S = 5.0
-# How often a pool's scheduler tells those that may succeed it what it has learned, in seconds. An
-# engine's speed is known after some first outputs, which takes about as long.
+# How often a pool's scheduler sends its learned engine speeds to its successors, in seconds. The
+# speed of an engine is known after some first outputs, which takes about as long.
 LEARNED_SEND_INTERVAL_S = 1.0
-# How many processes are told: the next in line of another failure domain and of the own one.
+# Number of successors that get the learned speeds: the next owner of another failure domain and
+# the next owner of the same one.
 SUCCESSOR_COUNT = 2
 
 log = logger("schedulers")
@@ -48,26 +50,32 @@
 
 
 class Pools(Protocol):
-    """The pools as configuration and discovery describe them together."""
+    """The pools that configuration and discovery define together."""
 
     @property
     def pools(self) -> Mapping[str, PoolSpec]:
-        """The pools by name."""
+        """The specifications of all pools by pool name."""
 
 
 class SchedulerHost:
     """Host a scheduler for each pool that entry processes ask this process for.
 
-    Two processes that both believe they own a pool cost some overcommit, never a wrong answer.
+    Two processes that both act as the owner of a pool may overcommit its upstreams, but never
+    cause a wrong answer.
 
     :param process: id of this process.
     :param send: sends a message to a process by its link address.
     :param now: seconds on the monotonic clock since this process started.
     :param source: random numbers in [0, 1).
-    :param features: parts of the policy that are on; all where nothing is given.
-    :param keeper: counts what upstreams get that name a limit; nothing where none can.
-    :param acknowledge: whether entry processes are told at once that a request waits here.
-    :ivar has_pools: set while there is a scheduler here, so that nobody ticks for nothing.
+    :param features: enabled parts of the policy; all of them if None.
+    :param keeper: counts the requests to upstreams that state a limit; None if upstreams can't
+        state one.
+    :param acknowledge: whether an entry process gets a ``Queued`` message as soon as its request
+        waits here.
+    :ivar has_pools: set while this process hosts a scheduler, so that an idle process needs no
+        ticks.
+    :ivar deliver: passes a decision to the entry side of this process.
+    :ivar report_running: reports the running requests of this process to a pool's scheduler.
     """
 
     def __init__(
@@ -108,10 +116,10 @@
         self._received_learned: dict[str, Learned] = {}
         self._next_learned_send_at = 0.0
 
-    # The port that the entry slice uses.
+    # The scheduler port of the entry slice.
 
     def owner(self, pool: str) -> str:
-        """Give the id of the process that schedules a pool now.
+        """Return the id of the process that schedules a pool now.
 
         :rtype: str
         """
@@ -122,7 +130,7 @@
         return found
 
     def is_alive(self, process: str) -> bool:
-        """Tell whether a process is in the membership view.
+        """Return whether a process is in the membership view.
 
         :rtype: bool
         """
@@ -130,7 +138,10 @@
         return process in self._live_addresses
 
     def send(self, process: str, message: EntryMessage) -> None:
-        """Send a message to the scheduler in a process, this one included."""
+        """Send a message to the scheduler of any process, including this one.
+
+        The message is dropped if the address of the process is unknown.
+        """
         if process == self._process:
             self.receive(process, self._view.domain, message)
             return
@@ -141,11 +152,11 @@
     # Messages.
 
     def remember_address(self, process: str, address: str) -> None:
-        """Remember where a process that wrote to us listens."""
+        """Remember the link address of a process that sent a message."""
         self._sender_addresses[process] = address
 
     def receive(self, entry: str, domain: str, message: EntryMessage) -> None:
-        """Take a message of an entry process.
+        """Handle a message of an entry process.
 
         :param entry: id of the entry process.
         :param domain: its failure domain.
@@ -179,13 +190,13 @@
             scheduler.withdraw(message)
 
     def send_learned(self, pool: str, process: str) -> None:
-        """Tell a pool's new scheduler what this process has learned as its earlier one."""
+        """Send the learned engine speeds of a pool to its new scheduler."""
         scheduler = self.pools.get(pool)
         if scheduler is not None and process != self._process:
             self.send(process, scheduler.learned())
 
     def tick(self) -> None:
-        """Let each scheduler give up what is late, and drop those that moved away."""
+        """Expire late requests in each scheduler and drop schedulers of pools that moved away."""
         now = self._now()
         for name, scheduler in list(self.pools.items()):
             self.dispatch(scheduler.tick(now))
@@ -197,7 +208,7 @@
             self._send_learned_to_successors()
 
     def _send_learned_to_successors(self) -> None:
-        """Tell what is learned to those that schedule the pools when this process is lost."""
+        """Send the learned speeds to the processes that take the pools over if this one is lost."""
         for name, scheduler in self.pools.items():
             owners = [each.process for each in self._view.pool_owners(name)]
             if owners[:1] != [self._process]:
@@ -208,7 +219,7 @@
                     self.send(process, learned)
 
     def reconfigure(self) -> None:
-        """Tell each scheduler of a new configuration or host list."""
+        """Apply a new configuration or host list to each scheduler."""
         pools = self._fleet().pools
         for name, scheduler in list(self.pools.items()):
             spec = pools.get(name)
@@ -219,28 +230,28 @@
                 self.dispatch(scheduler.configure(spec, self._now()))
 
     def limits_changed(self) -> None:
-        """Tell each scheduler what upstreams may get that name a limit."""
+        """Apply the allowances of upstreams that state a limit to each scheduler."""
         for scheduler in self.pools.values():
             self._apply_limits(scheduler)
 
     def member_left(self, process: str) -> None:
-        """Drop what a dead entry process had here."""
+        """Drop the requests and the address of an entry process that left."""
         self._sender_addresses.pop(process, None)
         for scheduler in self.pools.values():
             self.dispatch(scheduler.member_gone(process, self._now()))
 
-    def dispatch(self, outs: list[Out]) -> None:
-        """Deliver what a scheduler decided."""
-        for out in outs:
-            action = out.action
+    def dispatch(self, decisions: list[Out]) -> None:
+        """Count a scheduler's decisions and deliver them to the entry processes."""
+        for decision in decisions:
+            action = decision.action
             if isinstance(action, Shed):
-                beside = "free" if out.beside_free else "taken"
+                places = "free" if decision.beside_free else "taken"
                 self._metrics.count(
-                    "scheduler_shed", reason=action.reason, pool=action.pool, places=beside
+                    "scheduler_shed", reason=action.reason, pool=action.pool, places=places
                 )
             else:
                 self._metrics.count("scheduler_granted", pool=action.pool)
-            self._deliver(out.entry, action)
+            self._deliver(decision.entry, action)
 
     # Private.
 
@@ -289,7 +300,7 @@
         return scheduler
 
     def _request_running(self, pool: str) -> None:
-        """Ask all entry processes what they have running, whether or not they saw a change."""
+        """Request the running requests of all entry processes, even if their owner is unchanged."""
         for record in self._view.live():
             if record.process == self._process:
                 assert self.report_running is not None
@@ -309,18 +320,26 @@
             log.info("pool_given_up", pool=name)
 
     def _refuse_unknown(self, entry: str, message: Acquire) -> None:
-        """Answer for a pool that this process's configuration does not have (yet)."""
-        # The entry asks again after a second, by when the revision will have come.
+        """Count a request for a pool that is missing in this process's configuration."""
+        # No reply is needed: the entry process retries after a second, and the revision with the
+        # pool has usually arrived by then.
         self._metrics.count("acquire_unknown_pool")
-        log.debug("{} asks for pool {} that is not known here", entry, message.pool)
+        log.debug(
+            "{} requested pool {}, which is not in the configuration of this process",
+            entry,
+            message.pool,
+        )
 
     def address(self, process: str) -> str | None:
-        """Give the link address of a process; nothing where it is not known."""
+        """Return the link address of a process, or None if it is unknown."""
         self._refresh_on_view_change()
         return self._live_addresses.get(process) or self._sender_addresses.get(process)
 
     def _refresh_on_view_change(self) -> None:
-        """Forget owners and addresses when the view has changed; both are asked on each message."""
+        """Drop the cached owners and addresses when the view has changed.
+
+        Both are looked up for each message.
+        """
         if self._generation == self._view.generation:
             return
         self._generation = self._view.generation
--- a/packages/chalkyoke/src/chalkyoke/node/servers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/servers.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.servers
 
-HTTP servers inside this process's loop: uvicorn with the plain asyncio loop and one worker.
+HTTP servers inside this process's event loop: uvicorn with the asyncio loop and one worker.
 """
 
 import asyncio
@@ -12,13 +12,14 @@
 
 import uvicorn
 
-# New connections that may wait to be taken, in number.
+# Number of new connections that may wait for accept.
 BACKLOG_CONNECTIONS = 1024
+# How long an idle connection is kept open, in seconds.
 KEEP_ALIVE_S = 30
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to the node."""
+    """A uvicorn server that leaves signal handling to the node."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -29,13 +30,14 @@
     """Serve one ASGI application on one address.
 
     :param address: ``ip:port``.
-    :param certificate: file of a TLS certificate; empty is plain HTTP.
+    :param certificate: file of a TLS certificate; empty for plain HTTP.
+    :param key: file of the certificate's private key.
     :raises OSError: when the address can't be bound.
     """
 
     def __init__(self, app: Any, address: str, certificate: str = "", key: str = "") -> None:
         ip, port = address.rsplit(":", 1)
-        # asyncio switches Nagle's algorithm off only on sockets that name their protocol.
+        # asyncio disables Nagle's algorithm only on sockets with an explicit protocol number.
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind((ip, int(port)))
@@ -58,11 +60,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start serving in a task of the running event loop."""
         self._task = asyncio.create_task(self._server.serve(sockets=[self._socket]))
 
     async def stop(self) -> None:
-        """Stop to take connections, and wait for those that are being answered."""
+        """Stop accepting connections and wait for the requests in progress."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
--- a/packages/chalkyoke/src/chalkyoke/node/supervisor.py
+++ b/packages/chalkyoke/src/chalkyoke/node/supervisor.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.supervisor
 
-The endless loops of a node, and its end by a fault that must not be lived with.
+Runs the loops of a node and ends the process on a fatal fault.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 
 
 class Supervisor:
-    """Run loops for as long as the process lives. Make it inside the running event loop.
+    """Run loops until the process ends. Create it inside the running event loop.
 
     :param metrics: counts faults that end one connection only.
-    :ivar ended: set when the process is to end.
-    :ivar failure: the fault that ended it, if one did.
+    :ivar ended: set when the process must end.
+    :ivar failure: the fault that ended the process, or None.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -32,17 +32,17 @@
         loop.set_exception_handler(self._on_exception)
 
     def start(self, work: Coroutine[None, None, None]) -> None:
-        """Run a loop; a fault in it ends the process."""
+        """Run a loop as a task; an exception in it ends the process."""
         task = asyncio.create_task(work)
         task.add_done_callback(self._loop_ended)
         self._tasks.append(task)
 
     def repeat(self, interval_s: float, work: Callable[[], None]) -> None:
-        """Call a function again and again."""
+        """Call a function every ``interval_s`` seconds, beginning now."""
         self.start(_repeat(interval_s, self._started, work))
 
     def fail(self, error: BaseException) -> None:
-        """End the process for a fault that must not be lived with."""
+        """End the process because of a fatal fault; the first fault is kept."""
         if self.failure is None:
             log.critical("fatal", error=repr(error))
             self.failure = error
@@ -54,7 +54,7 @@
             task.cancel()
 
     def _loop_ended(self, task: "asyncio.Task[None]") -> None:
-        # Without one of its loops a process would look alive and do nothing.
+        # A process without one of its loops would look healthy but do nothing.
         if not task.cancelled() and (error := task.exception()) is not None:
             self.fail(error)
 
@@ -63,22 +63,22 @@
         if isinstance(error, InvariantBroken):
             self.fail(error)
         elif isinstance(error, BaseException) and not isinstance(error, ConnectionError):
-            # A fault in the service of one connection ends that connection, not the process.
+            # A fault while serving one connection ends that connection, not the process.
             self._metrics.count("faults")
             log.error("fault", where=str(context.get("message")), error=repr(error))
 
 
 async def _repeat(interval_s: float, started: float, work: Callable[[], None]) -> None:
-    """Call a function at the same moments as others of the same interval.
+    """Call a function at the same times as all functions of the same interval.
 
-    The loop then wakes once for all of them.
+    The event loop then wakes once for all of them.
     """
     loop = asyncio.get_running_loop()
     while True:
         work()
-        turns = (loop.time() - started) // interval_s
+        intervals = (loop.time() - started) // interval_s
         woken = loop.create_future()
-        loop.call_at(started + (turns + 1) * interval_s, _wake, woken)
+        loop.call_at(started + (intervals + 1) * interval_s, _wake, woken)
         await woken
 
 
--- a/packages/chalkyoke/src/chalkyoke/upstreams/client.py
+++ b/packages/chalkyoke/src/chalkyoke/upstreams/client.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.upstreams.client
 
-Calls on model engines and plain services over HTTP. The permission to dispatch is taken once a
-connection stands and before the first byte is written, so a failed connect is no dispatch.
+HTTP client for model engines and plain services. The permission to dispatch is requested after the
+connection is established and before the first byte is written, so a failed connect is no dispatch.
 """
 
 import socket
@@ -26,19 +26,20 @@
 
 # How long opening a connection may take, in seconds.
 CONNECT_TIMEOUT_S = 1.0
-# How long a load report or a cancellation may take, in seconds.
+# How long the fetch of a load report or a cancellation may take, in seconds.
 SHORT_CALL_TIMEOUT_S = 1.0
-# How long an unused connection is kept, in seconds.
+# How long an idle connection is kept, in seconds.
 IDLE_CONNECTION_S = 10.0
-# What is read of the text of an upstream's refusal, in bytes; it goes into one line of the log.
+# How much of the body of an upstream's refusal is read, in bytes; it goes into one log line.
 MAX_DECLINE_BYTES = 2_000
 REQUEST_ID = "X-Request-Id"
 
+# Returns whether a request may be dispatched now.
 Gate = Callable[[], bool]
 
 
 class _DispatchRefused(ChalkyokeError):
-    """The gate refused the dispatch on a connection that was ready."""
+    """The gate refused the dispatch on an established connection."""
 
 
 async def _check_gate(
@@ -50,7 +51,7 @@
 
 
 def dispatch_trace() -> aiohttp.TraceConfig:
-    """Make the trace that asks a call's gate before its first byte.
+    """Create the trace that calls a request's gate before its first byte is written.
 
     :rtype: aiohttp.TraceConfig
     """
@@ -61,7 +62,7 @@
 
 
 def make_session() -> aiohttp.ClientSession:
-    """Make the HTTP session for upstreams.
+    """Create the HTTP session for upstreams, with dispatch gates and without a total timeout.
 
     :rtype: aiohttp.ClientSession
     """
@@ -85,9 +86,9 @@
 
 
 class UpstreamClient:
-    """Call upstreams.
+    """Dispatch requests to upstreams and fetch their load reports.
 
-    :param session: from :func:`make_session`.
+    :param session: a session of :func:`make_session`.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
@@ -98,36 +99,39 @@
     ) -> CallOutcome:
         """Dispatch one request.
 
-        :param gate: asked once, right before the first byte.
+        :param gate: called right before the first byte; the request is sent only if it returns
+            true.
         :rtype: CallOutcome
         """
-        asked = False
+        permitted = False
 
-        def ask() -> bool:
-            nonlocal asked
-            asked = gate()
-            return asked
+        def call_gate() -> bool:
+            nonlocal permitted
+            permitted = gate()
+            return permitted
 
         try:
             response = await self._session.post(
                 f"http://{address}{path}",
                 data=body,
                 headers=headers,
-                trace_request_ctx=ask,
+                trace_request_ctx=call_gate,
                 allow_redirects=False,
             )
         except _DispatchRefused:
             return NotPermitted()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return (
-                NoAnswer(_describe_error(error)) if asked else NotConnected(_describe_error(error))
+                NoAnswer(_describe_error(error))
+                if permitted
+                else NotConnected(_describe_error(error))
             )
         return await self._classify_response(response)
 
     async def resume(self, address: str, path: str, request: str, offset: int) -> CallOutcome:
-        """Go on reading a stream whose connection broke; never a dispatch.
+        """Resume reading a stream after its connection broke; this is never a dispatch.
 
-        :param offset: events that have come already.
+        :param offset: number of events that were received already.
         :rtype: CallOutcome
         """
         try:
@@ -139,7 +143,7 @@
         return await self._classify_response(response)
 
     async def cancel(self, address: str, path: str, request: str) -> None:
-        """Tell an engine that nobody waits for a request any more."""
+        """Cancel a request that no caller waits for any more; errors are ignored."""
         try:
             async with self._session.delete(
                 f"http://{address}{path}/{request}",
@@ -150,9 +154,9 @@
             return
 
     async def fetch_load(self, upstream: str, address: str) -> tuple[LoadReport, CacheEvent] | None:
-        """Ask an upstream for its load report and cache events.
+        """Fetch the load report and the cache events of an upstream.
 
-        :return: both, or nothing where it did not answer.
+        :return: both, or None if there was no valid answer.
         """
         try:
             async with self._session.get(
--- a/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.upstreams.messages
 
-What can come of a call on an upstream, as values.
+The possible outcomes of a call to an upstream.
 """
 
 from dataclasses import dataclass
@@ -10,41 +10,42 @@
 
 from chalkyoke.rests import bounded
 
-# Service unavailable (RFC 9110): with a time, the upstream wants nothing of its caller for so long.
+# Status 503 Service Unavailable (RFC 9110): with a Retry-After time, the upstream wants no requests
+# of this caller for that long.
 SERVICE_UNAVAILABLE = 503
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """The upstream answers; the body is still to be read."""
+    """The upstream has started its answer; the body is not read yet."""
 
     response: aiohttp.ClientResponse
 
 
 @dataclass(frozen=True, slots=True)
 class NotConnected:
-    """No connection came about, so not one byte has left."""
+    """No connection was established, so no byte was sent."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotPermitted:
-    """The gate stayed shut: the run had ended or its deadline had passed."""
+    """The gate refused the dispatch: the run had ended or its deadline had passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """Bytes may have left, and nothing came back."""
+    """Bytes may have been sent, but no answer arrived."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """The upstream itself answered that it does not do it.
+    """The upstream refused the request or answered with a server error.
 
-    :param retry_after_s: what the upstream said, in seconds; 0 where it said nothing.
+    :param retry_after_s: the Retry-After time of the answer, in seconds; 0 if it had none.
     """
 
     status: int
@@ -53,7 +54,7 @@
 
     @property
     def rest_s(self) -> float:
-        """For how long the upstream wants nothing of this process, in seconds."""
+        """How long this process must not send requests to the upstream, in seconds."""
         return bounded(self.retry_after_s) if self.status == SERVICE_UNAVAILABLE else 0.0
 
 
