--- a/packages/chalkyoke/src/chalkyoke/node/pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pools.py
@@ -76,14 +76,14 @@
         self._defaults = defaults
         self._standings = standings or NoRollouts()
         self._catalog = Catalog()
-        self._parts = _CatalogSpecs(self._catalog)
+        self._catalog_specs = _CatalogSpecs(self._catalog)
         self.pools: dict[str, PoolSpec] = {}
 
     def rebuild(self, catalog: Catalog, replicas: dict[str, Replica]) -> None:
         """Rebuild all pools after the catalog or the replicas have changed."""
         if catalog is not self._catalog:
             self._catalog = catalog
-            self._parts = _CatalogSpecs(catalog)
+            self._catalog_specs = _CatalogSpecs(catalog)
         self.pools = {
             service.name: self._pool(service, replicas)
             for service in catalog.services.values()
@@ -96,13 +96,17 @@
         names = frozenset(each.id for each in usual)
         tried = frozenset(each.id for each in self._standings.trial_replicas(service.name, trial))
         routes: list[RouteSpec] = []
-        for each in self._parts.routes.get(service.name, ()):
+        for each in self._catalog_specs.routes.get(service.name, ()):
             routes.append(RouteSpec(each, names))
             if tried:
                 routes.append(RouteSpec(trial_route(each), tried))
         upstreams = tuple(self._upstream(service, each) for each in own)
         return PoolSpec(
-            service.name, upstreams, self._parts.tiers, self._parts.teams, tuple(routes)
+            service.name,
+            upstreams,
+            self._catalog_specs.tiers,
+            self._catalog_specs.teams,
+            tuple(routes),
         )
 
     def _upstream(self, service: Service, replica: Replica) -> UpstreamSpec:
--- a/packages/chalkyoke/src/chalkyoke/node/schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/schedulers.py
@@ -58,7 +58,7 @@
 
 
 class SchedulerHost:
-    """Host a scheduler for each pool that entry processes ask this process for.
+    """Host a scheduler for each pool that entry processes address to this process.
 
     Two processes that both act as the owner of a pool may overcommit its upstreams, but never
     cause a wrong answer.
@@ -167,7 +167,7 @@
         scheduler = self._find_or_create_scheduler(message.pool)
         if scheduler is None:
             if isinstance(message, Acquire):
-                self._refuse_unknown(entry, message)
+                self._count_unknown_pool(entry, message)
             return
         now = self._now()
         if isinstance(message, Acquire):
@@ -319,7 +319,7 @@
             self._events.add(EventKind.POOL_GIVEN_UP, pool=name)
             log.info("pool_given_up", pool=name)
 
-    def _refuse_unknown(self, entry: str, message: Acquire) -> None:
+    def _count_unknown_pool(self, entry: str, message: Acquire) -> None:
         """Count a request for a pool that is missing in this process's configuration."""
         # No reply is needed: the entry process retries after a second, and the revision with the
         # pool has usually arrived by then.
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_fleet.py
@@ -61,7 +61,7 @@
     assert fleet.route("m", {}).name == "all"
 
 
-def test_a_plan_sees_routes_without_upstream_and_unused_tiers():
+def test_a_fleet_view_lists_routes_without_upstream_and_unused_tiers():
     fleet = view(MODEL, host("e1", kind="engine"))
     assert fleet.routes_without_upstream() == ["desk"]
     assert fleet.unused_tiers() == ["unused"]
@@ -74,7 +74,7 @@
     assert fleet.may_dispatch("e2")
 
 
-def test_a_broken_invariant_in_a_page_reaches_the_loop():
+def test_an_invariant_broken_in_a_page_reaches_the_loop_exception_handler():
     class Page:
         async def on_get(self, req, resp):
             require(False, "a promise")
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Which replicas take new work, by what the store has told so far."""
+"""Which replicas take new requests, by the updates that the store has sent so far."""
 
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import CatalogState
@@ -34,8 +34,8 @@
     replicas.rebuild()
 
 
-def test_a_leaving_that_was_heard_binds_while_the_store_is_away():
-    """The store tells nothing more; time alone brings no leaving replica back."""
+def test_a_leaving_replica_stays_excluded_while_the_store_is_unavailable():
+    """The store sends no more updates, and the passing of time must not restore the replica."""
     state, replicas, clock = declared("m1 ready", "m2 ready")
     change(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
     for clock.now in (0.1, 5.0, 60.0):
@@ -43,7 +43,7 @@
         assert [each.id for each in replicas.of("model")] == ["m2"]
 
 
-def test_a_leaving_replica_is_no_last_resort_when_all_entries_lapse():
+def test_a_leaving_replica_is_no_fallback_when_all_records_are_removed():
     state, replicas, clock = declared("m1 ready", "m2 ready")
     change(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
     change(state, replicas, clock, 3, Removed("m1", 3), Removed("m2", 4))
@@ -51,17 +51,17 @@
     assert replicas.find("m1") is None
 
 
-def test_an_entry_that_goes_without_a_word_ends_new_work_at_once():
-    """Some replicas never say that they leave; a grant on its way is used for a moment more."""
+def test_a_removed_replica_gets_no_new_requests_while_others_are_left():
+    """Some replicas never announce that they leave; a grant in transit stays usable for a moment."""
     state, replicas, clock = declared("m1 ready", "m2 ready")
     change(state, replicas, clock, 2, Removed("m1", 2))
     assert [each.id for each in replicas.of("model")] == ["m2"]
     clock.now = DEPARTED_FALLBACK_S * 1.01
     assert replicas.find("m1") is None
-    assert DEPARTED_FALLBACK_S < 2.0, "well within the time that a leaving replica serves on"
+    assert DEPARTED_FALLBACK_S < 2.0, "a departed replica keeps serving for longer"
 
 
-def test_entries_that_all_lapsed_serve_on_for_a_moment_and_not_for_longer():
+def test_the_last_removed_replica_is_a_fallback_for_a_limited_time():
     state, replicas, clock = declared("m1 ready")
     change(state, replicas, clock, 2, Removed("m1", 2))
     clock.now = DEPARTED_FALLBACK_S / 2
@@ -70,10 +70,10 @@
     assert replicas.find("m1") is None and replicas.of("model") == []
 
 
-def test_a_last_resort_counts_from_when_a_replica_went_not_from_when_that_was_heard():
-    for heard_after_s, found in ((0.0, ["m1"]), (DEPARTED_FALLBACK_S + 0.1, [])):
+def test_the_fallback_time_runs_from_the_removal_and_not_from_its_receipt():
+    for delay_s, found in ((0.0, ["m1"]), (DEPARTED_FALLBACK_S + 0.1, [])):
         state, replicas, clock = declared("m1 ready")
         clock.now = 10.0
-        state.change_replicas([Removed("m1", 2)], 2, clock.now - heard_after_s)
+        state.change_replicas([Removed("m1", 2)], 2, clock.now - delay_s)
         replicas.rebuild()
         assert [each.id for each in replicas.of("model")] == found
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
@@ -1,4 +1,4 @@
-"""What hosts have registered of themselves, and what others wrote beside it."""
+"""Registration of nodes in the store: unreadable entries, and a store restored from a copy."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 @given(st.dictionaries(st.text(min_size=1, max_size=4), st.binary(max_size=20), max_size=5))
-def test_entries_that_can_t_be_read_name_no_node_and_the_others_hold(others):
+def test_unreadable_entries_are_skipped_and_the_others_are_kept(others):
     good = msgspec.msgpack.encode(NodeEntry("10.1.0.1:82", "a"))
     registered = {PREFIX + name: value for name, value in others.items()}
     registered[PREFIX + "good-host"] = good
@@ -34,14 +34,14 @@
 
 
 class RestoredStore:
-    """A store that gives lease numbers out again when it was restored from a copy."""
+    """A store that issues the same lease numbers again after a restore from a copy."""
 
     def __init__(self):
         self.epoch = 1
         self.leases = {}
         self.keys = {}
         self.ended = []
-        self.away = False
+        self.unavailable = False
 
     def copy(self):
         return dict(self.leases), dict(self.keys)
@@ -51,7 +51,7 @@
         self.epoch += 1
 
     async def grant_lease(self, ttl_s):
-        if self.away:
+        if self.unavailable:
             return Unavailable("reset", may_be_done=True)
         number = max(self.leases, default=0) + 1
         self.leases[number] = "node"
@@ -84,21 +84,21 @@
     virtual.run(main)
 
 
-# Guards against a node that renews somebody else's lease and is listed nowhere.
-@pytest.mark.parametrize("is_told", [True, False])
-def test_an_entry_that_a_restored_store_lost_is_written_again(is_told):
+# Guards against a node that renews another writer's lease and isn't registered any more.
+@pytest.mark.parametrize("is_notified", [True, False])
+def test_an_entry_lost_by_a_restore_is_written_again(is_notified):
     async def check(store, registration, copy):
         store.restore(copy)
         store.leases[1] = "another"
-        if is_told:
+        if is_notified:
             registration.store_restored(store.epoch)
-        await asyncio.sleep(RESTORED_SPREAD_S if is_told else LEASE_S / RENEWALS_PER_LEASE)
+        await asyncio.sleep(RESTORED_SPREAD_S if is_notified else LEASE_S / RENEWALS_PER_LEASE)
         assert store.keys == {"nodes/n": 2}
 
     registered(check)
 
 
-# Guards against a node that ends somebody else's lease when it stops.
+# Guards against a node that ends another writer's lease when it stops.
 def test_a_lease_of_an_earlier_epoch_is_not_ended():
     async def check(store, registration, copy):
         store.restore(copy)
@@ -110,8 +110,8 @@
     registered(check)
 
 
-# Guards against writes of all nodes at once for entries that are in the copy for certain.
-def test_an_entry_that_is_older_than_a_copy_may_be_is_kept():
+# Guards against simultaneous writes of all nodes for entries that the copy is certain to have.
+def test_an_entry_older_than_any_copy_is_not_written_again():
     async def check(store, registration, copy):
         await asyncio.sleep(MOST_COPY_AGE_S)
         store.restore(store.copy())
@@ -124,8 +124,8 @@
     registered(check)
 
 
-# Guards against an entry that is thought written with a lease of the epoch before.
-def test_a_restore_between_a_lease_and_its_write_is_noticed():
+# Guards against an entry that counts as written although its lease is of the previous epoch.
+def test_a_restore_between_the_lease_and_the_write_is_detected():
     async def check(store, registration, copy):
         async def write(key, value, *, lease=0, expected=None):
             del store.write
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_schedulers.py
@@ -1,4 +1,4 @@
-"""What a pool's scheduler tells those that would succeed it, and what they do with it."""
+"""The hand-off of learned engine speeds from a pool's scheduler to its successors."""
 
 from types import SimpleNamespace
 
@@ -52,22 +52,24 @@
     return Acquire(request, 1, "p", "r", "0", "", 1000, 100, (), 5.0, 0.0)
 
 
-def test_the_next_in_line_are_told_once_a_second_what_is_learned():
+def test_successors_receive_learned_speeds_once_a_second():
     scheduler, sent, clock = host("n1")
     scheduler.receive("n1", "a", acquire("q1"))
     clock.now += 1.0
     scheduler.tick()
-    assert not [message for _, message in sent if isinstance(message, Learned)], "nothing known"
+    assert not [message for _, message in sent if isinstance(message, Learned)], (
+        "no speed is learned yet"
+    )
 
     scheduler.receive("n1", "a", FirstOutput("q1", "p", 0.2))
     for _ in range(30):
         clock.now += 0.05
         scheduler.tick()
-    told = [address for address, message in sent if isinstance(message, Learned)]
-    assert told == ["n2:1", "n3:1"]
+    receivers = [address for address, message in sent if isinstance(message, Learned)]
+    assert receivers == ["n2:1", "n3:1"]
 
 
-def test_who_is_not_the_owner_tells_nobody():
+def test_a_process_that_does_not_own_the_pool_sends_no_learned_speeds():
     scheduler, sent, clock = host("n2")
     scheduler.receive("n1", "a", acquire("q1"))
     scheduler.receive("n1", "a", FirstOutput("q1", "p", 0.2))
@@ -76,11 +78,11 @@
     assert not [message for _, message in sent if isinstance(message, Learned)]
 
 
-def test_a_successor_starts_with_what_it_was_told():
-    """Before, it knew no engine's speed, and sent long prompts to the slowest."""
+def test_a_successor_starts_with_the_learned_speeds():
+    """Guards against a successor that knows no speeds and sends long prompts to the slowest."""
     scheduler, sent, _ = host("n2")
     scheduler.receive("n1", "a", Learned("p", (LearnedSpeed("m1", 3.0, 4.0, 20),)))
-    assert not scheduler.pools, "being told is no reason to schedule"
+    assert not scheduler.pools, "received speeds do not create a scheduler"
     assert not [message for _, message in sent if isinstance(message, AdoptRequest)]
 
     scheduler.receive("n1", "a", acquire("q1"))
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""A replica that starts again under its id: what was kept of the start before."""
+"""A replica that restarts under the same id: state of the previous start must not apply to it."""
 
 import json
 
@@ -34,7 +34,7 @@
     return state
 
 
-def test_a_pool_s_scheduler_meets_another_upstream_of_which_nothing_is_known():
+def test_a_restarted_replica_is_a_new_upstream_of_its_pool():
     pools = DeclaredPools(SchedulingSection())
     names = []
     for state in (starts(1), starts(1, 2)):
@@ -43,7 +43,7 @@
     assert names == [["m1/1"], ["m1/2"]]
 
 
-def test_the_start_before_is_neither_offered_nor_a_last_resort():
+def test_the_previous_start_is_neither_listed_nor_a_fallback():
     state = starts(1, 2)
     replicas = DeclaredReplicas(state, lambda: 0.0)
     replicas.rebuild()
@@ -51,7 +51,7 @@
     assert replicas.find("m1/1") is None
 
 
-def test_failures_and_reach_of_the_start_before_do_not_count():
+def test_failures_and_reachability_of_the_previous_start_do_not_count():
     balancer = LocalBalancer("a", lambda: 0.5)
     balancer.seen("m1/1").note_failure(5.0, 0.0)
     balancer.seen("m1/1").note_unreachable(0.0)
@@ -61,7 +61,7 @@
     assert not balancer.out_of_reach([replica], 0.0, tried=[replica.id])
 
 
-def test_what_observers_were_told_of_the_start_before_makes_no_suspect_of_the_new_one():
+def test_reports_about_the_previous_start_do_not_make_the_new_one_a_suspect():
     observer = Observer()
     observer.take([RouteCount("m2/1", "r", 50, 0), RouteCount("m1/1", "r", 0, 9)], 0.0)
     observer.take([RouteCount("m1/2", "r", 1, 0)], 0.1)
