--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -90,9 +90,9 @@
 # How long a stopping node still accepts callers, in seconds: the load balancer checks readiness
 # each second and removes a node after two failed checks.
 LEAVE_DELAY_S = 2.5
-# When a node that has found no other ready node declares itself ready for fleet duties, in seconds
-# since its start: four heartbeats.
-READY_ALONE_AFTER_S = 1.0
+# How long after its start a node takes duties for the fleet if other nodes are ready, in seconds:
+# four heartbeats, in which the node learns the other members.
+READY_DELAY_S = 1.0
 # How long before the end of the grace period a stopping node ends, in seconds: time for its last
 # answers and for its removal from the store. After the grace period it may be killed.
 GRACE_MARGIN_S = 0.6
@@ -507,15 +507,15 @@
                 self.links.send(seed, self.view.introduction())
 
     def _declare_ready(self) -> None:
-        """Declare this node ready for fleet duties once it may take them.
+        """Declare this node ready for duties of the fleet once its catalog is complete.
 
-        With other ready nodes in the view it takes them at once, otherwise after
-        ``READY_ALONE_AFTER_S``. Both need a complete catalog.
+        If other nodes are ready, this node waits for ``READY_DELAY_S`` since its start, so that it
+        knows the other members. If none is ready, it doesn't wait.
         """
         if self.view.record.ready or self._stopping.is_set() or not self.catalog.state.complete:
             return
         others = any(each.ready for each in self.view.live())
-        if not others or self.now() >= READY_ALONE_AFTER_S:
+        if not others or self.now() >= READY_DELAY_S:
             self.view.update_self(ready=True)
 
     def _keep_links(self) -> None:
--- a/packages/chalkyoke/src/chalkyoke/node/linkgauges.py
+++ b/packages/chalkyoke/src/chalkyoke/node/linkgauges.py
@@ -9,7 +9,7 @@
 
 
 def add_link_gauges(metrics: Metrics, links: Links) -> None:
-    """Add gauges for bytes sent, received and unsent, lost messages and silent links."""
+    """Add gauges for bytes, for messages that were not delivered, and for silent links."""
     counters = links.counters
     metrics.gauge("link_sent_bytes", lambda: counters.sent_bytes)
     metrics.gauge("link_received_bytes", lambda: counters.received_bytes)
--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -114,7 +114,7 @@
         self._apply_locally = apply_locally
         self._now = now
         self._led_orders: dict[str, _LedOrder] = {}
-        self._writes: set[asyncio.Task[None]] = set()
+        self._write_tasks: set[asyncio.Task[None]] = set()
 
     def leader(self, service: str) -> MemberRecord:
         """Return the node that leads a service's order; this node if it knows no other."""
@@ -227,8 +227,8 @@
             return
         led.written_at = self._now()
         task = asyncio.get_running_loop().create_task(self._write_order_status(order, led, state))
-        self._writes.add(task)
-        task.add_done_callback(self._writes.discard)
+        self._write_tasks.add(task)
+        task.add_done_callback(self._write_tasks.discard)
 
     async def _write_order_status(self, order: Order, led: _LedOrder, state: RolloutState) -> None:
         """Write a status if no other node wrote one meanwhile: a final status never changes."""
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -58,8 +58,8 @@
     """When this node sent its last report and its last full report, and to which leader."""
 
     leader: str = ""
-    at: float = float("-inf")
-    full_at: float = float("-inf")
+    sent_at: float = float("-inf")
+    full_sent_at: float = float("-inf")
 
 
 class Rollouts:
@@ -101,7 +101,7 @@
         self._shares: dict[str, RolloutShare] = {}
         self._report_times: dict[str, _ReportTimes] = {}
         self._running: Counter[tuple[str, str]] = Counter()
-        self._leads = RolloutLeads(
+        self._rollout_leads = RolloutLeads(
             view,
             state,
             store,
@@ -135,7 +135,7 @@
         for service in [each for each in self._shares if each not in self._state.orders]:
             log.notice("withdrawn", service=service, to=self._shares[service].order.version)
             del self._shares[service]
-            self._leads.drop_order(service)
+            self._rollout_leads.drop_order(service)
             self._report_times.pop(service, None)
         now = self._now()
         orders = {
@@ -155,12 +155,15 @@
         return self._versions.standing(replica.service, replica.version)
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
-        """Select the replicas that a trial uses from all replicas of the version under trial."""
+        """Select the replicas that a trial uses from all replicas of the version under trial.
+
+        The closing phase uses all of them.
+        """
         share = self._shares.get(service)
         if share is not None and share.phase(self._now()) is Phase.CLOSING:
             return replicas
-        most = max(MIN_TRIAL_REPLICAS, math.ceil(TRIAL_REPLICA_SHARE * len(replicas)))
-        return sorted(replicas, key=lambda each: xxhash.xxh64_intdigest(each.id.encode()))[:most]
+        count = max(MIN_TRIAL_REPLICAS, math.ceil(TRIAL_REPLICA_SHARE * len(replicas)))
+        return sorted(replicas, key=lambda each: xxhash.xxh64_intdigest(each.id.encode()))[:count]
 
     # Requests.
 
@@ -184,7 +187,7 @@
         uses the old replicas, they may stop, which would abort a request sent to one of them.
         """
         share = self._shares.get(replica.service)
-        if share is None or self._is_new(share, replica):
+        if share is None or self._runs_new_version(share, replica):
             return True
         return not share.has_left_old(self._now())
 
@@ -199,7 +202,7 @@
         """Uncount a request that its replica no longer runs."""
         self._running[replica.service, replica.version] -= 1
 
-    def _old_running(self, order: RolloutOrder) -> int:
+    def _count_old_running(self, order: RolloutOrder) -> int:
         return sum(
             count
             for (service, version), count in self._running.items()
@@ -222,7 +225,7 @@
         share = self._shares.get(replica.service)
         if share is None:
             return
-        is_new = self._is_new(share, replica)
+        is_new = self._runs_new_version(share, replica)
         work_s = 1.0
         if admission.route.streams:
             work_s = self._estimated_work_s(admission.fields.prompt_tokens, output_tokens)
@@ -235,7 +238,7 @@
         if failed and is_new:
             self._send_report(share)
 
-    def _is_new(self, share: RolloutShare, replica: Replica) -> bool:
+    def _runs_new_version(self, share: RolloutShare, replica: Replica) -> bool:
         return replica.version == share.order.version
 
     def _estimated_work_s(self, prompt_tokens: float, output_tokens: float) -> float:
@@ -259,11 +262,11 @@
         """Send the reports that are due and advance the orders that this node leads."""
         for service, share in list(self._shares.items()):
             if (
-                self._now() - self._report_times.setdefault(service, _ReportTimes()).at
+                self._now() - self._report_times.setdefault(service, _ReportTimes()).sent_at
                 >= REPORT_INTERVAL_S
             ):
                 self._send_report(share)
-            self._leads.advance(share)
+            self._rollout_leads.advance(share)
 
     def receive(self, process: str, message: RolloutMessage) -> None:
         """Handle a report of a node or an announcement of the leader.
@@ -275,7 +278,7 @@
             return
         if isinstance(message, RolloutReport):
             share.learn_passed(message.least_s, self._now())
-            self._leads.receive_report(process, share, message)
+            self._rollout_leads.receive_report(process, share, message)
             return
         self._apply_announcement(share, message)
         relay_on(self._view, self._send, message)
@@ -284,15 +287,15 @@
         if stored_outcome(self._state, share.order) is not None:
             return
         service, now = share.order.service, self._now()
-        leader = self._leads.leader(service)
+        leader = self._rollout_leads.leader(service)
         last = self._report_times.setdefault(service, _ReportTimes())
-        whole = last.leader != leader.process or now - last.full_at >= FULL_REPORT_INTERVAL_S
-        last.leader, last.at = leader.process, now
+        whole = last.leader != leader.process or now - last.full_sent_at >= FULL_REPORT_INTERVAL_S
+        last.leader, last.sent_at = leader.process, now
         if whole:
-            last.full_at = now
-        report = share.report(now, self._old_running(share.order), whole=whole)
+            last.full_sent_at = now
+        report = share.report(now, self._count_old_running(share.order), whole=whole)
         if leader.host == self._view.record.host:
-            self._leads.receive_report(self._view.record.process, share, report)
+            self._rollout_leads.receive_report(self._view.record.process, share, report)
         else:
             self._send(leader.address, report)
 
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
@@ -52,7 +52,7 @@
 
 
 def test_a_removed_replica_gets_no_new_requests_while_others_are_left():
-    """Some replicas never announce that they leave; a grant in transit stays usable for a moment."""
+    """Some replicas never announce that they leave; grants in transit stay usable for a moment."""
     state, replicas, clock = declared("m1 ready", "m2 ready")
     change(state, replicas, clock, 2, Removed("m1", 2))
     assert [each.id for each in replicas.of("model")] == ["m2"]
