--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
@@ -85,14 +85,14 @@
 
 
 # Guards against a node that renews another writer's lease and isn't registered any more.
-@pytest.mark.parametrize("is_notified", [True, False])
-def test_an_entry_lost_by_a_restore_is_written_again(is_notified):
+@pytest.mark.parametrize("is_told", [True, False])
+def test_an_entry_lost_by_a_restore_is_written_again(is_told):
     async def check(store, registration, copy):
         store.restore(copy)
         store.leases[1] = "another"
-        if is_notified:
+        if is_told:
             registration.store_restored(store.epoch)
-        await asyncio.sleep(RESTORED_SPREAD_S if is_notified else LEASE_S / RENEWALS_PER_LEASE)
+        await asyncio.sleep(RESTORED_SPREAD_S if is_told else LEASE_S / RENEWALS_PER_LEASE)
         assert store.keys == {"nodes/n": 2}
 
     registered(check)
