--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -9,12 +9,12 @@
 
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.balancing.local import LocalBalancer
-from chalkyoke.catalog.messages import ReplicasLeave
+from chalkyoke.catalog.messages import ReplicasLeaving
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.gateway.statements import Statement
 from chalkyoke.limits.announcements import LimitAnnouncements
-from chalkyoke.links.broadcast import relay_on, tell_all
+from chalkyoke.links.broadcast import relay_to_domain, send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.messages import MemberRecord
 from chalkyoke.membership.view import MembershipView
@@ -37,7 +37,7 @@
         balancer: LocalBalancer,
         limits: LimitAnnouncements,
         metrics: Metrics,
-        send: Callable[[str, ReplicasLeave], None],
+        send: Callable[[str, ReplicasLeaving], None],
         changed: Callable[[], None],
         now: Callable[[], float],
     ) -> None:
@@ -67,34 +67,34 @@
         source while the store sends no updates: a scheduler that relied on the record alone would
         keep sending requests to the replica.
         """
-        if not self._state.note_leaving(replica.id, self._now()):
+        if not self._state.mark_leaving(replica.id, self._now()):
             return
         self._first_announced_here = {*self._announced_leaving(), replica.id}
         self._changed()
-        told_to = tell_all(self._view, self._send, ReplicasLeave((replica.id,)))
+        told_to = send_to_all(self._view, self._send, ReplicasLeaving((replica.id,)))
         log.info("replica_leaves", replica=replica.id, source="answer", told_to=told_to)
         self._metrics.count("replica_leaves", source="answer")
 
     def _apply_rest(self, replica: Replica, seconds: float) -> None:
         """Stop sending requests to a replica for the time that it asked for."""
-        is_new, for_s = self._balancer.note_rest(replica.id, seconds, self._now())
+        is_new, for_s = self._balancer.record_rest(replica.id, seconds, self._now())
         if is_new:
             log.info("replica_rests", replica=replica.id, asked_s=seconds, for_s=for_s)
             self._metrics.count("replica_rests")
 
-    def receive(self, address: str, message: ReplicasLeave) -> None:
+    def receive(self, address: str, message: ReplicasLeaving) -> None:
         """Apply and relay a broadcast of leaving replicas.
 
         :param address: link address of the sender.
         """
         now = self._now()
-        new = [each for each in message.replicas if self._state.note_leaving(each, now)]
+        new = [each for each in message.replicas if self._state.mark_leaving(each, now)]
         if new:
             self._changed()
         for each in new:
             log.info("replica_leaves", replica=each, source=address)
             self._metrics.count("replica_leaves", source="peer")
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
     def member_joined(self, member: MemberRecord) -> None:
         """Send the leaving replicas that the store may not have to a node that has joined.
@@ -105,11 +105,11 @@
         """
         leaving = self._announced_leaving() | self._state.leaving_despite_restore()
         if leaving:
-            self._send(member.address, ReplicasLeave(tuple(sorted(leaving))))
+            self._send(member.address, ReplicasLeaving(tuple(sorted(leaving))))
 
     def _announced_leaving(self) -> set[str]:
         """Return the replicas first announced to this node that still count as leaving.
 
         This bounds the set.
         """
-        return {each for each in self._first_announced_here if self._state.leaves(each)}
+        return {each for each in self._first_announced_here if self._state.is_leaving(each)}
--- a/packages/chalkyoke/src/chalkyoke/node/api.py
+++ b/packages/chalkyoke/src/chalkyoke/node/api.py
@@ -24,10 +24,10 @@
     Invalid,
     NotReached,
     Planned,
-    plan,
-    publish,
+    plan_change,
+    publish_change,
 )
-from chalkyoke.configuration.resources import KINDS, Problem, Specs, build, read_document
+from chalkyoke.configuration.resources import KINDS, Problem, Specs, build_resources, read_document
 from chalkyoke.logs import logger
 from chalkyoke.node.fleet import FleetView
 
@@ -185,7 +185,7 @@
 
     The result is empty if the configuration is invalid.
     """
-    built = build(specs)
+    built = build_resources(specs)
     if isinstance(built, Err):
         return {}
     after = FleetView(built.ok_value, before.hosts)
@@ -204,7 +204,7 @@
             _respond_invalid(resp, tuple(change.err_value))
             return
         keeper = self._node.configuration
-        planned = plan(keeper.state.root, keeper.state.specs, change.ok_value, 0)
+        planned = plan_change(keeper.state.root, keeper.state.specs, change.ok_value, 0)
         if isinstance(planned, Planned):
             shown = _plan_warnings(keeper.fleet, planned.specs)
             resp.media = {"revision": keeper.state.revision, "paths": planned.paths, **shown}
@@ -229,7 +229,7 @@
             return
         node = self._node
         wall_ms = node.events.stamp().wall_ms
-        outcome = await node.store.drive(publish(change.ok_value, wall_ms))
+        outcome = await node.store.run_program(publish_change(change.ok_value, wall_ms))
         node.events.add(EventKind.CHANGE, outcome=type(outcome).__name__, author=author)
         log.notice(
             "change {} by {}: {}", change.ok_value.change_id, author, outcome.__class__.__name__
--- a/packages/chalkyoke/src/chalkyoke/node/configuration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/configuration.py
@@ -121,14 +121,16 @@
     ) -> None:
         """Answer a peer's request, or apply its answer if it is newer."""
         if isinstance(message, RevisionRequest):
-            if self.state.revision > message.above:
-                chunks = {h: c for h, c in self.state.chunks.items() if h not in message.held}
+            if self.state.revision > message.above_revision:
+                chunks = {
+                    h: c for h, c in self.state.chunks.items() if h not in message.held_chunks
+                }
                 answer = RevisionAnswer(self.state.root, chunks)
                 self._links.send(connection.peer_address, answer)
         elif isinstance(message, RevisionAnswer):
             self.adopt(message.root, message.chunks, "a peer")
         elif isinstance(message, HostsRequest):
-            if self.hosts_version > message.above:
+            if self.hosts_version > message.above_version:
                 answer_hosts = HostsAnswer(self.hosts_version, self.hosts)
                 self._links.send(connection.peer_address, answer_hosts)
         else:
@@ -141,7 +143,7 @@
 
         :param source: the origin of the configuration, for the log.
         """
-        adopted = self.state.adopt(root, chunks)
+        adopted = self.state.apply_root(root, chunks)
         if isinstance(adopted, Err):
             self._metrics.count("revision_unreadable")
             log.warning("revision from {} was rejected: {}", source, adopted.err_value)
@@ -172,7 +174,7 @@
 
     async def _fetch_chunks(self, root: Root) -> dict[str, bytes] | None:
         chunks: dict[str, bytes] = {}
-        for digest in self.state.missing(root):
+        for digest in self.state.missing_chunks(root):
             found = await self._store.get(CHUNK_PREFIX + digest)
             if not isinstance(found, Found) or found.value is None:
                 return None
--- a/packages/chalkyoke/src/chalkyoke/node/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleet.py
@@ -11,7 +11,7 @@
 
 from chalkyoke.configuration.messages import ListedHost
 from chalkyoke.configuration.resources import Resources, Route, Service, Team, UpstreamClass
-from chalkyoke.configuration.selectors import matches
+from chalkyoke.configuration.selectors import labels_match
 from chalkyoke.entry.reception import Directory
 from chalkyoke.membership.state import Candidate
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
@@ -38,7 +38,7 @@
 
     Of several, the class with the last name in sort order is returned.
     """
-    matched = [each for each in classes if matches(each.selector, host.labels)]
+    matched = [each for each in classes if labels_match(each.selector, host.labels)]
     return max(matched, key=lambda each: (len(each.selector), each.name), default=None)
 
 
@@ -81,7 +81,7 @@
     def route(self, service: str, labels: Mapping[str, str]) -> Route | None:
         """Return the matching route with the most conditions, or None if no route matches."""
         for route in self._routes.get(service, ()):
-            if matches(route.match, labels):
+            if labels_match(route.match, labels):
                 return route
         return None
 
@@ -174,13 +174,13 @@
 
     def _add_pools(self, service: Service) -> None:
         """Split a service's upstreams into shards; requests go to shards that have upstreams."""
-        served = [uid for uid, held in self._labels.items() if matches(service.selector, held)]
+        served = [uid for uid, held in self._labels.items() if labels_match(service.selector, held)]
         for shard in range(service.shards):
             own = [uid for uid in served if _hash(uid) % service.shards == shard]
             routes = tuple(
                 RouteSpec(
                     route.name,
-                    frozenset(u for u in own if matches(route.upstreams, self._labels[u])),
+                    frozenset(u for u in own if labels_match(route.upstreams, self._labels[u])),
                 )
                 for route in self._routes.get(service.name, ())
             )
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -23,8 +23,8 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.balancing.local import LocalBalancer
 from chalkyoke.balancing.suspicions import Suspicions
-from chalkyoke.catalog.follower import WatchBounds
-from chalkyoke.catalog.keeper import CatalogKeeper
+from chalkyoke.catalog.follower import WatchTimeouts
+from chalkyoke.catalog.keeper import CatalogSynchronizer
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.clock import HybridClock
 from chalkyoke.exceptions import InvariantBroken, SettingsError
@@ -38,10 +38,10 @@
 from chalkyoke.http1.server import ServerConnection, ServerLimits, Start
 from chalkyoke.limits.announcements import LimitAnnouncements
 from chalkyoke.limits.client import PermitClient
-from chalkyoke.limits.keeper import KeptLimit, LimitKeeper
+from chalkyoke.limits.keeper import AllocatedLimit, LimitKeeper
 from chalkyoke.limits.known import KnownLimits
 from chalkyoke.links.connection import Connection, Identity
-from chalkyoke.links.keepalive import KEEP_S, confirm_every_s
+from chalkyoke.links.keepalive import KEEPALIVE_INTERVAL_S, confirm_interval_s
 from chalkyoke.links.kinds import PeerKinds
 from chalkyoke.links.peers import Links
 from chalkyoke.logs import logger
@@ -69,9 +69,9 @@
 from chalkyoke.node.schedulers import SchedulerHost
 from chalkyoke.node.supervisor import Supervisor
 from chalkyoke.quarantine.heldrecords import HeldRecords
-from chalkyoke.quarantine.records import read_also_held
+from chalkyoke.quarantine.records import with_held_records
 from chalkyoke.quarantine.spread import Quarantine
-from chalkyoke.quotas.client import TELL_S, QuotaClient
+from chalkyoke.quotas.client import WINDOW_REPLICATION_INTERVAL_S, QuotaClient
 from chalkyoke.quotas.leases import HeldLeases
 from chalkyoke.quotas.owner import Presence, QuotaOwner
 from chalkyoke.quotas.window import QuotaLimits
@@ -188,16 +188,16 @@
         caller = Caller(self._store_connections, settings.store.address)
         self.store = platform.make_store(caller)
         state = CatalogState(
-            platform.read_catalog, read_also_held(platform.read_record, platform.keys.held)
+            platform.read_catalog, with_held_records(platform.read_record, platform.keys.held)
         )
-        self.catalog = CatalogKeeper(
+        self.catalog = CatalogSynchronizer(
             state,
             self.store,
             platform.keys,
             self.view,
             self.links,
             settings.store.watchers,
-            WatchBounds.within(settings.store.silence_ms / 1000),
+            WatchTimeouts.split(settings.store.silence_ms / 1000),
             self._catalog_changed,
             self._nodes_registered,
             self.now,
@@ -218,7 +218,7 @@
         )
         self.metrics.gauge("records_unreadable", lambda: len(state.unreadable))
         self.metrics.gauge("store_epoch", lambda: state.epoch)
-        self.metrics.gauge("store_updates_ignored", lambda: self.catalog.ignored.total())
+        self.metrics.gauge("store_updates_ignored", lambda: self.catalog.ignored_updates.total())
         self.replicas = DeclaredReplicas(state, self.now, self.rollouts)
         self.pools = DeclaredPools(settings.scheduling, self.rollouts)
         node = settings.node
@@ -270,7 +270,7 @@
             PeerKeepers(
                 schedulers, self.scheduler_host, self.view, self.links.send, self.count_nodes
             ),
-            self.limits.take,
+            self.limits.apply_report,
             random.random,
             self.now,
         )
@@ -327,7 +327,7 @@
             self.links.send,
             self.metrics,
             lambda request: self.gateway.request_held(request),
-            self.held_records.remember,
+            self.held_records.queue_record,
             random.random,
             self.now,
         )
@@ -345,7 +345,7 @@
                 now=self.now,
                 record=self.request_log.log_decision,
                 reject=self.request_log.log_rejection,
-                plain_ended=lambda admission, replica, failed: self.suspicions.note_end(
+                plain_ended=lambda admission, replica, failed: self.suspicions.record_outcome(
                     replica.service, replica.id, admission.route.name, failed=failed
                 ),
                 rollouts=self.rollouts,
@@ -356,9 +356,9 @@
 
     def _limits_changed(self) -> None:
         self.scheduler_host.limits_changed()
-        self.balancer.limits_changed()
+        self.balancer.clear_limits()
 
-    def _log_kept_limit(self, kept: KeptLimit) -> None:
+    def _log_kept_limit(self, kept: AllocatedLimit) -> None:
         log.info(
             "limit_kept",
             service=kept.service,
@@ -381,7 +381,7 @@
 
         :rtype: Presence
         """
-        return Presence(len(self.view.live()), self.count_nodes(), self.view.foreign_patience_s)
+        return Presence(len(self.view.live()), self.count_nodes(), self.view.foreign_timeout_s)
 
     def is_ready(self) -> bool:
         """Return whether the catalog is complete and no planned stop has begun.
@@ -488,10 +488,10 @@
         loops = self._supervisor
         loops.repeat(self.view.interval_s, self._send_heartbeats)
         loops.repeat(self.view.interval_s, self._check_members)
-        loops.repeat(KEEP_S, self._keep_links)
-        loops.repeat(self.view.interval_s, self.catalog.settle)
+        loops.repeat(KEEPALIVE_INTERVAL_S, self._keep_links)
+        loops.repeat(self.view.interval_s, self.catalog.resolve_conflicts)
         loops.repeat(HOUSEKEEPING_S, self._run_housekeeping)
-        loops.repeat(TELL_S, self.quotas.tell_successors)
+        loops.repeat(WINDOW_REPLICATION_INTERVAL_S, self.quotas.replicate_windows)
         loops.repeat(ROLLOUTS_TICK_S, self.rollouts.tick)
         loops.start(self._tick_pools())
         loops.start(self.catalog.run())
@@ -499,12 +499,12 @@
         loops.start(self.held_records.run())
 
     def _send_heartbeats(self) -> None:
-        for send in self.view.beat(self.now()):
+        for send in self.view.due_messages(self.now()):
             self.links.send(send.address, send.message)
         known = {each.address for each in self.view.live()}
         for seed in self.settings.peers.seeds:
             if seed not in known:
-                self.links.send(seed, self.view.introduction())
+                self.links.send(seed, self.view.full_heartbeat())
 
     def _declare_ready(self) -> None:
         """Declare this node ready for duties of the fleet once its catalog is complete.
@@ -519,7 +519,7 @@
             self.view.update_self(ready=True)
 
     def _keep_links(self) -> None:
-        self.links.keep_alive(confirm_every_s(self.view.spacing_s))
+        self.links.keep_alive(confirm_interval_s(self.view.spacing_s))
 
     def _check_members(self) -> None:
         self._apply_member_changes(self.view.tick(self.now()))
@@ -529,7 +529,7 @@
             log.info("monitoring", begun=self._is_monitor, live=len(self.view.live()))
         if self._handled_generation != self.view.generation:
             self._handled_generation = self.view.generation
-            self.quotas.keep_house()
+            self.quotas.refresh_ownership()
 
     async def _tick_pools(self) -> None:
         """Tick the pools that this node schedules; most nodes schedule none."""
@@ -544,12 +544,12 @@
         self.grants.send_progress()
         self.connections.expire()
         self._store_connections.expire()
-        self.balancer.forget(self.catalog.state.replicas, self.now())
-        self.quotas.keep_house()
+        self.balancer.prune(self.catalog.state.replicas, self.now())
+        self.quotas.refresh_ownership()
         self.suspicions.tick()
         self.quarantine.tick()
-        self.limits.keep_house()
-        self.permits.keep_house()
+        self.limits.broadcast_pending()
+        self.permits.drop_expired()
 
     # Messages.
 
@@ -569,7 +569,7 @@
             log.info(event, member=record.process, failure_domain=record.failure_domain)
             if joined:
                 self.announcements.member_joined(record)
-                self.limits.joined(record)
+                self.limits.member_joined(record)
             else:
                 self.scheduler_host.member_left(record.process)
         if changes:
@@ -581,7 +581,7 @@
         state = self.catalog.state
         if state.epoch != self._store_epoch:
             self._epoch_changed(state.epoch)
-        for ended in state.take_restarted():
+        for ended in state.pop_restarted():
             self.connections.drop_kept(ended.ip, ended.port)
             self.gateway.replica_ended(ended.id)
             log.info("replica_restarted", ended=ended.id)
@@ -591,7 +591,7 @@
         self.scheduler_host.reconfigure()
         self.grants.check_owners(self.pools.pools)
         self.quarantine.replicas_changed(state.replicas)
-        self.quarantine.stored(state.held, state.released)
+        self.quarantine.apply_stored_holds(state.held_requests, state.released_requests)
 
     def _epoch_changed(self, epoch: int) -> None:
         """Check this node's records in the store again if it was restored from a copy."""
--- a/packages/chalkyoke/src/chalkyoke/node/pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pools.py
@@ -11,7 +11,7 @@
 from chalkyoke.catalog.state import CatalogState
 from chalkyoke.gateway.reception import BLOCK_TOKENS
 from chalkyoke.gateway.settings import SchedulingSection
-from chalkyoke.rollouts.standing import Standing, trial_route
+from chalkyoke.rollouts.standing import Eligibility, trial_route
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
 # Share of an engine's cache that is assumed to hold prompt prefixes; running requests use the rest.
@@ -24,7 +24,7 @@
 class ReplicaStandings(Protocol):
     """Define which requests each replica takes during a roll-out."""
 
-    def standing(self, replica: Replica) -> Standing:
+    def standing(self, replica: Replica) -> Eligibility:
         """Return which requests a replica takes."""
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
@@ -34,9 +34,9 @@
 class NoRollouts:
     """Let every replica take all requests, as there is no roll-out."""
 
-    def standing(self, replica: Replica) -> Standing:  # noqa: ARG002
+    def standing(self, replica: Replica) -> Eligibility:  # noqa: ARG002
         """Return that a replica takes all requests."""
-        return Standing.USUAL
+        return Eligibility.USUAL
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:  # noqa: ARG002
         """Return all given replicas."""
@@ -166,7 +166,7 @@
         if found is None:
             return next((each for each in self._recently_departed() if each.id == replica), None)
         standing = self._standings.standing(found)
-        allowed = standing is Standing.USUAL or (for_trial and standing is Standing.TRIAL)
+        allowed = standing is Eligibility.USUAL or (for_trial and standing is Eligibility.TRIAL)
         return found if allowed and not found.draining else None
 
     def of(self, service: str, *, for_trial: bool = False) -> list[Replica]:
@@ -188,10 +188,10 @@
         since = self._now() - DEPARTED_FALLBACK_S
         return [
             each.replica
-            for each in self._state.departed.values()
+            for each in self._state.removed_replicas.values()
             if each.since >= since
             and not each.replica.draining
-            and self._standings.standing(each.replica) is Standing.USUAL
+            and self._standings.standing(each.replica) is Eligibility.USUAL
         ]
 
 
@@ -199,7 +199,7 @@
     replicas: Iterable[Replica], standings: ReplicaStandings
 ) -> tuple[list[Replica], list[Replica]]:
     """Split replicas into those that take all requests and those of a version under trial."""
-    found: dict[Standing, list[Replica]] = {each: [] for each in Standing}
+    found: dict[Eligibility, list[Replica]] = {each: [] for each in Eligibility}
     for replica in replicas:
         found[standings.standing(replica)].append(replica)
-    return found[Standing.USUAL], found[Standing.TRIAL]
+    return found[Eligibility.USUAL], found[Eligibility.TRIAL]
--- a/packages/chalkyoke/src/chalkyoke/node/registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/registration.py
@@ -13,7 +13,7 @@
 from chalkyoke.logs import logger
 from chalkyoke.membership.state import Candidate
 from chalkyoke.storage.messages import LeaseGone, LeaseGranted, Unavailable, Written
-from chalkyoke.storage.port import MOST_COPY_AGE_S, Store
+from chalkyoke.storage.port import MAX_BACKUP_AGE_S, Store
 
 # Backoff after a failed call, in seconds: doubled with each failure, up to the longest. A store
 # that recovers must not get the calls of all nodes at once, and each call costs money.
@@ -110,7 +110,7 @@
     async def deregister(self) -> None:
         """Remove this node's entry, unless its lease may belong to another writer by now."""
         if self._lease is not None and not self._lease_may_be_lost(self._lease, self._epoch):
-            await self._store.end_lease(self._lease.lease)
+            await self._store.revoke_lease(self._lease.lease)
 
     async def _wait_for_renewal(self) -> bool:
         """Wait until a renewal is due or the store was restored; return whether it was."""
@@ -140,7 +140,7 @@
 
     def _lease_may_be_lost(self, lease: LeaseGranted, epoch: int) -> bool:
         """Return whether a restored store may have lost a lease or reissued it to another node."""
-        return epoch > lease.epoch and self._now() - self._registered_at < MOST_COPY_AGE_S
+        return epoch > lease.epoch and self._now() - self._registered_at < MAX_BACKUP_AGE_S
 
     async def _register(self) -> None:
         for failures in itertools.count():
--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -13,25 +13,25 @@
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import CatalogState
-from chalkyoke.links.broadcast import tell_all
+from chalkyoke.links.broadcast import send_to_all
 from chalkyoke.logs import logger
 from chalkyoke.membership.messages import MemberRecord
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.node.parts import WriteStatus
 from chalkyoke.node.peers import MIN_VISIBLE_FLEET_SHARE
 from chalkyoke.quotas.owner import Presence
-from chalkyoke.rollouts.lead import Decision, Phase, RolloutLead
-from chalkyoke.rollouts.messages import RolloutReport, RolloutTold
+from chalkyoke.rollouts.lead import Decision, Phase, RolloutLeader
+from chalkyoke.rollouts.messages import RolloutReport, RolloutUpdate
 from chalkyoke.rollouts.resources import (
-    Order,
     OrderName,
     RolloutOrder,
     RolloutState,
     RolloutStatus,
-    answer_to,
+    TrackedOrder,
+    matching_status,
 )
-from chalkyoke.rollouts.share import RolloutShare
-from chalkyoke.rollouts.standing import Standing
+from chalkyoke.rollouts.share import NodeRollout
+from chalkyoke.rollouts.standing import Eligibility
 from chalkyoke.storage.messages import Conflict, LeaseGone, Unavailable
 from chalkyoke.storage.port import Store
 
@@ -49,18 +49,18 @@
 
 def stored_outcome(state: CatalogState, order: RolloutOrder) -> RolloutStatus | None:
     """Return the final status of an order in the store, or None while the order runs."""
-    stored = answer_to(order, state.statuses.get(order.service))
+    stored = matching_status(order, state.statuses.get(order.service))
     return None if stored is None or stored.state is RolloutState.RUNNING else stored
 
 
-def current_order(state: CatalogState, share: RolloutShare, now: float) -> Order:
+def current_order(state: CatalogState, share: NodeRollout, now: float) -> TrackedOrder:
     """Combine an order with its final status from the store or else from the leader."""
     order = share.order
     status = stored_outcome(state, order)
     if status is None and share.ended is not None:
         ended = STATE_OF_PHASE[share.ended]
         status = RolloutStatus(order.service, order.version, ended, order.revision)
-    return Order(order, now - share.passed(now).most_s, status)
+    return TrackedOrder(order, now - share.elapsed(now).max_s, status)
 
 
 class _LedOrder(msgspec.Struct):
@@ -72,7 +72,7 @@
     :ivar written_at: the time of the last attempt to write, in seconds.
     """
 
-    lead: RolloutLead
+    lead: RolloutLeader
     order: OrderName
     phase: Phase | None = None
     announced_at: float = float("-inf")
@@ -98,9 +98,9 @@
         write_status: WriteStatus,
         metrics: Metrics,
         presence: Callable[[], Presence],
-        standing: Callable[[Replica], Standing],
-        send: Callable[[str, RolloutTold], None],
-        apply_locally: Callable[[RolloutShare, RolloutTold], None],
+        standing: Callable[[Replica], Eligibility],
+        send: Callable[[str, RolloutUpdate], None],
+        apply_locally: Callable[[NodeRollout, RolloutUpdate], None],
         now: Callable[[], float],
     ) -> None:
         self._view = view
@@ -120,18 +120,18 @@
         """Return the node that leads a service's order; this node if it knows no other."""
         return next(iter(self._view.ranked(f"rollout/{service}")), self._view.record)
 
-    def receive_report(self, process: str, share: RolloutShare, report: RolloutReport) -> None:
+    def receive_report(self, process: str, share: NodeRollout, report: RolloutReport) -> None:
         """Add a node's report to the evidence of an order.
 
         :param process: id of the node's process.
         """
-        self._led_order(share).lead.take(process, report)
+        self._led_order(share).lead.apply_report(process, report)
 
     def drop_order(self, service: str) -> None:
         """Drop the state of an order that was withdrawn."""
         self._led_orders.pop(service, None)
 
-    def advance(self, share: RolloutShare) -> None:
+    def advance(self, share: NodeRollout) -> None:
         """Decide the phase of an order and announce it, if this node leads the order."""
         service = share.order.service
         if self.leader(service).host != self._view.record.host:
@@ -141,7 +141,7 @@
         decision = self._decide(share, order, led)
         self._log_decision(order, led, decision)
         ended = stored_outcome(self._state, share.order)
-        stored = answer_to(share.order, self._state.statuses.get(service))
+        stored = matching_status(share.order, self._state.statuses.get(service))
         state = STATE_OF_PHASE.get(decision.phase, RolloutState.RUNNING)
         if ended is None and (stored is None or stored.state is not state):
             self._start_status_write(order, led, state)
@@ -152,14 +152,14 @@
             phase = Phase.CLOSING
         self._announce(share, led, phase)
 
-    def _led_order(self, share: RolloutShare) -> _LedOrder:
+    def _led_order(self, share: NodeRollout) -> _LedOrder:
         service, name = share.order.service, share.order.name
         found = self._led_orders.get(service)
         if found is None or found.order != name:
-            found = self._led_orders[service] = _LedOrder(RolloutLead(), name)
+            found = self._led_orders[service] = _LedOrder(RolloutLeader(), name)
         return found
 
-    def _decide(self, share: RolloutShare, order: Order, led: _LedOrder) -> Decision:
+    def _decide(self, share: NodeRollout, order: TrackedOrder, led: _LedOrder) -> Decision:
         if share.ended is Phase.UNDONE and not order.ended:
             return Decision(Phase.UNDONE)
         ordered = order.order
@@ -172,14 +172,14 @@
         ]
         return led.lead.decide(
             order,
-            share.passed(self._now()).most_s,
+            share.elapsed(self._now()).max_s,
             new_replicas=len(new),
-            tried=any(self._standing(each) is Standing.TRIAL for each in new),
+            tried=any(self._standing(each) is Eligibility.TRIAL for each in new),
             live=[each.process for each in self._view.live()],
             sees_fleet=self._presence().share >= MIN_VISIBLE_FLEET_SHARE,
         )
 
-    def _log_decision(self, order: Order, led: _LedOrder, decision: Decision) -> None:
+    def _log_decision(self, order: TrackedOrder, led: _LedOrder, decision: Decision) -> None:
         if led.phase is decision.phase:
             return
         finding = decision.finding
@@ -201,7 +201,7 @@
         self._metrics.count("rollout_phases", service=order.order.service, phase=decision.phase)
         led.phase = decision.phase
 
-    def _announce(self, share: RolloutShare, led: _LedOrder, phase: Phase) -> None:
+    def _announce(self, share: NodeRollout, led: _LedOrder, phase: Phase) -> None:
         now = self._now()
         changed = share.phase(now) is not phase
         if not changed and now - led.announced_at < ANNOUNCE_INTERVAL_S:
@@ -209,18 +209,18 @@
         led.announced_at = now
         order = share.order
         name = order.name
-        message = RolloutTold(
+        message = RolloutUpdate(
             order.service,
             name.revision,
             phase,
-            share.passed(now).least_s,
+            share.elapsed(now).min_s,
             epoch=name.epoch,
             digest=name.digest,
         )
-        tell_all(self._view, self._send, message)
+        send_to_all(self._view, self._send, message)
         self._apply_locally(share, message)
 
-    def _start_status_write(self, order: Order, led: _LedOrder, state: RolloutState) -> None:
+    def _start_status_write(self, order: TrackedOrder, led: _LedOrder, state: RolloutState) -> None:
         """Start a write of an order's status, unless the pause after the last write still runs."""
         pause_s = CONFIRMED_WRITE_RETRY_S if led.written is state else WRITE_RETRY_S
         if self._now() - led.written_at < pause_s:
@@ -230,7 +230,7 @@
         self._write_tasks.add(task)
         task.add_done_callback(self._write_tasks.discard)
 
-    async def _write_order_status(self, order: Order, led: _LedOrder, state: RolloutState) -> None:
+    async def _write_order_status(self, order: TrackedOrder, led: _LedOrder, state: RolloutState) -> None:
         """Write a status if no other node wrote one meanwhile: a final status never changes."""
         key, document = self._write_status(order.order, state)
         held = self._state.statuses.get(order.order.service)
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -13,12 +13,12 @@
 import xxhash
 
 from chalkyoke.administration.metrics import Metrics
-from chalkyoke.catalog.records import Ordered
+from chalkyoke.catalog.records import ReceivedOrder
 from chalkyoke.catalog.resources import Replica
 from chalkyoke.catalog.state import UNKNOWN_AGE_S, CatalogState
 from chalkyoke.gateway.reception import DEFAULT_OUTPUT_TOKENS, Admission
 from chalkyoke.gateway.settings import SchedulingSection
-from chalkyoke.links.broadcast import relay_on
+from chalkyoke.links.broadcast import relay_to_domain
 from chalkyoke.logs import logger
 from chalkyoke.membership.view import MembershipView
 from chalkyoke.node.parts import WriteStatus
@@ -26,12 +26,12 @@
 from chalkyoke.quotas.owner import Presence
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
 from chalkyoke.rollouts.lead import Phase
-from chalkyoke.rollouts.messages import RolloutMessage, RolloutReport, RolloutTold
+from chalkyoke.rollouts.messages import RolloutMessage, RolloutReport, RolloutUpdate
 from chalkyoke.rollouts.resources import (
     RolloutOrder,
 )
-from chalkyoke.rollouts.share import RolloutShare
-from chalkyoke.rollouts.standing import Standing, Versions
+from chalkyoke.rollouts.share import NodeRollout
+from chalkyoke.rollouts.standing import Eligibility, VersionEligibility
 from chalkyoke.storage.port import Store
 
 # How often orders are evaluated, in seconds: a heartbeat. A bad version is abandoned after one
@@ -97,8 +97,8 @@
         self._random = random
         self._changed = changed
         self._now = now
-        self._versions = Versions()
-        self._shares: dict[str, RolloutShare] = {}
+        self._versions = VersionEligibility()
+        self._shares: dict[str, NodeRollout] = {}
         self._report_times: dict[str, _ReportTimes] = {}
         self._running: Counter[tuple[str, str]] = Counter()
         self._rollout_leads = RolloutLeads(
@@ -144,15 +144,15 @@
         }
         self._versions.rebuild(orders, self._state.replicas.values())
 
-    def _make_share(self, ordered: Ordered) -> RolloutShare:
+    def _make_share(self, ordered: ReceivedOrder) -> NodeRollout:
         now = self._now()
         since = ordered.since if now - ordered.since < UNKNOWN_AGE_S else now
         exposure = Exposure(self._bounds, self._presence().known, self._random)
-        return RolloutShare(ordered.order, exposure, since, now)
+        return NodeRollout(ordered.order, exposure, since, now)
 
-    def standing(self, replica: Replica) -> Standing:
+    def standing(self, replica: Replica) -> Eligibility:
         """Return which requests a replica takes."""
-        return self._versions.standing(replica.service, replica.version)
+        return self._versions.eligibility(replica.service, replica.version)
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
         """Select the replicas that a trial uses from all replicas of the version under trial.
@@ -172,13 +172,13 @@
         share = self._shares.get(admission.service.name)
         if share is None or share.ended is not None:
             return False
-        return share.takes_new(self._expected_duration_s(admission), self._now(), again=again)
+        return share.admit_to_new_version(self._expected_duration_s(admission), self._now(), again=again)
 
     def give_back(self, admission: Admission) -> None:
         """Uncount a request that doesn't go to the version under trial after all."""
         share = self._shares.get(admission.service.name)
         if share is not None:
-            share.exposure.give_back()
+            share.exposure.cancel_reservation()
 
     def may_send(self, replica: Replica) -> bool:
         """Return whether a granted request may still be sent to its replica.
@@ -196,7 +196,7 @@
         self._running[replica.service, replica.version] += 1
         share = self._shares.get(replica.service)
         if share is not None:
-            share.exposure.note_sent()
+            share.exposure.count_sent()
 
     def note_left(self, replica: Replica) -> None:
         """Uncount a request that its replica no longer runs."""
@@ -227,9 +227,9 @@
             return
         is_new = self._runs_new_version(share, replica)
         work_s = 1.0
-        if admission.route.streams:
+        if admission.route.is_stream:
             work_s = self._estimated_work_s(admission.fields.prompt_tokens, output_tokens)
-        share.note_end(
+        share.count_end(
             admission.route.name,
             replica.id if is_new else "",
             failed=failed,
@@ -238,7 +238,7 @@
         if failed and is_new:
             self._send_report(share)
 
-    def _runs_new_version(self, share: RolloutShare, replica: Replica) -> bool:
+    def _runs_new_version(self, share: NodeRollout, replica: Replica) -> bool:
         return replica.version == share.order.version
 
     def _estimated_work_s(self, prompt_tokens: float, output_tokens: float) -> float:
@@ -249,7 +249,7 @@
     def _expected_duration_s(self, admission: Admission) -> float:
         """Return how long a request may last, in seconds, at most the time until its deadline."""
         left = admission.ends - self._now()
-        if not admission.route.streams:
+        if not admission.route.is_stream:
             return min(left, admission.route.goal_s)
         fields = admission.fields
         likely = fields.likely_output_tokens
@@ -277,13 +277,13 @@
         if share is None or not share.order.name.matches(message.name):
             return
         if isinstance(message, RolloutReport):
-            share.learn_passed(message.least_s, self._now())
+            share.update_elapsed(message.min_elapsed_s, self._now())
             self._rollout_leads.receive_report(process, share, message)
             return
         self._apply_announcement(share, message)
-        relay_on(self._view, self._send, message)
+        relay_to_domain(self._view, self._send, message)
 
-    def _send_report(self, share: RolloutShare) -> None:
+    def _send_report(self, share: NodeRollout) -> None:
         if stored_outcome(self._state, share.order) is not None:
             return
         service, now = share.order.service, self._now()
@@ -299,14 +299,14 @@
         else:
             self._send(leader.address, report)
 
-    def _apply_announcement(self, share: RolloutShare, message: RolloutTold) -> None:
-        if not share.hear(message, self._now()):
+    def _apply_announcement(self, share: NodeRollout, message: RolloutUpdate) -> None:
+        if not share.apply_update(message, self._now()):
             return
         log.info(
             "phase",
             service=message.service,
             phase=message.phase,
-            least_s=round(message.least_s, 2),
+            least_s=round(message.min_elapsed_s, 2),
             sent=share.exposure.sent,
             exposed=share.exposure.exposed,
         )
--- a/packages/chalkyoke/src/chalkyoke/node/schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/schedulers.py
@@ -30,7 +30,7 @@
     Shed,
 )
 from chalkyoke.scheduling.placement import Features
-from chalkyoke.scheduling.refusals import Out
+from chalkyoke.scheduling.refusals import AddressedAction
 from chalkyoke.scheduling.scheduler import PoolScheduler
 from chalkyoke.scheduling.state import PoolSpec
 
@@ -178,14 +178,14 @@
             self.dispatch(scheduler.release(domain, message, now))
             self._log_upstream_transitions(scheduler)
         elif isinstance(message, FirstOutput):
-            scheduler.first_output(message, now)
+            scheduler.apply_first_output(message, now)
             self._log_upstream_transitions(scheduler)
         elif isinstance(message, Progress):
-            self.dispatch(scheduler.progress(entry, message, now))
+            self.dispatch(scheduler.apply_progress(entry, message, now))
         elif isinstance(message, Adopt):
             self.dispatch(scheduler.adopt(entry, message, now))
         elif isinstance(message, Learned):
-            scheduler.take_over(message)
+            scheduler.import_learned(message)
         else:
             scheduler.withdraw(message)
 
@@ -193,7 +193,7 @@
         """Send the learned engine speeds of a pool to its new scheduler."""
         scheduler = self.pools.get(pool)
         if scheduler is not None and process != self._process:
-            self.send(process, scheduler.learned())
+            self.send(process, scheduler.export_learned())
 
     def tick(self) -> None:
         """Expire late requests in each scheduler and drop schedulers of pools that moved away."""
@@ -213,7 +213,7 @@
             owners = [each.process for each in self._view.pool_owners(name)]
             if owners[:1] != [self._process]:
                 continue
-            learned = scheduler.learned()
+            learned = scheduler.export_learned()
             for process in owners[1 : 1 + SUCCESSOR_COUNT]:
                 if learned.speeds:
                     self.send(process, learned)
@@ -238,14 +238,14 @@
         """Drop the requests and the address of an entry process that left."""
         self._sender_addresses.pop(process, None)
         for scheduler in self.pools.values():
-            self.dispatch(scheduler.member_gone(process, self._now()))
+            self.dispatch(scheduler.remove_entry(process, self._now()))
 
-    def dispatch(self, decisions: list[Out]) -> None:
+    def dispatch(self, decisions: list[AddressedAction]) -> None:
         """Count a scheduler's decisions and deliver them to the entry processes."""
         for decision in decisions:
             action = decision.action
             if isinstance(action, Shed):
-                places = "free" if decision.beside_free else "taken"
+                places = "free" if decision.pool_mostly_free else "taken"
                 self._metrics.count(
                     "scheduler_shed", reason=action.reason, pool=action.pool, places=places
                 )
@@ -262,10 +262,10 @@
         names = (each.id for each in self._fleet().pools.get(pool, scheduler.spec).upstreams)
         found = {name: self._keeper.allowance(pool, name, now) for name in names}
         allowances = {name: each for name, each in found.items() if each is not None}
-        self.dispatch(scheduler.limit(allowances, now))
+        self.dispatch(scheduler.set_allowances(allowances, now))
 
     def _log_upstream_transitions(self, scheduler: PoolScheduler) -> None:
-        for each in scheduler.take_closings():
+        for each in scheduler.take_refusal_changes():
             event = "upstream_closed" if each.refuses else "upstream_opened"
             log.info(event, pool=scheduler.spec.name, upstream=each.upstream)
             self._metrics.count(event, pool=scheduler.spec.name)
@@ -293,7 +293,7 @@
         self.has_pools.set()
         learned = self._received_learned.pop(pool, None)
         if learned is not None:
-            scheduler.take_over(learned)
+            scheduler.import_learned(learned)
         self._request_running(pool)
         self._events.add(EventKind.POOL_TAKEN, pool=pool)
         log.info("pool_taken", pool=pool)
