--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -230,7 +230,9 @@
         self._write_tasks.add(task)
         task.add_done_callback(self._write_tasks.discard)
 
-    async def _write_order_status(self, order: TrackedOrder, led: _LedOrder, state: RolloutState) -> None:
+    async def _write_order_status(
+        self, order: TrackedOrder, led: _LedOrder, state: RolloutState
+    ) -> None:
         """Write a status if no other node wrote one meanwhile: a final status never changes."""
         key, document = self._write_status(order.order, state)
         held = self._state.statuses.get(order.order.service)
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -172,7 +172,9 @@
         share = self._shares.get(admission.service.name)
         if share is None or share.ended is not None:
             return False
-        return share.admit_to_new_version(self._expected_duration_s(admission), self._now(), again=again)
+        return share.admit_to_new_version(
+            self._expected_duration_s(admission), self._now(), again=again
+        )
 
     def give_back(self, admission: Admission) -> None:
         """Uncount a request that doesn't go to the version under trial after all."""
