--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -220,9 +220,7 @@
         send_to_all(self._view, self._send, message)
         self._apply_locally(share, message)
 
-    def _start_status_write(
-        self, order: TrackedOrder, led: _LedOrder, state: RolloutState
-    ) -> None:
+    def _start_status_write(self, order: TrackedOrder, led: _LedOrder, state: RolloutState) -> None:
         """Start a write of an order's status, unless the pause after the last write still runs."""
         pause_s = CONFIRMED_WRITE_RETRY_S if led.written is state else WRITE_RETRY_S
         if self._now() - led.written_at < pause_s:
