--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_window.py
@@ -1,5 +1,5 @@
 from chalkyoke.quotas.bucket import Bucket
-from chalkyoke.quotas.window import BUCKETS, SpendingWindow
+from chalkyoke.quotas.window import WINDOW_PARTS, SpendingWindow
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -14,13 +14,13 @@
         window.add(cost, now)
         spent.append((now, cost))
         exact = sum(each for at, each in spent if at > now - 8.0)
-        loose = sum(each for at, each in spent if at > now - 8.0 - 2 * 8.0 / BUCKETS)
+        loose = sum(each for at, each in spent if at > now - 8.0 - 2 * 8.0 / WINDOW_PARTS)
         assert exact - 1e-6 <= window.spent(now) <= loose + 1e-6
 
 
-def test_what_is_assumed_leaves_late():
+def test_assumed_spending_leaves_the_window_late():
     window = SpendingWindow(8.0)
-    window.assume(800.0, 100.0)
+    window.assume_spent(800.0, 100.0)
     assert round(window.spent(100.0)) == 800
     left = [window.spent(100.0 + passed) / 800.0 for passed in (2.0, 4.0, 6.0, 8.0)]
     expected = [0.82, 0.71, 0.38, 0.0]
@@ -28,7 +28,7 @@
     assert window.spent(109.0) == 0.0
 
 
-def test_a_window_tells_when_there_will_be_room():
+def test_a_window_returns_when_spending_will_have_left_it():
     window = SpendingWindow(8.0)
     window.add(100.0, 1.0)
     window.add(100.0, 5.0)
@@ -36,7 +36,7 @@
     assert window.free_in_s(500.0, 5.0) == 8.0
 
 
-def test_a_bucket_may_pass_one_request_that_is_larger_than_itself():
+def test_a_full_bucket_admits_one_request_above_its_capacity():
     bucket = Bucket(10.0, 100.0, 100.0, 0.0)
     assert bucket.try_consume(500.0, 0.0)
     assert not bucket.try_consume(1.0, 1.0)
