--- a/packages/chalkyoke/src/chalkyoke/gateway/events.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/events.py
@@ -13,7 +13,7 @@
 MAX_PARTIAL_BYTES = 1_000_000
 
 
-class Cut(msgspec.Struct, frozen=True):
+class WholeEvents(msgspec.Struct, frozen=True):
     """What is whole now.
 
     :param data: whole events, as they came.
@@ -24,7 +24,7 @@
     count: int
 
 
-class EventCutter:
+class EventSplitter:
     """Take bytes in, give whole events out.
 
     :param after: number of the event after which the caller wants the stream to go on; -1 where it
@@ -32,39 +32,39 @@
     :ivar last_id: number of the last whole event, -1 before the first.
     """
 
-    __slots__ = ("_rest", "last_id")
+    __slots__ = ("_partial_bytes", "last_id")
 
     def __init__(self, after: int = -1) -> None:
-        self._rest = b""
+        self._partial_bytes = b""
         self.last_id = after
 
-    def feed(self, data: bytes) -> Cut:
+    def feed(self, data: bytes) -> WholeEvents:
         """Take bytes in."""
-        if self._rest:
-            data = self._rest + data
+        if self._partial_bytes:
+            data = self._partial_bytes + data
         end = data.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self._rest = data
-            return Cut(b"", 0)
+            self._partial_bytes = data
+            return WholeEvents(b"", 0)
 
-        whole, self._rest = data[:end], data[end:]
+        whole, self._partial_bytes = data[:end], data[end:]
         return self._new_events(whole)
 
     @property
-    def partial(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether an event has begun and not ended."""
-        return bool(self._rest)
+        return bool(self._partial_bytes)
 
     @property
-    def too_large(self) -> bool:
+    def is_too_large(self) -> bool:
         """Whether an event is larger than any that is passed on."""
-        return len(self._rest) > MAX_PARTIAL_BYTES
+        return len(self._partial_bytes) > MAX_PARTIAL_BYTES
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Forget a partial event, before the stream goes on elsewhere."""
-        self._rest = b""
+        self._partial_bytes = b""
 
-    def _new_events(self, whole: bytes) -> Cut:
+    def _new_events(self, whole: bytes) -> WholeEvents:
         """Leave out events that were there before; the usual case has none."""
         kept: list[bytes] = []
         for event in whole.split(EVENT_END)[:-1]:
@@ -75,8 +75,8 @@
                 self.last_id = number
             kept.append(event)
         if not kept:
-            return Cut(b"", 0)
-        return Cut(EVENT_END.join(kept) + EVENT_END, len(kept))
+            return WholeEvents(b"", 0)
+        return WholeEvents(EVENT_END.join(kept) + EVENT_END, len(kept))
 
 
 def event_id(event: bytes) -> int | None:
--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -8,16 +8,16 @@
 
 import msgspec
 
-from chalkyoke.gateway.events import EventCutter
-from chalkyoke.gateway.feedback import Feedback, output_s
+from chalkyoke.gateway.events import EventSplitter
+from chalkyoke.gateway.feedback import Feedback, output_duration_s
 from chalkyoke.gateway.granted import Denied, Granted
 from chalkyoke.gateway.parts import GatewayParts
 from chalkyoke.gateway.ports import AnswerFields, Forwarding
-from chalkyoke.gateway.reception import Admission, Rejection, judge, still_allowed
+from chalkyoke.gateway.reception import Admission, Rejection, admit_request, is_still_allowed
 from chalkyoke.gateway.relay import Delivery, Relay
 from chalkyoke.gateway.replies import RETRY_SOON_S, Replies
-from chalkyoke.gateway.statements import statement_of
-from chalkyoke.gateway.verdict import MISDIRECTED, Next, SendEnd, Sends, after
+from chalkyoke.gateway.statements import read_statement
+from chalkyoke.gateway.verdict import MISDIRECTED, NextStep, SendCounts, SendEnd, decide_next_step
 from chalkyoke.http1.client import ClientConnection
 from chalkyoke.http1.messages import Request, find, request_head
 from chalkyoke.http1.pool import ConnectFailure
@@ -28,24 +28,24 @@
 from chalkyoke.scheduling.state import ReleaseOutcome
 
 # How long opening a connection may take, in seconds: far beyond a round trip, below most aims.
-CONNECT_S = 0.12
+CONNECT_TIMEOUT_S = 0.12
 # How old a kept connection may be, in seconds: a replica may close it just when a request is on its
 # way, which a request that may run once does not survive.
-FRESH_FOR_SINGLE_RUN_S = 1.5
-FRESH_S = 15.0
+SINGLE_RUN_MAX_IDLE_S = 1.5
+MAX_IDLE_S = 15.0
 # What must be left of a request's time for one more send, in seconds.
-MIN_SEND_S = 0.03
+MIN_TIME_TO_SEND_S = 0.03
 # Grants for one request at most, those included that found no connection.
 MAX_GRANTS = 12
 # After so many grants of one request that could not be used this node chooses by itself: its
 # scheduler does not know what this node was told, as one of an older version never will.
-MOST_UNUSED = 3
+MAX_UNUSED_GRANTS = 3
 # How often each replica turns a request away before it is refused, in number.
-DECLINES_FOR_GOOD = 2
+MAX_DECLINES_PER_REPLICA = 2
 # A stream that may go on elsewhere is left after a pause of so many of its longest in time, and of
 # so many seconds at least. A trade-off: another replica reads the whole prompt again.
 STALL_MIN_S = 0.9
-STALL_GAPS = 2.0
+STALL_GAP_GOALS = 2.0
 # A first output is waited for so many goals, where another replica may be asked.
 FIRST_STALL_GOALS = 1.5
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
@@ -54,12 +54,12 @@
 class _Progress(msgspec.Struct):
     """What has happened to a request so far."""
 
-    sends: Sends = msgspec.field(default_factory=Sends)
+    sends: SendCounts = msgspec.field(default_factory=SendCounts)
     tried: list[str] = msgspec.field(default_factory=list)
     attempt: int = 0
     first_counted: bool = False
     declined: bool = False
-    unused: int = 0
+    unused_grants: int = 0
 
 
 class Exchange:
@@ -76,20 +76,20 @@
         self._fields = parts.headers.read_request(request.headers)
         after_event = self._fields.last_event_id
         after_number = int(after_event) if after_event.isdigit() else -1
-        self._delivery = Delivery(answering, EventCutter(after_number))
+        self._delivery = Delivery(answering, EventSplitter(after_number))
         self._progress = _Progress()
         self._replies = Replies(parts, answering, self._delivery, self._progress.sends)
         self._connection: ClientConnection | None = None
         self._granted: Granted | None = None
         self._admission: Admission | None = None
         self._charge: QuotaDecision | None = None
-        self._left = False
+        self._caller_left = False
 
     # What the caller's connection tells.
 
     def caller_left(self) -> None:
         """Stop at once, at the replica too: nobody waits for the answer."""
-        self._left = True
+        self._caller_left = True
         if self._connection is not None:
             self._connection.cancel()
         if self.task is not None:
@@ -104,20 +104,20 @@
         else:
             self._connection.pause()
 
-    def replica_ended(self, replica: str) -> None:
+    def on_replica_ended(self, replica: str) -> None:
         """Learn that a start of a replica is over, which its connection may never tell."""
         granted = self._granted
         if self._connection is not None and granted is not None and granted.replica.id == replica:
             self._connection.give_up()
 
-    def request_held(self, request: bytes) -> None:
+    def on_request_held(self, request: bytes) -> None:
         """End at once where this is a request that is held back from now on, and still waits."""
         waits = self._admission is not None and self._connection is None
-        if waits and self.task is not None and self._identity() == request:
-            self._held = True
+        if waits and self.task is not None and self._request_digest() == request:
+            self._is_held = True
             self.task.cancel()
 
-    _held = False
+    _is_held = False
     task: "asyncio.Task[None] | None" = None
 
     # Driving.
@@ -127,39 +127,39 @@
         try:
             await self._run()
         except Exception:
-            self._end_by_fault()
+            self._end_after_fault()
             raise
 
     async def _run(self) -> None:
         parts = self._parts
-        judged = judge(self._request, self._fields, parts.catalog(), parts.now())
+        judged = admit_request(self._request, self._fields, parts.catalog(), parts.now())
         if isinstance(judged, Rejection):
             retry = RETRY_SOON_S if judged.status == 503 else None
-            parts.reject(self._request, self._fields, judged)
-            self._replies.answer(judged.status, judged.reason, retry)
+            parts.log_rejection(self._request, self._fields, judged)
+            self._replies.send_answer(judged.status, judged.reason, retry)
             return
         self._admission = judged
         try:
             await self._serve_in_time(judged)
         finally:
-            self._refund(judged)
+            self._refund_charge(judged)
 
     async def _serve_in_time(self, judged: Admission) -> None:
         parts = self._parts
         try:
-            async with asyncio.timeout_at(self._loop_time(judged.ends)):
-                await self._serve(judged)
+            async with asyncio.timeout_at(self._loop_time(judged.deadline)):
+                await self._serve_admitted(judged)
         except TimeoutError:
-            self._time_is_up(judged)
+            self._expire(judged)
         except asyncio.CancelledError:
             self._release_cancelled(judged)
-            if self._held and self.task is not None and not self._left:
+            if self._is_held and self.task is not None and not self._caller_left:
                 self.task.uncancel()
-                self._replies.held_back(judged, self._identity())
+                self._replies.refuse_held_back(judged, self._request_digest())
                 return
-            if not self._left:
+            if not self._caller_left:
                 raise
-            parts.record(
+            parts.log_decision(
                 "left",
                 judged,
                 sends=self._progress.sends.arrivals,
@@ -167,19 +167,19 @@
                 silent_s=round(self._silent_s(), 4),
             )
 
-    def _end_by_fault(self) -> None:
+    def _end_after_fault(self) -> None:
         """Give back what is held, and tell the caller what is true."""
         if self._admission is not None:
             self._release_cancelled(self._admission)
-        self._replies.fault()
+        self._replies.end_after_fault()
 
-    def _refund(self, admission: Admission) -> None:
+    def _refund_charge(self, admission: Admission) -> None:
         """Give the quota back that a request was charged and that ends without a run."""
         charge, self._charge = self._charge, None
         if charge is None or self._progress.sends.runs > 0:
             return
         if self._parts.quotas.refund(admission, charge):
-            self._parts.record("refunded", admission, cost=admission.cost)
+            self._parts.log_decision("refunded", admission, cost=admission.cost)
 
     def _silent_s(self) -> float:
         """Tell for how long the replica has said nothing; -1 where nothing was sent to one."""
@@ -190,19 +190,19 @@
     def _loop_time(self, at: float) -> float:
         return asyncio.get_running_loop().time() + (at - self._parts.now())
 
-    async def _serve(self, admission: Admission) -> None:
-        if self._is_held_back(admission):
+    async def _serve_admitted(self, admission: Admission) -> None:
+        if self._refuse_if_held_back(admission):
             return
         allowed = await self._parts.quotas.charge(admission)
         if not allowed.allowed:
-            self._replies.over_quota(admission, allowed)
+            self._replies.refuse_over_quota(admission, allowed)
             return
         self._charge = allowed
         while True:
-            if not still_allowed(admission, self._parts.catalog()):
+            if not is_still_allowed(admission, self._parts.catalog()):
                 self._replies.refuse(admission, "no longer allowed", RETRY_SOON_S)
                 return
-            if self._is_held_back(admission):
+            if self._refuse_if_held_back(admission):
                 return
             self._progress.attempt += 1
             granted = await self._acquire(admission)
@@ -210,31 +210,33 @@
                 self._replies.refuse(admission, granted.reason, granted.retry_after_s)
                 return
             self._granted = granted
-            end = await self._send(admission, granted)
+            end = await self._send_once(admission, granted)
             if end is None and self._progress.attempt < MAX_GRANTS:
                 continue
             if end is None:
                 self._replies.refuse(admission, "no grant could be used", RETRY_SOON_S)
                 return
-            if self._follow(admission, granted, end) is not Next.SEND_AGAIN:
+            if self._act_on_end(admission, granted, end) is not NextStep.SEND_AGAIN:
                 return
 
-    def _identity(self) -> bytes:
+    def _request_digest(self) -> bytes:
         """Name the request by what its caller asks for, the same for each of its attempts."""
-        if not self._named:
+        if not self._cached_digest:
             request, admission = self._request, self._admission
             caller = admission.team.name if admission is not None and admission.team else ""
             host = (find(request.headers, b"host") or b"").decode("latin-1")
-            self._named = request_digest(request.method, host, request.target, caller, request.body)
-        return self._named
+            self._cached_digest = request_digest(
+                request.method, host, request.target, caller, request.body
+            )
+        return self._cached_digest
 
-    _named = b""
+    _cached_digest = b""
 
-    def _is_held_back(self, admission: Admission) -> bool:
+    def _refuse_if_held_back(self, admission: Admission) -> bool:
         """End a request under which too many replicas have ended; tell whether it was one."""
-        if not self._parts.quarantine.holds(self._identity):
+        if not self._parts.quarantine.is_held(self._request_digest):
             return False
-        self._replies.held_back(admission, self._identity())
+        self._replies.refuse_held_back(admission, self._request_digest())
         return True
 
     async def _acquire(self, admission: Admission) -> Granted | Denied:
@@ -244,52 +246,52 @@
         """
         parts, progress = self._parts, self._progress
         again = progress.attempt > 1 or self._delivery.head_sent
-        if parts.rollouts.takes_new(admission, again=again):
+        if parts.rollouts.claim_trial(admission, again=again):
             try:
                 granted = await parts.grants.acquire(
                     admission, progress.attempt, progress.tried, for_trial=True
                 )
             except asyncio.CancelledError:
-                parts.rollouts.give_back(admission)
+                parts.rollouts.return_trial(admission)
                 raise
             if isinstance(granted, Granted):
                 return granted
-            parts.rollouts.give_back(admission)
+            parts.rollouts.return_trial(admission)
             progress.attempt += 1
-        if progress.unused >= MOST_UNUSED:
+        if progress.unused_grants >= MAX_UNUSED_GRANTS:
             return await parts.grants.acquire(
-                admission, progress.attempt, progress.tried, alone=True
+                admission, progress.attempt, progress.tried, local_only=True
             )
         return await parts.grants.acquire(admission, progress.attempt, progress.tried)
 
-    def _follow(self, admission: Admission, granted: Granted, end: SendEnd) -> Next:
+    def _act_on_end(self, admission: Admission, granted: Granted, end: SendEnd) -> NextStep:
         """Do what follows the end of a send."""
-        self._note_end(admission, granted, end)
+        self._record_end(admission, granted, end)
         parts, progress = self._parts, self._progress
         now = parts.now()
         begun = self._delivery.head_sent
-        time_left = progress.attempt < MAX_GRANTS and admission.ends - now > MIN_SEND_S
+        time_left = progress.attempt < MAX_GRANTS and admission.deadline - now > MIN_TIME_TO_SEND_S
         if not begun and admission.route.is_stream:
-            time_left = time_left and now < admission.patience
+            time_left = time_left and now < admission.patience_until
         if end is SendEnd.DECLINED:
             time_left = time_left and not self._has_tried_all(admission)
-        budget = parts.budget.remaining(admission.service.name, parts.nodes(), now) >= 1
-        follows = after(
+        budget = parts.budget.remaining(admission.service.name, parts.node_count(), now) >= 1
+        follows = decide_next_step(
             end, admission.route, progress.sends, begun=begun, budget=budget, time_left=time_left
         )
-        if follows is Next.SEND_AGAIN:
+        if follows is NextStep.SEND_AGAIN:
             if end is not SendEnd.NOT_CONNECTED:
-                parts.budget.try_spend(admission.service.name, parts.nodes(), now)
-            self._delivery.cutter.restart()
-        elif follows is Next.PASS_ON and self._relay is not None:
+                parts.budget.try_spend(admission.service.name, parts.node_count(), now)
+            self._delivery.splitter.discard_partial()
+        elif follows is NextStep.PASS_ON and self._relay is not None:
             self._relay.pass_on()
-        elif follows is Next.REFUSE:
+        elif follows is NextStep.REFUSE:
             self._replies.refuse(admission, f"replicas: {end}", RETRY_SOON_S)
-        elif follows is Next.FAIL:
-            self._replies.answer(502, f"replica: {end}", None)
-        elif follows is Next.BREAK_OFF:
+        elif follows is NextStep.FAIL:
+            self._replies.send_answer(502, f"replica: {end}", None)
+        elif follows is NextStep.BREAK_OFF:
             self._answering.abort()
-        parts.record(
+        parts.log_decision(
             "ended",
             admission,
             replica=granted.replica.id,
@@ -298,13 +300,15 @@
             sends=progress.sends.arrivals,
             events=self._delivery.events,
             source=granted.source,
-            waited_s=round(granted.started - admission.arrived, 4) if granted.started else None,
+            waited_s=round(granted.started_at - admission.arrived_at, 4)
+            if granted.started_at
+            else None,
             first_s=round(granted.first_s, 4),
             longest_gap_s=round(self._relay.longest_gap_s, 4) if self._relay else None,
             expected_first_s=round(granted.expected_first_s, 4),
             prompt_tokens=admission.fields.prompt_tokens,
-            most_output=admission.fields.most_output_tokens,
-            likely_output=admission.fields.likely_output_tokens,
+            most_output=admission.fields.max_output_tokens,
+            likely_output=admission.fields.estimated_output_tokens,
             output=granted.events * admission.service.tokens_per_event,
             goal_s=admission.route.goal_s,
             leaving=self._relay.fields.leaving if self._relay else None,
@@ -319,31 +323,31 @@
         One that was full for a moment is not a millisecond later.
         """
         tried = self._progress.tried
-        replicas = self._parts.replicas.of(admission.service.name)
-        return all(tried.count(each.id) >= DECLINES_FOR_GOOD for each in replicas)
+        replicas = self._parts.replicas.of_service(admission.service.name)
+        return all(tried.count(each.id) >= MAX_DECLINES_PER_REPLICA for each in replicas)
 
     # One send.
 
-    async def _send(self, admission: Admission, granted: Granted) -> SendEnd | None:
+    async def _send_once(self, admission: Admission, granted: Granted) -> SendEnd | None:
         """Send to the granted replica; nothing where it must not be sent there any more."""
         parts = self._parts
         connection = await self._connect(admission, granted)
         if isinstance(connection, ConnectFailure):
             if connection is not ConnectFailure.AT_LIMIT:
-                parts.quarantine.unreachable(granted.replica)
+                parts.quarantine.record_unreachable(granted.replica)
             self._progress.tried.append(granted.replica.id)
-            self._give_back_trial(admission, granted)
+            self._return_trial(admission, granted)
             return SendEnd.NOT_CONNECTED
         if not self._may_send(admission, granted):
             parts.connections.give_back(granted.replica.ip, granted.replica.port, connection)
-            self._hand_back(admission, granted)
+            self._return_grant(admission, granted)
             return None
         relay = self._dispatch(admission, granted, connection)
         try:
-            end = await self._watch(admission, granted, connection, relay)
+            end = await self._wait_for_end(admission, granted, connection, relay)
         finally:
             self._connection = None
-            parts.rollouts.note_left(granted.replica)
+            parts.rollouts.record_finished(granted.replica)
         granted.events = relay.events
         if end is SendEnd.STALLED and relay.head is None:
             # The connection may have gone silent, and those kept beside it too.
@@ -361,32 +365,32 @@
             return False
         if parts.balancer.rest_left_s((replica,), parts.now()) > 0:
             return False
-        if not parts.rollouts.may_send(replica) or parts.quarantine.holds(self._identity):
+        if not parts.rollouts.may_send(replica) or parts.quarantine.is_held(self._request_digest):
             return False
-        return still_allowed(admission, parts.catalog())
+        return is_still_allowed(admission, parts.catalog())
 
-    def _hand_back(self, admission: Admission, granted: Granted) -> None:
+    def _return_grant(self, admission: Admission, granted: Granted) -> None:
         """Give a grant back that is not used."""
-        self._give_back_trial(admission, granted)
+        self._return_trial(admission, granted)
         self._parts.grants.release(admission, granted, ReleaseOutcome.UNUSED)
         self._granted = None
-        self._progress.unused += 1
+        self._progress.unused_grants += 1
 
-    def _give_back_trial(self, admission: Admission, granted: Granted) -> None:
+    def _return_trial(self, admission: Admission, granted: Granted) -> None:
         if granted.for_trial:
-            self._parts.rollouts.give_back(admission)
+            self._parts.rollouts.return_trial(admission)
 
     async def _connect(
         self, admission: Admission, granted: Granted
     ) -> ClientConnection | ConnectFailure:
         replica = granted.replica
-        nodes = max(1, self._parts.nodes())
-        fresh = FRESH_S if admission.route.repeatable else FRESH_FOR_SINGLE_RUN_S
+        nodes = max(1, self._parts.node_count())
+        fresh = MAX_IDLE_S if admission.route.repeatable else SINGLE_RUN_MAX_IDLE_S
         return await self._parts.connections.connect(
             replica.ip,
             replica.port,
             limit=max(2, int(admission.service.max_connections * 0.9 / nodes)),
-            timeout_s=CONNECT_S,
+            timeout_s=CONNECT_TIMEOUT_S,
             fresh_s=fresh,
         )
 
@@ -404,14 +408,14 @@
         if not progress.first_counted:
             progress.first_counted = True
             parts.budget.record_first(admission.service.name, now)
-        resumed_after = str(self._delivery.cutter.last_id) if self._delivery.head_sent else ""
+        resumed_after = str(self._delivery.splitter.last_id) if self._delivery.head_sent else ""
         forwarding = Forwarding(
             granted.replica.expected_id,
             admission.team.name if admission.team else "",
-            admission.ends - now,
+            admission.deadline - now,
             resumed_after,
         )
-        headers = parts.headers.forward(request.headers, forwarding)
+        headers = parts.headers.forwarded_headers(request.headers, forwarding)
         has_body = bool(request.body) or request.method in METHODS_WITH_BODY
         head = request_head(
             request.method, request.target, headers, len(request.body) if has_body else None
@@ -422,17 +426,17 @@
             self._fields.request_id,
             parts.now,
             streams=admission.route.is_stream,
-            first=lambda first_s: parts.grants.first_output(admission, granted, first_s),
-            told=lambda status, fields: self._note_told(granted, status, fields),
+            first=lambda first_s: parts.grants.record_first_output(admission, granted, first_s),
+            told=lambda status, fields: self._record_statement(granted, status, fields),
         )
         self._relay = relay
         self._connection = connection
         progress.sends.runs += 1
         progress.sends.arrivals += 1
         progress.tried.append(granted.replica.id)
-        parts.grants.started(admission, granted)
-        parts.rollouts.note_sent(granted.replica)
-        parts.record(
+        parts.grants.record_started(admission, granted)
+        parts.rollouts.record_sent(granted.replica)
+        parts.log_decision(
             "sent",
             admission,
             replica=granted.replica.id,
@@ -446,81 +450,83 @@
             resumed_after=resumed_after,
         )
         bodiless = request.method == b"HEAD"
-        connection.send(head + request.body, relay, relay.belongs, bodiless=bodiless)
+        connection.send(head + request.body, relay, relay.matches_request, bodiless=bodiless)
         return relay
 
     _relay: Relay | None = None
 
-    def _note_told(self, granted: Granted, status: int, fields: AnswerFields) -> None:
+    def _record_statement(self, granted: Granted, status: int, fields: AnswerFields) -> None:
         """Note what an answer says of its replica; a misdirected request met another one."""
         if status == MISDIRECTED:
             return
-        self._parts.announcements.note_answer(granted.replica, statement_of(status, fields))
+        self._parts.announcements.record_answer(granted.replica, read_statement(status, fields))
 
-    async def _watch(
+    async def _wait_for_end(
         self, admission: Admission, granted: Granted, connection: ClientConnection, relay: Relay
     ) -> SendEnd:
         """Wait for the end; a silent replica is left where another one may go on."""
         parts = self._parts
         while True:
-            wait_s = self._patience_with(admission, relay) - parts.now()
+            wait_s = self._stalls_at(admission, relay) - parts.now()
             done, _ = await asyncio.wait([relay.ended], timeout=max(0.001, wait_s))
             granted.events = relay.events
             if relay.first_at:
                 granted.first_s = relay.first_at - relay.started_at
             if done:
                 return relay.ended.result()
-            if parts.now() < self._patience_with(admission, relay):
+            if parts.now() < self._stalls_at(admission, relay):
                 continue
             connection.cancel()
             return SendEnd.STALLED
 
-    def _patience_with(self, admission: Admission, relay: Relay) -> float:
+    def _stalls_at(self, admission: Admission, relay: Relay) -> float:
         """Tell until when a silent replica is waited for."""
         route, sends = admission.route, self._progress.sends
         budget = self._parts.budget.remaining(
-            admission.service.name, self._parts.nodes(), self._parts.now()
+            admission.service.name, self._parts.node_count(), self._parts.now()
         )
         if not route.repeatable or sends.runs >= route.attempts or budget < 1:
-            return admission.ends + 1.0
+            return admission.deadline + 1.0
         if relay.first_at:
-            return relay.last_at + max(STALL_MIN_S, STALL_GAPS * route.gap_goal_s)
+            return relay.last_at + max(STALL_MIN_S, STALL_GAP_GOALS * route.gap_goal_s)
         return relay.started_at + FIRST_STALL_GOALS * route.goal_s
 
-    def _note_end(self, admission: Admission, granted: Granted, end: SendEnd) -> None:
+    def _record_end(self, admission: Admission, granted: Granted, end: SendEnd) -> None:
         """Learn from the end of a send."""
         if end is SendEnd.DECLINED:
             self._progress.sends.runs -= 1
-            granted.declined = not self._progress.declined
+            granted.is_first_decline = not self._progress.declined
             self._progress.declined = True
-        self._feedback.note_end(admission, granted, end, self._relay, self._identity)
+        self._feedback.record_end(admission, granted, end, self._relay, self._request_digest)
         self._granted = None
 
     # Ends.
 
-    def _time_is_up(self, admission: Admission) -> None:
+    def _expire(self, admission: Admission) -> None:
         """End a request whose time is over."""
         sent = self._progress.sends.runs > 0
         if self._connection is not None:
             self._connection.cancel()
-        if self._granted is not None and self._granted.started:
+        if self._granted is not None and self._granted.started_at:
             # A stream that was cut was slow or long; of any other answer nothing has come.
             failed = not admission.route.is_stream
-            self._feedback.note_version(admission, self._granted, failed=failed)
+            self._feedback.record_version_outcome(admission, self._granted, failed=failed)
         self._release_cancelled(admission)
-        self._parts.record("expired", admission, sends=self._progress.sends.arrivals)
+        self._parts.log_decision("expired", admission, sends=self._progress.sends.arrivals)
         if self._delivery.head_sent:
             self._answering.abort()
         elif sent:
-            self._replies.answer(504, "no answer in time", None)
+            self._replies.send_answer(504, "no answer in time", None)
         else:
             self._replies.refuse(admission, "no replica in time", RETRY_SOON_S)
 
     def _release_cancelled(self, admission: Admission) -> None:
         if self._granted is not None:
-            if self._granted.started:
+            if self._granted.started_at:
                 replica = self._granted.replica
-                self._parts.quarantine.left(replica, self._identity(), output_s(self._relay))
+                self._parts.quarantine.record_abandoned(
+                    replica, self._request_digest(), output_duration_s(self._relay)
+                )
             self._parts.grants.release(admission, self._granted, ReleaseOutcome.CANCELLED)
             self._granted = None
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
@@ -13,7 +13,7 @@
 from chalkyoke.gateway.verdict import SendEnd
 from chalkyoke.scheduling.state import ReleaseOutcome
 
-ENDED_OUTCOMES = {
+RELEASE_OUTCOMES = {
     SendEnd.DELIVERED: ReleaseOutcome.DELIVERED,
     SendEnd.FAILURE_ANSWER: ReleaseOutcome.FAILED,
     SendEnd.DECLINED: ReleaseOutcome.UNUSED,
@@ -30,10 +30,10 @@
     SendEnd.STALLED: 1.0,
 }
 # What a full replica and one out of this node's reach have in common: both may answer others well.
-NO_SIGN_OF_HEALTH = frozenset((SendEnd.DECLINED, SendEnd.NOT_CONNECTED))
+NOT_HEALTH_EVIDENCE = frozenset((SendEnd.DECLINED, SendEnd.NOT_CONNECTED))
 
 
-def output_s(relay: Relay | None) -> float:
+def output_duration_s(relay: Relay | None) -> float:
     """Tell for how long a replica has given output, in seconds."""
     return relay.last_at - relay.first_at if relay is not None and relay.first_at else 0.0
 
@@ -47,7 +47,7 @@
     def __init__(self, parts: GatewayParts) -> None:
         self._parts = parts
 
-    def note_end(
+    def record_end(
         self,
         admission: Admission,
         granted: Granted,
@@ -66,21 +66,23 @@
         if relay is not None and relay.fields.load is not None and end is not SendEnd.NOT_CONNECTED:
             seen.record_load(relay.fields.load.running, relay.fields.load.waiting, now)
         if end is SendEnd.DELIVERED:
-            seen.record_answer(now - granted.started)
+            seen.record_answer(now - granted.started_at)
         elif end is SendEnd.NOT_CONNECTED:
             seen.record_unreachable(now)
         else:
             seen.record_failure(FAILURE_WEIGHTS[end], now)
-        self._note_replica(admission, granted.replica, end, output_s(relay), request)
-        parts.grants.release(admission, granted, ENDED_OUTCOMES[end])
-        if end in NO_SIGN_OF_HEALTH:
+        self._record_quarantine_evidence(
+            admission, granted.replica, end, output_duration_s(relay), request
+        )
+        parts.grants.release(admission, granted, RELEASE_OUTCOMES[end])
+        if end in NOT_HEALTH_EVIDENCE:
             return
         failed = end is not SendEnd.DELIVERED
-        self.note_version(admission, granted, failed=failed)
+        self.record_version_outcome(admission, granted, failed=failed)
         if not admission.service.is_engine:
-            parts.plain_ended(admission, granted.replica, failed)
+            parts.on_plain_request_ended(admission, granted.replica, failed)
 
-    def _note_replica(
+    def _record_quarantine_evidence(
         self, admission: Admission, replica: Replica, end: SendEnd, output: float, request: Identity
     ) -> None:
         """Tell what the end of a send says of the request being one that ends replicas."""
@@ -88,20 +90,22 @@
         if end is SendEnd.NOT_CONNECTED:
             return
         if end is SendEnd.DELIVERED:
-            quarantine.delivered(replica, request)
+            quarantine.record_delivered(replica, request)
         elif end is SendEnd.BROKEN:
-            quarantine.broke_off(admission, replica, request(), output)
+            quarantine.record_broken(admission, replica, request(), output)
         elif end is SendEnd.STALLED:
-            quarantine.left(replica, request(), output)
+            quarantine.record_abandoned(replica, request(), output)
         else:
-            quarantine.answered(replica)
+            quarantine.record_answer(replica)
 
-    def note_version(self, admission: Admission, granted: Granted, *, failed: bool) -> None:
+    def record_version_outcome(
+        self, admission: Admission, granted: Granted, *, failed: bool
+    ) -> None:
         """Tell how a replica's version did; how long a failure took tells nothing."""
-        self._parts.rollouts.note_end(
+        self._parts.rollouts.record_outcome(
             admission,
             granted.replica,
             failed=failed,
             output_tokens=granted.events * admission.service.tokens_per_event,
-            took_s=0.0 if failed else self._parts.now() - granted.started,
+            took_s=0.0 if failed else self._parts.now() - granted.started_at,
         )
--- a/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
@@ -24,28 +24,28 @@
         """Count the requests that are being answered."""
         return len(self._exchanges)
 
-    def start(self, request: Request, answering: Answering) -> Exchange:
+    def start_exchange(self, request: Request, answering: Answering) -> Exchange:
         """Begin to answer a request."""
         exchange = Exchange(self._parts, request, answering)
         exchange.task = asyncio.get_running_loop().create_task(exchange.run())
         self._exchanges[exchange.task] = exchange
-        exchange.task.add_done_callback(self._ended)
+        exchange.task.add_done_callback(self._on_task_done)
         return exchange
 
-    def request_held(self, request: bytes) -> None:
+    def on_request_held(self, request: bytes) -> None:
         """Answer what waits here of a request that is held back from now on."""
         for exchange in list(self._exchanges.values()):
-            exchange.request_held(request)
+            exchange.on_request_held(request)
 
-    def replica_ended(self, replica: str) -> None:
+    def on_replica_ended(self, replica: str) -> None:
         """Go on elsewhere with what ran at a start of a replica that is over.
 
         :param replica: id of that start.
         """
         for exchange in list(self._exchanges.values()):
-            exchange.replica_ended(replica)
+            exchange.on_replica_ended(replica)
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self._exchanges.pop(task, None)
         if not task.cancelled() and (error := task.exception()) is not None:
             report = {"message": "an exchange broke", "exception": error}
--- a/packages/chalkyoke/src/chalkyoke/gateway/granted.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/granted.py
@@ -42,14 +42,14 @@
     attempt: int
     source: Source
     scheduler: str = ""
-    started: float = 0.0
+    started_at: float = 0.0
     first_s: float = -1.0
     events: int = 0
     expected_first_s: float = 0.0
     for_trial: bool = False
     counted: bool = False
     permit: Permit | None = None
-    declined: bool = False
+    is_first_decline: bool = False
 
 
 class Denied(msgspec.Struct, frozen=True):
@@ -71,7 +71,7 @@
         :param for_trial: whether one of a version under trial will do.
         """
 
-    def of(self, service: str, *, for_trial: bool = False) -> list[Replica]:
+    def of_service(self, service: str, *, for_trial: bool = False) -> list[Replica]:
         """List a service's replicas that take new work.
 
         :param for_trial: those of a version under trial in place of the others.
@@ -84,20 +84,22 @@
     def is_limited(self, replica: str) -> bool:
         """Tell whether a replica names a limit."""
 
-    def holds(self, permit: Permit) -> bool:
+    def is_valid(self, permit: Permit) -> bool:
         """Tell whether a permit still serves."""
 
-    async def ask(self, service: str, replica: str, most_wait_s: float) -> Permit | PermitDenied:
+    async def request_permit(
+        self, service: str, replica: str, most_wait_s: float
+    ) -> Permit | PermitDenied:
         """Ask for a permit to send one request.
 
         :param most_wait_s: how long the request would wait.
         """
 
-    def give_back(self, permit: Permit) -> None:
+    def return_permit(self, permit: Permit) -> None:
         """Give a permit back that was not used."""
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class GrantRequest(msgspec.Struct, frozen=True):
     """A replica that is looked for.
 
     :param attempt: counts the grants that were asked for.
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -17,10 +17,10 @@
     DEFAULT_RETRY_S,
     Denied,
     Granted,
+    GrantRequest,
     PermitPort,
     ReplicaPort,
     Source,
-    Wanted,
 )
 from chalkyoke.gateway.localchoice import LocalChoice
 from chalkyoke.gateway.reception import DEFAULT_OUTPUT_TOKENS, Admission, fingerprint, prompt_blocks
@@ -44,22 +44,22 @@
 
 # How long a scheduler's first word is waited for, in seconds: ten round trips between failure
 # domains. The next in line is asked then, so a lost scheduler costs no aim of 0.15 s or more.
-FIRST_ANSWER_S = 0.03
+FIRST_ANSWER_TIMEOUT_S = 0.03
 # How long it is waited for once a scheduler has been heard and is asked again, in seconds.
-QUEUED_ANSWER_S = 0.06
+CHECK_TIMEOUT_S = 0.06
 # How often a scheduler in whose queue a request waits is asked whether it is still there, in
 # seconds: half of the shortest aim seen.
-ASK_AGAIN_S = 0.15
+QUEUE_CHECK_INTERVAL_S = 0.15
 # How long a silent scheduler is passed over, in seconds; one request finds out for all.
-AVOID_S = 0.4
+SILENT_SCHEDULER_AVOID_S = 0.4
 # The owner, the next in another failure domain and the next in this node's own.
-OWNERS_ASKED = 3
+MAX_SCHEDULERS_ASKED = 3
 # How long it looks before the schedulers are asked again, in seconds.
 LOCAL_WAIT_S = 0.1
 # Empty reports after the last running request, in case the release was lost.
 TRAILING_REPORTS = 3
 # The part of its time that a caller may be told to stay away, so that it still comes back.
-COMES_BACK_SHARE = 0.3
+MAX_RETRY_AFTER_SHARE = 0.3
 
 
 class SchedulerPort(Protocol):
@@ -72,7 +72,7 @@
         """List the processes that may schedule a pool, the present owner first."""
 
 
-class _Held(msgspec.Struct):
+class _HeldGrant(msgspec.Struct):
     admission: Admission
     granted: Granted
 
@@ -104,11 +104,11 @@
         self._pooled = pooled
         self._local = LocalChoice(replicas, balancer, permits, random, now, pooled=pooled)
         self._loop = asyncio.get_running_loop()
-        self._answers: dict[str, asyncio.Queue[tuple[str, Grant | Shed | Queued]]] = {}
-        self._held: dict[str, _Held] = {}
-        self._avoid: dict[str, float] = {}
-        self._owner: dict[str, str] = {}
-        self._trailing: dict[str, int] = {}
+        self._answer_queues: dict[str, asyncio.Queue[tuple[str, Grant | Shed | Queued]]] = {}
+        self._held_grants: dict[str, _HeldGrant] = {}
+        self._avoid_until: dict[str, float] = {}
+        self._reported_owners: dict[str, str] = {}
+        self._reports_left: dict[str, int] = {}
 
     # Acquiring.
 
@@ -119,7 +119,7 @@
         avoid: Collection[str],
         *,
         for_trial: bool = False,
-        alone: bool = False,
+        local_only: bool = False,
     ) -> Granted | Denied:
         """Get a replica for a request; waits while none is free.
 
@@ -131,10 +131,10 @@
         :param for_trial: whether it is to be of a version under trial.
         :param alone: whether to choose here without asking the schedulers.
         """
-        if not self._replicas.of(admission.service.name, for_trial=for_trial):
+        if not self._replicas.of_service(admission.service.name, for_trial=for_trial):
             return Denied("no replica", DEFAULT_RETRY_S)
-        wanted = Wanted(admission, attempt, avoid, for_trial)
-        pooled = admission.service.is_engine and self._pooled and not alone
+        wanted = GrantRequest(admission, attempt, avoid, for_trial)
+        pooled = admission.service.is_engine and self._pooled and not local_only
         granted: Granted | Denied | None = None
         while granted is None:
             if pooled:
@@ -145,11 +145,11 @@
                 wait_s = LOCAL_WAIT_S if pooled else math.inf
                 granted = await self._local.choose(wanted, wait_s)
         if isinstance(granted, Granted):
-            self._held[admission.request_id] = _Held(admission, granted)
+            self._held_grants[admission.request_id] = _HeldGrant(admission, granted)
             self._balancer.stats(granted.replica.id).outstanding += 1
         return granted
 
-    async def _is_permitted(self, wanted: Wanted, granted: Granted) -> bool:
+    async def _is_permitted(self, wanted: GrantRequest, granted: Granted) -> bool:
         """Get the permit that a scheduler's grant lacks; one that can't get it is given back.
 
         A scheduler that has not heard of a limit, as one of an older version never will, grants on.
@@ -158,7 +158,7 @@
         if granted.counted or not self._permits.is_limited(replica.id):
             return True
         try:
-            granted.permit = await self._local.permit(replica, 0.0)
+            granted.permit = await self._local.request_permit(replica, 0.0)
         finally:
             if granted.permit is None:
                 self._send_unused(
@@ -166,58 +166,58 @@
                 )
         return granted.permit is not None
 
-    async def _ask_schedulers(self, wanted: Wanted) -> Granted | Denied | None:
+    async def _ask_schedulers(self, wanted: GrantRequest) -> Granted | Denied | None:
         admission = wanted.admission
         request = admission.request_id
         queue: asyncio.Queue[tuple[str, Grant | Shed | Queued]] = asyncio.Queue()
-        self._answers[request] = queue
+        self._answer_queues[request] = queue
         try:
-            for owner in self._schedulers.owners(admission.service.name)[:OWNERS_ASKED]:
-                if self._avoid.get(owner, 0.0) > self._now():
+            for owner in self._schedulers.owners(admission.service.name)[:MAX_SCHEDULERS_ASKED]:
+                if self._avoid_until.get(owner, 0.0) > self._now():
                     continue
-                decided = await self._ask(owner, queue, wanted)
+                decided = await self._ask_scheduler(owner, queue, wanted)
                 if decided is not None:
                     return decided
-                self._avoid[owner] = self._now() + AVOID_S
+                self._avoid_until[owner] = self._now() + SILENT_SCHEDULER_AVOID_S
                 self._schedulers.send(owner, Withdraw(request, admission.service.name))
             return None
         except asyncio.CancelledError:
-            for owner in self._schedulers.owners(admission.service.name)[:OWNERS_ASKED]:
+            for owner in self._schedulers.owners(admission.service.name)[:MAX_SCHEDULERS_ASKED]:
                 self._schedulers.send(owner, Withdraw(request, admission.service.name))
             raise
         finally:
-            del self._answers[request]
+            del self._answer_queues[request]
 
-    async def _ask(
+    async def _ask_scheduler(
         self,
         owner: str,
         queue: "asyncio.Queue[tuple[str, Grant | Shed | Queued]]",
-        wanted: Wanted,
+        wanted: GrantRequest,
     ) -> Granted | Denied | None:
         """Ask one scheduler until it decides; nothing where it falls silent."""
         self._schedulers.send(owner, self._acquire_message(wanted))
-        wait_s = FIRST_ANSWER_S
+        wait_s = FIRST_ANSWER_TIMEOUT_S
         asked_again = False
         while True:
             try:
                 async with asyncio.timeout(wait_s):
                     process, message = await queue.get()
             except TimeoutError:
-                if wait_s != ASK_AGAIN_S or asked_again:
+                if wait_s != QUEUE_CHECK_INTERVAL_S or asked_again:
                     return None
                 asked_again = True
-                wait_s = QUEUED_ANSWER_S
+                wait_s = CHECK_TIMEOUT_S
                 self._schedulers.send(owner, self._acquire_message(wanted))
                 continue
             if message.attempt != wanted.attempt:
                 continue
             if isinstance(message, Queued):
                 if process == owner:
-                    wait_s, asked_again = ASK_AGAIN_S, False
+                    wait_s, asked_again = QUEUE_CHECK_INTERVAL_S, False
                 continue
-            return self._decided(process, message, for_trial=wanted.for_trial)
+            return self._read_decision(process, message, for_trial=wanted.for_trial)
 
-    def _decided(
+    def _read_decision(
         self, process: str, message: Grant | Shed, *, for_trial: bool
     ) -> Granted | Denied | None:
         if isinstance(message, Shed):
@@ -236,12 +236,12 @@
             counted=message.counts_toward_limit,
         )
 
-    def _acquire_message(self, wanted: Wanted) -> Acquire:
+    def _acquire_message(self, wanted: GrantRequest) -> Acquire:
         admission = wanted.admission
         now = self._now()
         fields = admission.fields
         streams = admission.route.is_stream
-        last = admission.patience if streams else admission.ends
+        last = admission.patience_until if streams else admission.deadline
         return Acquire(
             request=admission.request_id,
             attempt=wanted.attempt,
@@ -250,16 +250,16 @@
             tier=str(admission.rank),
             team=admission.team.name if admission.team else "",
             prompt_tokens=fields.prompt_tokens,
-            max_output=fields.most_output_tokens or DEFAULT_OUTPUT_TOKENS,
+            max_output=fields.max_output_tokens or DEFAULT_OUTPUT_TOKENS,
             blocks=prompt_blocks(fields),
             budget_s=last - now,
-            waited_s=now - admission.arrived,
-            goal_s=(admission.due - now) or -1e-3,
-            likely_output=fields.likely_output_tokens,
+            waited_s=now - admission.arrived_at,
+            goal_s=(admission.due_at - now) or -1e-3,
+            likely_output=fields.estimated_output_tokens,
             gap_goal_s=admission.route.gap_goal_s,
-            answer_due_s=admission.ends - now,
+            answer_due_s=admission.deadline - now,
             fingerprint=fingerprint(admission),
-            max_retry_after_s=(admission.ends - now) * COMES_BACK_SHARE,
+            max_retry_after_s=(admission.deadline - now) * MAX_RETRY_AFTER_SHARE,
             tried_upstreams=tuple(wanted.avoid),
         )
 
@@ -267,12 +267,12 @@
 
     def receive(self, process: str, message: Grant | Shed | Queued) -> None:
         """Take a scheduler's word; a grant that nobody waits for is given back."""
-        self._avoid.pop(process, None)
-        queue = self._answers.get(message.request)
+        self._avoid_until.pop(process, None)
+        queue = self._answer_queues.get(message.request)
         if queue is not None:
             queue.put_nowait((process, message))
             return
-        held = self._held.get(message.request)
+        held = self._held_grants.get(message.request)
         if isinstance(message, Grant) and (
             held is None
             or held.granted.scheduler != process
@@ -287,16 +287,16 @@
 
     # Running and releasing.
 
-    def started(self, admission: Admission, granted: Granted) -> None:
+    def record_started(self, admission: Admission, granted: Granted) -> None:
         """Note that a request is on its way; a scheduler that did not grant it is told."""
-        granted.started = self._now()
+        granted.started_at = self._now()
         if granted.source is Source.LOCAL and admission.service.is_engine and self._pooled:
             owners = self._schedulers.owners(admission.service.name)
-            item = self._running_item(_Held(admission, granted))
+            item = self._running_item(_HeldGrant(admission, granted))
             for owner in owners[:1]:
                 self._schedulers.send(owner, Adopt(admission.service.name, (item,)))
 
-    def first_output(self, admission: Admission, granted: Granted, first_s: float) -> None:
+    def record_first_output(self, admission: Admission, granted: Granted, first_s: float) -> None:
         """Note that the first event has come."""
         granted.first_s = first_s
         if not admission.service.is_engine or not self._pooled:
@@ -309,13 +309,13 @@
 
     def release(self, admission: Admission, granted: Granted, outcome: ReleaseOutcome) -> None:
         """Give a grant back with what the replica did."""
-        held = self._held.get(admission.request_id)
+        held = self._held_grants.get(admission.request_id)
         if held is None or held.granted is not granted:
             return
-        del self._held[admission.request_id]
+        del self._held_grants[admission.request_id]
         self._balancer.stats(granted.replica.id).outstanding -= 1
-        if granted.permit is not None and not granted.started:
-            self._permits.give_back(granted.permit)
+        if granted.permit is not None and not granted.started_at:
+            self._permits.return_permit(granted.permit)
         if not admission.service.is_engine or not self._pooled:
             return
         pool = admission.service.name
@@ -323,7 +323,7 @@
             prompt_tokens=admission.fields.prompt_tokens,
             output_tokens=granted.events * admission.service.tokens_per_event,
             first_s=granted.first_s,
-            total_s=self._now() - granted.started if granted.started else 0.0,
+            total_s=self._now() - granted.started_at if granted.started_at else 0.0,
         )
         message = Release(
             admission.request_id,
@@ -331,7 +331,7 @@
             pool,
             outcome,
             usage,
-            declined=granted.declined,
+            declined=granted.is_first_decline,
             rest_s=self._balancer.stats(granted.replica.id).rest_left_s(self._now()),
         )
         owner = self._schedulers.owners(pool)[:1]
@@ -343,7 +343,7 @@
         """Tell the schedulers how far running work has come; call about once a second."""
         now = self._now()
         items: dict[tuple[str, str], list[ProgressItem]] = {}
-        for request, held in self._held.items():
+        for request, held in self._held_grants.items():
             service = held.admission.service
             if not service.is_engine or not self._pooled:
                 continue
@@ -352,41 +352,41 @@
                 request,
                 granted.events * service.tokens_per_event,
                 granted.first_s,
-                now - granted.started if granted.started else 0.0,
+                now - granted.started_at if granted.started_at else 0.0,
             )
             owner = self._schedulers.owners(service.name)[:1]
             for process in dict.fromkeys([granted.scheduler, *owner]):
                 if process:
                     items.setdefault((process, service.name), []).append(item)
         for key in items:
-            self._trailing[f"{key[0]}|{key[1]}"] = TRAILING_REPORTS
-        for name in list(self._trailing):
+            self._reports_left[f"{key[0]}|{key[1]}"] = TRAILING_REPORTS
+        for name in list(self._reports_left):
             process, _, pool = name.rpartition("|")
             self._schedulers.send(process, Progress(pool, tuple(items.get((process, pool), ()))))
-            self._trailing[name] -= 1
-            if self._trailing[name] <= 0:
-                del self._trailing[name]
+            self._reports_left[name] -= 1
+            if self._reports_left[name] <= 0:
+                del self._reports_left[name]
 
-    def check_owners(self, pools: Collection[str]) -> None:
+    def report_to_new_owners(self, pools: Collection[str]) -> None:
         """Tell a pool's new scheduler what runs here."""
         if not self._pooled:
             return
         for pool in pools:
             owners = self._schedulers.owners(pool)[:1]
-            if owners and self._owner.get(pool) != owners[0]:
-                self._owner[pool] = owners[0]
-                self.tell_running(pool, owners[0])
+            if owners and self._reported_owners.get(pool) != owners[0]:
+                self._reported_owners[pool] = owners[0]
+                self.report_running(pool, owners[0])
 
-    def tell_running(self, pool: str, process: str) -> None:
+    def report_running(self, pool: str, process: str) -> None:
         """Tell a scheduler which of a pool's grants are held here."""
         items = tuple(
             self._running_item(held)
-            for held in self._held.values()
+            for held in self._held_grants.values()
             if held.admission.service.name == pool
         )
         self._schedulers.send(process, Adopt(pool, items))
 
-    def _running_item(self, held: _Held) -> RunningItem:
+    def _running_item(self, held: _HeldGrant) -> RunningItem:
         admission, granted = held.admission, held.granted
         return RunningItem(
             request=admission.request_id,
@@ -396,9 +396,9 @@
             team=admission.team.name if admission.team else "",
             route=_route_name(admission, for_trial=granted.for_trial),
             prompt_tokens=admission.fields.prompt_tokens,
-            max_output=admission.fields.most_output_tokens or DEFAULT_OUTPUT_TOKENS,
+            max_output=admission.fields.max_output_tokens or DEFAULT_OUTPUT_TOKENS,
             output_tokens=granted.events * admission.service.tokens_per_event,
-            elapsed_s=self._now() - granted.started if granted.started else 0.0,
+            elapsed_s=self._now() - granted.started_at if granted.started_at else 0.0,
         )
 
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/localchoice.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/localchoice.py
@@ -14,20 +14,20 @@
     DEFAULT_RETRY_S,
     Denied,
     Granted,
+    GrantRequest,
     PermitPort,
     ReplicaPort,
     Source,
-    Wanted,
 )
 from chalkyoke.limits.client import Permit
 
 # How often this node looks for a free replica, in seconds.
-LOCAL_POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 # The part of the time until it is due for which a request waits for a place within a limit: the
 # rest is for the answer. Of that, each rank that is more urgent leaves a part, for so many ranks.
-WAIT_SHARE = 0.5
-WAIT_SHARE_OF_RANK = 0.7
-MOST_RANKS = 3
+LIMIT_WAIT_SHARE = 0.5
+LIMIT_WAIT_SHARE_PER_RANK = 0.7
+MAX_RANKS = 3
 # Over how long the callers are spread that come back when a limit allows a request, in seconds.
 REOPENING_SPREAD_S = 0.5
 
@@ -57,14 +57,14 @@
         self._now = now
         self._pooled = pooled
 
-    async def choose(self, wanted: Wanted, wait_s: float) -> Granted | Denied | None:
+    async def choose(self, wanted: GrantRequest, wait_s: float) -> Granted | Denied | None:
         """Choose a replica by what this node sees; nothing where none is free for so long."""
         admission, service = wanted.admission, wanted.admission.service
         until = self._now() + wait_s
-        bound = self._own_part if service.is_engine else None
+        bound = self._max_outstanding if service.is_engine else None
         while True:
-            replicas = self._replicas.of(service.name, for_trial=wanted.for_trial)
-            denied = self._denied(wanted, replicas)
+            replicas = self._replicas.of_service(service.name, for_trial=wanted.for_trial)
+            denied = self._find_denial(wanted, replicas)
             if denied is not None:
                 return denied
             chosen = self._balancer.choose(
@@ -75,45 +75,45 @@
                 max_outstanding=bound,
             )
             if chosen is not None:
-                permit = await self.permit(chosen, 0.0)
+                permit = await self.request_permit(chosen, 0.0)
                 if permit is not None:
-                    return _granted_here(chosen, wanted, permit)
+                    return _local_grant(chosen, wanted, permit)
                 continue
             found = await self._wait_for_limit(wanted, replicas, until)
             if found is not None:
                 return found
-            if self._now() >= admission.patience:
+            if self._now() >= admission.patience_until:
                 return Denied("no free slot", DEFAULT_RETRY_S)
             if self._now() >= until:
                 return None
-            await asyncio.sleep(LOCAL_POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _denied(self, wanted: Wanted, replicas: list[Replica]) -> Denied | None:
+    def _find_denial(self, wanted: GrantRequest, replicas: list[Replica]) -> Denied | None:
         """Tell why no replica will take a request in time, where that is so."""
         now = self._now()
         if not replicas:
             return Denied("no replica", DEFAULT_RETRY_S)
         rest_s = self._balancer.rest_left_s(replicas, now)
-        if rest_s > 0 and now + rest_s > wanted.admission.due:
+        if rest_s > 0 and now + rest_s > wanted.admission.due_at:
             return Denied("replicas rest", rest_s)
         if self._balancer.are_all_unreachable(replicas, now, tried=wanted.avoid):
             return Denied("replicas out of reach", DEFAULT_RETRY_S)
         return None
 
-    async def permit(self, replica: Replica, most_wait_s: float) -> Permit | None:
+    async def request_permit(self, replica: Replica, most_wait_s: float) -> Permit | None:
         """Get a permit to send to a replica; remember when to ask again where there is none.
 
         :param most_wait_s: how long the request would wait.
         """
-        permit = await self._permits.ask(replica.service, replica.id, most_wait_s)
+        permit = await self._permits.request_permit(replica.service, replica.id, most_wait_s)
         if isinstance(permit, Permit):
             return permit
-        closed_s = max(LOCAL_POLL_S, permit.opens_in_s)
+        closed_s = max(POLL_INTERVAL_S, permit.opens_in_s)
         self._balancer.record_limited(replica.id, closed_s, self._now())
         return None
 
     async def _wait_for_limit(
-        self, wanted: Wanted, replicas: list[Replica], until: float
+        self, wanted: GrantRequest, replicas: list[Replica], until: float
     ) -> Granted | Denied | None:
         """Take the next place where limits hold up all replicas, or tell when there is one.
 
@@ -124,32 +124,32 @@
         replica = self._balancer.first_limit_to_open(replicas, now)
         if replica is None:
             return None
-        latest = _latest(wanted, now)
+        latest = _latest_wait_end(wanted, now)
         opens_at = self._balancer.stats(replica.id).limited_until
         if opens_at > latest:
             spread_s = REOPENING_SPREAD_S * self._random()
             return Denied("replicas at their limits", opens_at - now + spread_s)
-        permit = await self.permit(replica, min(latest, until) - now)
+        permit = await self.request_permit(replica, min(latest, until) - now)
         if permit is None:
             return None
         try:
             await asyncio.sleep(permit.wait_s)
         except asyncio.CancelledError:
-            self._permits.give_back(permit)
+            self._permits.return_permit(permit)
             raise
-        if self._permits.holds(permit):
-            return _granted_here(replica, wanted, permit)
-        self._permits.give_back(permit)
+        if self._permits.is_valid(permit):
+            return _local_grant(replica, wanted, permit)
+        self._permits.return_permit(permit)
         return None
 
-    def _own_part(self, replica: Replica) -> int:
+    def _max_outstanding(self, replica: Replica) -> int:
         """Bound what this node alone has at a replica, since it can't see what others have."""
         if self._pooled:
             return max(1, replica.slots // 4)
         return max(1, replica.slots // 4 + 2)
 
 
-def _latest(wanted: Wanted, now: float) -> float:
+def _latest_wait_end(wanted: GrantRequest, now: float) -> float:
     """Tell until when a place within a limit is worth waiting for, on the node's clock.
 
     Less urgent requests wait for a part of their time only: where more is asked for than limits
@@ -159,11 +159,11 @@
     if wanted.for_trial:
         # What no replica of that version takes now goes to the others.
         return now
-    if now >= admission.due:
-        return admission.patience
-    share = WAIT_SHARE * WAIT_SHARE_OF_RANK ** min(MOST_RANKS, admission.urgency)
-    return now + (admission.due - now) * share
+    if now >= admission.due_at:
+        return admission.patience_until
+    share = LIMIT_WAIT_SHARE * LIMIT_WAIT_SHARE_PER_RANK ** min(MAX_RANKS, admission.urgency)
+    return now + (admission.due_at - now) * share
 
 
-def _granted_here(replica: Replica, wanted: Wanted, permit: Permit) -> Granted:
+def _local_grant(replica: Replica, wanted: GrantRequest, permit: Permit) -> Granted:
     return Granted(replica, wanted.attempt, Source.LOCAL, for_trial=wanted.for_trial, permit=permit)
--- a/packages/chalkyoke/src/chalkyoke/gateway/parts.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/parts.py
@@ -22,8 +22,8 @@
 from chalkyoke.quotas.client import QuotaClient
 from chalkyoke.retries.budget import RetryBudget
 
-Record = Callable[..., None]
-Reject = Callable[[Request, RequestFields, Rejection], None]
+LogDecision = Callable[..., None]
+LogRejection = Callable[[Request, RequestFields, Rejection], None]
 
 
 class GatewayParts(msgspec.Struct):
@@ -46,11 +46,11 @@
     quotas: QuotaClient
     budget: RetryBudget
     connections: ConnectionPool
-    nodes: Callable[[], int]
+    node_count: Callable[[], int]
     now: Callable[[], float]
-    record: Record
-    reject: Reject
-    plain_ended: Callable[[Admission, Replica, bool], None]
+    log_decision: LogDecision
+    log_rejection: LogRejection
+    on_plain_request_ended: Callable[[Admission, Replica, bool], None]
     rollouts: RolloutPort
     quarantine: QuarantinePort
     announcements: AnnouncementPort
--- a/packages/chalkyoke/src/chalkyoke/gateway/ports.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/ports.py
@@ -22,16 +22,16 @@
     """What a request says of itself.
 
     :param deadline_s: how long its caller waits, in seconds.
-    :param most_output_tokens: the most that it may generate.
-    :param likely_output_tokens: the caller's own estimate; 0 where it gives none.
+    :param max_output_tokens: the most that it may generate.
+    :param estimated_output_tokens: the caller's own estimate; 0 where it gives none.
     """
 
     request_id: str
     deadline_s: float | None = None
     key: str | None = None
     prompt_tokens: int = 0
-    most_output_tokens: int = 0
-    likely_output_tokens: int = 0
+    max_output_tokens: int = 0
+    estimated_output_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
     last_event_id: str = ""
 
@@ -58,7 +58,7 @@
     """
 
     request_id: str
-    stamped: bool = False
+    signed: bool = False
     not_run: bool = False
     encoded: bool = False
     load: Load | None = None
@@ -87,7 +87,7 @@
     def read_request(self, headers: Headers) -> RequestFields:
         """Read what a request says of itself."""
 
-    def forward(self, headers: Headers, forwarding: Forwarding) -> Headers:
+    def forwarded_headers(self, headers: Headers, forwarding: Forwarding) -> Headers:
         """Give the headers with which a request goes on to a replica."""
 
     def read_answer(self, headers: Headers) -> AnswerFields:
--- a/packages/chalkyoke/src/chalkyoke/gateway/quarantine.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/quarantine.py
@@ -17,16 +17,16 @@
 class QuarantinePort(Protocol):
     """Requests that run under the ends of replicas."""
 
-    def holds(self, request: Identity) -> bool:
+    def is_held(self, request: Identity) -> bool:
         """Tell whether a request is held back."""
 
-    def delivered(self, replica: Replica, request: Identity) -> None:
+    def record_delivered(self, replica: Replica, request: Identity) -> None:
         """Note that a replica has served a request whole."""
 
-    def answered(self, replica: Replica) -> None:
+    def record_answer(self, replica: Replica) -> None:
         """Note that a replica has answered, whatever it was."""
 
-    def broke_off(
+    def record_broken(
         self, admission: Admission, replica: Replica, request: bytes, output_s: float
     ) -> None:
         """Note that a replica broke a run off.
@@ -34,11 +34,11 @@
         :param output_s: for how long it had been giving output, in seconds.
         """
 
-    def left(self, replica: Replica, request: bytes, output_s: float) -> None:
+    def record_abandoned(self, replica: Replica, request: bytes, output_s: float) -> None:
         """Note that this side has left a run.
 
         :param output_s: for how long the replica had been giving output, in seconds.
         """
 
-    def unreachable(self, replica: Replica) -> None:
+    def record_unreachable(self, replica: Replica) -> None:
         """Note that a replica can't be connected to."""
--- a/packages/chalkyoke/src/chalkyoke/gateway/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/reception.py
@@ -22,11 +22,11 @@
 # names in a message for the longest prompts.
 BLOCK_TOKENS = 256
 # As many values as the hash of a request's id has: it becomes a point in [0, 1).
-HASH_SPAN = 2.0**64
+HASH_VALUES = 2.0**64
 # A caller gives a stream up after a gap of the longest of so many goals, so many of its longest
 # pauses, and so many seconds: the operators' rule.
 PATIENCE_GOALS = 4.0
-PATIENCE_GAPS = 8.0
+PATIENCE_GAP_GOALS = 8.0
 MIN_PATIENCE_S = 2.0
 # The most output that a request is taken to ask for where it names none, in tokens.
 DEFAULT_OUTPUT_TOKENS = 1_000
@@ -61,10 +61,10 @@
     version: int
     rank: int
     cost: float
-    arrived: float
-    ends: float
-    due: float
-    patience: float
+    arrived_at: float
+    deadline: float
+    due_at: float
+    patience_until: float
 
     @property
     def urgency(self) -> int:
@@ -72,7 +72,7 @@
         return self.route.rank
 
 
-def judge(
+def admit_request(
     request: Request, fields: RequestFields, catalog: Catalog, now: float
 ) -> Admission | Rejection:
     """Judge a request.
@@ -91,13 +91,13 @@
     team = catalog.find_team(fields.key) if fields.key else None
     if team is None and catalog.requires_keys and not route.public:
         return Rejection(401, "unknown key")
-    service = catalog.services.get(pick_target(route, _point(fields.request_id)))
+    service = catalog.services.get(pick_target(route, _hash_to_unit_interval(fields.request_id)))
     if service is None:
         return Rejection(404, "no service")
-    return _admit(fields, route, service, team, catalog.version, now)
+    return _build_admission(fields, route, service, team, catalog.version, now)
 
 
-def still_allowed(admission: Admission, catalog: Catalog) -> bool:
+def is_still_allowed(admission: Admission, catalog: Catalog) -> bool:
     """Tell whether a newer catalog still lets an admitted request go where it was to go.
 
     :rtype: bool
@@ -140,11 +140,11 @@
         return 0
     team = admission.team.name if admission.team else ""
     parts = ",".join(f"{part.id:x}:{part.tokens}" for part in fields.parts)
-    text = f"{team}|{admission.route.name}|{fields.most_output_tokens}|{parts}"
+    text = f"{team}|{admission.route.name}|{fields.max_output_tokens}|{parts}"
     return xxhash.xxh64_intdigest(text.encode()) >> 1
 
 
-def _admit(
+def _build_admission(
     fields: RequestFields,
     route: Route,
     service: Service,
@@ -156,7 +156,9 @@
     ends = now + min(deadline, route.timeout_s)
     patience = ends
     if route.is_stream:
-        gaps = max(MIN_PATIENCE_S, PATIENCE_GOALS * route.goal_s, PATIENCE_GAPS * route.gap_goal_s)
+        gaps = max(
+            MIN_PATIENCE_S, PATIENCE_GOALS * route.goal_s, PATIENCE_GAP_GOALS * route.gap_goal_s
+        )
         patience = min(ends, now + gaps)
     return Admission(
         request_id=fields.request_id,
@@ -166,20 +168,20 @@
         team=team,
         version=version,
         rank=combined_rank(route, team),
-        cost=_cost(fields, team),
-        arrived=now,
-        ends=ends,
-        due=now + route.goal_s,
-        patience=patience,
+        cost=_quota_cost(fields, team),
+        arrived_at=now,
+        deadline=ends,
+        due_at=now + route.goal_s,
+        patience_until=patience,
     )
 
 
-def _cost(fields: RequestFields, team: Team | None) -> float:
+def _quota_cost(fields: RequestFields, team: Team | None) -> float:
     if team is None or not team.by_tokens:
         return 1.0
-    tokens = fields.prompt_tokens + fields.most_output_tokens
+    tokens = fields.prompt_tokens + fields.max_output_tokens
     return float(tokens) if tokens else team.default_cost
 
 
-def _point(request_id: str) -> float:
-    return xxhash.xxh64_intdigest(request_id.encode()) / HASH_SPAN
+def _hash_to_unit_interval(request_id: str) -> float:
+    return xxhash.xxh64_intdigest(request_id.encode()) / HASH_VALUES
--- a/packages/chalkyoke/src/chalkyoke/gateway/relay.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/relay.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from chalkyoke.gateway.events import EventCutter
+from chalkyoke.gateway.events import EventSplitter
 from chalkyoke.gateway.ports import AnswerFields, HeaderFormat
 from chalkyoke.gateway.verdict import MISDIRECTED, SERVER_ERROR_MIN, SendEnd
 from chalkyoke.http1.client import Break
@@ -18,7 +18,7 @@
 
 # A plain answer of up to so many bytes is read whole before any of it is passed on, so that one
 # that breaks off can be had elsewhere; a longer one costs too much memory.
-HELD_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 SUCCESS_MIN, SUCCESS_MAX = 200, 299
 
 
@@ -31,7 +31,7 @@
     """
 
     answering: Answering
-    cutter: EventCutter
+    splitter: EventSplitter
     events: int = 0
     first_at: float = 0.0
     head_sent: bool = False
@@ -67,12 +67,12 @@
         self._request_id = request_id
         self._clock = clock
         self._streams = streams
-        self._first = first
-        self._told = told
-        self._held: list[bytes] = []
-        self._held_size = 0
-        self._by_event = False
-        self._passing = False
+        self._on_first_event = first
+        self._on_answer_head = told
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
+        self._is_event_stream = False
+        self._is_forwarding = False
         self._cancelled = False
         self.head: AnswerHead | None = None
         self.fields = AnswerFields("")
@@ -86,7 +86,7 @@
 
     # The sink of the replica's connection.
 
-    def belongs(self, headers: Headers) -> bool:
+    def matches_request(self, headers: Headers) -> bool:
         """Read an answer's headers, and tell whether it is one to this request."""
         found = self._headers.read_answer(headers)
         if found.request_id != self._request_id:
@@ -98,38 +98,38 @@
         """Take the head, and find out how the body is passed on."""
         self.last_at = self._clock()
         self.head = head
-        self._told(head.status, self.fields)
+        self._on_answer_head(head.status, self.fields)
         success = SUCCESS_MIN <= head.status <= SUCCESS_MAX
-        self._by_event = self._streams and success and self._usable()
+        self._is_event_stream = self._streams and success and self._is_usable()
 
     def answer_data(self, data: bytes) -> None:
         """Take a part of the body."""
         now = self.last_at = self._clock()
         self.first_at = self.first_at or now
-        if self._by_event:
-            self._pass_events(data, now)
-        elif self._passing:
+        if self._is_event_stream:
+            self._forward_events(data, now)
+        elif self._is_forwarding:
             self._delivery.answering.send(data)
         else:
-            self._hold(data, now)
+            self._buffer(data, now)
 
     def answer_end(self) -> None:
         """Learn that the answer is whole."""
         self.last_at = self._clock()
         head = self.head
         if head is None:
-            self._end(SendEnd.BROKEN)
-        elif self._by_event:
+            self._finish(SendEnd.BROKEN)
+        elif self._is_event_stream:
             self._end_stream()
-        elif self._passing:
+        elif self._is_forwarding:
             self._delivery.answering.end()
-            self._end(SendEnd.DELIVERED)
+            self._finish(SendEnd.DELIVERED)
         else:
-            self._end(self._judge(head))
+            self._finish(self._classify(head))
 
     def answer_broken(self, _: Break) -> None:
         """Learn that no more of the answer comes."""
-        self._end(SendEnd.BROKEN)
+        self._finish(SendEnd.BROKEN)
 
     # What the exchange asks for.
 
@@ -143,20 +143,20 @@
         head = self.head
         if head is None:
             return
-        body = b"".join(self._held)
+        body = b"".join(self._buffered)
         whole = AnswerHead(head.status, head.reason, end_to_end(head.headers), len(body))
-        self._begin(whole, body, self._clock())
+        self._begin_answer(whole, body, self._clock())
         self._delivery.answering.end()
 
-    def _usable(self) -> bool:
+    def _is_usable(self) -> bool:
         """Tell whether an answer can be the replica's own, unaltered."""
-        return self.fields.stamped and not self.fields.encoded
+        return self.fields.signed and not self.fields.encoded
 
-    def _judge(self, head: AnswerHead) -> SendEnd:
+    def _classify(self, head: AnswerHead) -> SendEnd:
         if self.fields.not_run or head.status == MISDIRECTED:
             return SendEnd.DECLINED
         if SUCCESS_MIN <= head.status <= SUCCESS_MAX:
-            if not self._usable() or self._streams:
+            if not self._is_usable() or self._streams:
                 return SendEnd.UNUSABLE
             self.pass_on()
             return SendEnd.DELIVERED
@@ -165,28 +165,28 @@
         self.pass_on()
         return SendEnd.DELIVERED
 
-    def _hold(self, data: bytes, now: float) -> None:
-        self._held.append(data)
-        self._held_size += len(data)
+    def _buffer(self, data: bytes, now: float) -> None:
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
         head = self.head
-        if self._held_size <= HELD_BYTES or head is None or not self._usable():
+        if self._buffered_bytes <= MAX_BUFFERED_BYTES or head is None or not self._is_usable():
             return
         if head.status >= SERVER_ERROR_MIN or self.fields.not_run:
             return
         passed = AnswerHead(head.status, head.reason, end_to_end(head.headers), head.length)
-        self._begin(passed, b"".join(self._held), now)
-        self._held.clear()
-        self._passing = True
-
-    def _pass_events(self, data: bytes, now: float) -> None:
-        cut = self._delivery.cutter.feed(data)
-        if self._delivery.cutter.too_large:
-            self._end(SendEnd.UNUSABLE)
+        self._begin_answer(passed, b"".join(self._buffered), now)
+        self._buffered.clear()
+        self._is_forwarding = True
+
+    def _forward_events(self, data: bytes, now: float) -> None:
+        cut = self._delivery.splitter.feed(data)
+        if self._delivery.splitter.is_too_large:
+            self._finish(SendEnd.UNUSABLE)
             return
         if not cut.count:
             return
         if not self.events:
-            self._first(now - self.started_at)
+            self._on_first_event(now - self.started_at)
         else:
             self.longest_gap_s = max(self.longest_gap_s, now - self._event_at)
         self._event_at = now
@@ -197,20 +197,20 @@
         elif self.head is not None:
             head = self.head
             passed = AnswerHead(head.status, head.reason, end_to_end(head.headers), None)
-            self._begin(passed, cut.data, now)
+            self._begin_answer(passed, cut.data, now)
 
-    def _begin(self, head: AnswerHead, data: bytes, now: float) -> None:
+    def _begin_answer(self, head: AnswerHead, data: bytes, now: float) -> None:
         self._delivery.head_sent = True
         self._delivery.first_at = now
         self._delivery.answering.begin(head, data)
 
     def _end_stream(self) -> None:
-        if self._delivery.cutter.partial or not self._delivery.head_sent:
-            self._end(SendEnd.BROKEN)
+        if self._delivery.splitter.has_partial or not self._delivery.head_sent:
+            self._finish(SendEnd.BROKEN)
             return
         self._delivery.answering.end()
-        self._end(SendEnd.DELIVERED)
+        self._finish(SendEnd.DELIVERED)
 
-    def _end(self, end: SendEnd) -> None:
+    def _finish(self, end: SendEnd) -> None:
         if not self.ended.done():
             self.ended.set_result(end)
--- a/packages/chalkyoke/src/chalkyoke/gateway/replies.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/replies.py
@@ -7,7 +7,7 @@
 from chalkyoke.gateway.parts import GatewayParts
 from chalkyoke.gateway.reception import Admission
 from chalkyoke.gateway.relay import Delivery
-from chalkyoke.gateway.verdict import Sends
+from chalkyoke.gateway.verdict import SendCounts
 from chalkyoke.http1.messages import AnswerHead, Headers, reason_of
 from chalkyoke.http1.server import Answering
 from chalkyoke.invariants import require
@@ -27,14 +27,14 @@
     """
 
     def __init__(
-        self, parts: GatewayParts, answering: Answering, delivery: Delivery, sends: Sends
+        self, parts: GatewayParts, answering: Answering, delivery: Delivery, sends: SendCounts
     ) -> None:
         self._parts = parts
         self._answering = answering
         self._delivery = delivery
         self._sends = sends
 
-    def answer(self, status: int, reason: str, retry_after_s: float | None) -> None:
+    def send_answer(self, status: int, reason: str, retry_after_s: float | None) -> None:
         """Answer with a status and a few words.
 
         :param retry_after_s: when its caller is to come back, in seconds; nothing where that is of
@@ -58,20 +58,22 @@
             self._answering.abort()
             return
         if self._sends.runs > 0 and admission.route.repeatable:
-            self._parts.record("given_up", admission, reason=reason, retry_after_s=retry_after_s)
-            self.answer(502, reason, retry_after_s)
+            self._parts.log_decision(
+                "given_up", admission, reason=reason, retry_after_s=retry_after_s
+            )
+            self.send_answer(502, reason, retry_after_s)
             return
         require(
             self._sends.runs == 0,
             "a caller that is told 'not run' had no run",
             request=admission.request_id,
         )
-        self._parts.record("refused", admission, reason=reason, retry_after_s=retry_after_s)
-        self.answer(503, reason, retry_after_s)
+        self._parts.log_decision("refused", admission, reason=reason, retry_after_s=retry_after_s)
+        self.send_answer(503, reason, retry_after_s)
 
-    def over_quota(self, admission: Admission, decided: QuotaDecision) -> None:
+    def refuse_over_quota(self, admission: Admission, decided: QuotaDecision) -> None:
         """Tell that the team's quota is spent."""
-        self._parts.record(
+        self._parts.log_decision(
             "over_quota",
             admission,
             cost=admission.cost,
@@ -80,9 +82,9 @@
             window_most=round(decided.window_limit),
             retry_after_s=round(decided.retry_after_s, 3),
         )
-        self.answer(429, "over quota", decided.retry_after_s)
+        self.send_answer(429, "over quota", decided.retry_after_s)
 
-    def held_back(self, admission: Admission, digest: bytes) -> None:
+    def refuse_held_back(self, admission: Admission, digest: bytes) -> None:
         """Tell at once, without a time to come back: that can't help.
 
         It is no promise that nothing has run, since earlier attempts have; 502 keeps callers of
@@ -90,13 +92,17 @@
 
         :param digest: names the request.
         """
-        self._parts.record("held_back", admission, digest=digest.hex(), sends=self._sends.arrivals)
+        self._parts.log_decision(
+            "held_back", admission, digest=digest.hex(), sends=self._sends.arrivals
+        )
         if self._delivery.head_sent:
             self._answering.abort()
         else:
-            self.answer(502, "held back: replicas have ended while they ran this request", None)
+            self.send_answer(
+                502, "held back: replicas have ended while they ran this request", None
+            )
 
-    def fault(self) -> None:
+    def end_after_fault(self) -> None:
         """End a request that a fault of this node's own has hit.
 
         A bare close would leave its caller without an answer where nothing was sent.
@@ -104,4 +110,4 @@
         if self._sends.runs or self._delivery.head_sent:
             self._answering.abort()
         else:
-            self.answer(503, "internal fault", RETRY_SOON_S)
+            self.send_answer(503, "internal fault", RETRY_SOON_S)
--- a/packages/chalkyoke/src/chalkyoke/gateway/settings.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/settings.py
@@ -16,7 +16,7 @@
 MIN_KEY_BYTES = 16
 # What a duty for the fleet sends while it uses a core, in Mbit/s: a pool's scheduler some 3, the
 # news of a failure domain more.
-LINK_MBPS_A_CORE = 10.0
+LINK_MBPS_PER_CORE = 10.0
 # The shortest time in which a silent connection to the store can be told from a slow answer, in
 # milliseconds: an answer is waited for during a quarter of it.
 MIN_SILENCE_MS = 400
@@ -43,7 +43,7 @@
     @property
     def capacity(self) -> float:
         """What this host can bear of the fleet's duties, in cores."""
-        return min(self.cores * self.cpu_share, self.link_mbps / LINK_MBPS_A_CORE)
+        return min(self.cores * self.cpu_share, self.link_mbps / LINK_MBPS_PER_CORE)
 
 
 class ListenSection(msgspec.Struct, frozen=True):
@@ -60,7 +60,7 @@
     links_advertised: str = ""
 
     @property
-    def links_reached_at(self) -> str:
+    def advertised_links_address(self) -> str:
         """The address that other nodes are told."""
         return self.links_advertised or self.links
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/statements.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/statements.py
@@ -20,16 +20,16 @@
     :param leaving: whether the replica leaves.
     :param rest_s: for how long it wants nothing of this node, in seconds; 0 where it did not ask.
     :param limit_per_s: requests a second that it takes from all nodes; nothing where it names none.
-    :param tells_limit: whether the answer tells at all whether there is a limit.
+    :param reports_limit: whether the answer tells at all whether there is a limit.
     """
 
     leaving: bool = False
     rest_s: float = 0.0
     limit_per_s: float | None = None
-    tells_limit: bool = False
+    reports_limit: bool = False
 
 
-def statement_of(status: int, fields: AnswerFields) -> Statement:
+def read_statement(status: int, fields: AnswerFields) -> Statement:
     """Read an answer for what it says of its replica.
 
     That no limit is named is the replica's word only in an answer that carries its signature.
@@ -39,12 +39,12 @@
         leaving=fields.leaving,
         rest_s=fields.retry_after_s if status == UNAVAILABLE else 0.0,
         limit_per_s=fields.limit_per_s,
-        tells_limit=names or (fields.stamped and not fields.limit_unreadable),
+        reports_limit=names or (fields.signed and not fields.limit_unreadable),
     )
 
 
 class AnnouncementPort(Protocol):
     """Takes what replicas say of themselves."""
 
-    def note_answer(self, replica: Replica, statement: Statement) -> None:
+    def record_answer(self, replica: Replica, statement: Statement) -> None:
         """Take what an answer says of its replica."""
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_events.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_events.py
@@ -1,4 +1,4 @@
-from chalkyoke.gateway.events import EventCutter, event_id
+from chalkyoke.gateway.events import EventSplitter, event_id
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -17,30 +17,30 @@
 
 @given(st.integers(0, 12), st.lists(st.integers(0, 400), max_size=12))
 def test_a_stream_comes_out_as_it_went_in_however_it_is_cut(last, cuts):
-    cutter = EventCutter()
+    cutter = EventSplitter()
     data = stream(0, last)
     assert feed(cutter, data, cuts) == data
-    assert cutter.last_id == last and not cutter.partial
+    assert cutter.last_id == last and not cutter.has_partial
 
 
 @given(st.integers(1, 12), st.data())
 def test_a_stream_that_goes_on_elsewhere_has_each_piece_once(last, data):
     broken_at = data.draw(st.integers(0, len(stream(0, last))))
-    cutter = EventCutter()
+    cutter = EventSplitter()
     out = cutter.feed(stream(0, last)[:broken_at]).data
-    cutter.restart()
+    cutter.discard_partial()
     goes_on_at = data.draw(st.integers(0, cutter.last_id + 1))
     out += cutter.feed(stream(goes_on_at, last)).data
     assert out == stream(0, last)
 
 
 def test_a_caller_that_resumes_gets_only_what_follows():
-    cutter = EventCutter(after=3)
+    cutter = EventSplitter(after=3)
     assert cutter.feed(stream(2, 5)).data == stream(4, 5)
 
 
 def test_events_without_ids_are_all_passed_on():
-    cutter = EventCutter()
+    cutter = EventSplitter()
     assert cutter.feed(b"data: a\n\ndata: a\n\n").count == 2
 
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
@@ -42,31 +42,31 @@
 class NoOrder:
     """No service is moved to another version."""
 
-    def takes_new(self, admission, *, again):
+    def claim_trial(self, admission, *, again):
         return False
 
     def may_send(self, replica):
         return True
 
-    def note_sent(self, replica):
+    def record_sent(self, replica):
         pass
 
-    note_left = note_sent
+    record_finished = record_sent
 
-    def note_end(self, admission, replica, **ended):
+    def record_outcome(self, admission, replica, **ended):
         pass
 
 
 class Quarantine:
     """No request ends its replica."""
 
-    def holds(self, request):
+    def is_held(self, request):
         return False
 
-    def left(self, *_):
+    def record_abandoned(self, *_):
         pass
 
-    delivered = answered = broke_off = unreachable = left
+    record_delivered = record_answer = record_broken = record_unreachable = record_abandoned
 
 
 class Answering:
@@ -104,11 +104,11 @@
         quotas=quotas,
         budget=SimpleNamespace(remaining=lambda *_: 0.0, try_spend=lambda *_: False),
         connections=SimpleNamespace(connect=connect),
-        nodes=lambda: 3,
+        node_count=lambda: 3,
         now=loop.time,
-        record=lambda *_, **__: None,
-        reject=lambda *_: None,
-        plain_ended=lambda *_: None,
+        log_decision=lambda *_, **__: None,
+        log_rejection=lambda *_: None,
+        on_plain_request_ended=lambda *_: None,
         rollouts=rollouts or NoOrder(),
         quarantine=Quarantine(),
         announcements=SimpleNamespace(),
@@ -215,9 +215,9 @@
         parts = exchange._parts
         if stage == "quota":
             parts.quotas.charge = forever
-        parts.headers.forward = lambda headers, forwarding: []
+        parts.headers.forwarded_headers = lambda headers, forwarding: []
         parts.budget.record_first = lambda *_: None
-        parts.grants.started = lambda admission, granted: None
+        parts.grants.record_started = lambda admission, granted: None
         exchange.task = asyncio.get_running_loop().create_task(exchange.run())
         await asyncio.sleep(0.3)
         exchange.caller_left()
@@ -257,11 +257,11 @@
         exchange, _, answering = exchange_with(acquire, connect, route)
         parts = exchange._parts
         parts.connections.drop_kept = lambda ip, port: dropped.append((ip, port))
-        parts.headers.forward = lambda headers, forwarding: []
+        parts.headers.forwarded_headers = lambda headers, forwarding: []
         parts.budget = SimpleNamespace(
             remaining=lambda *_: 9.0, try_spend=lambda *_: True, record_first=lambda *_: None
         )
-        parts.grants.started = lambda admission, granted: None
+        parts.grants.record_started = lambda admission, granted: None
         parts.balancer.stats = lambda replica: SimpleNamespace(record_failure=lambda *_: None)
         await exchange.run()
         assert dropped == [(REPLICA.ip, REPLICA.port)]
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
@@ -22,7 +22,7 @@
     def find(self, replica, *, for_trial=False):
         return next((each for each in REPLICAS if each.id == replica), None)
 
-    def of(self, service, *, for_trial=False):
+    def of_service(self, service, *, for_trial=False):
         return REPLICAS
 
 
@@ -32,7 +32,7 @@
     def is_limited(self, replica):
         return False
 
-    async def ask(self, service, replica, most_wait_s):
+    async def request_permit(self, service, replica, most_wait_s):
         return Permit(service, replica)
 
 
@@ -66,7 +66,7 @@
 
 
 def admission(number, patience):
-    fields = RequestFields(f"r{number}", prompt_tokens=100, most_output_tokens=50)
+    fields = RequestFields(f"r{number}", prompt_tokens=100, max_output_tokens=50)
     return Admission(f"r{number}", fields, ROUTE, POOL, None, 1, 0, 150.0, 0.0, 8.0, 0.5, patience)
 
 
@@ -142,17 +142,17 @@
     def is_limited(self, replica):
         return replica == "m1"
 
-    def holds(self, permit):
+    def is_valid(self, permit):
         return True
 
-    async def ask(self, service, replica, most_wait_s):
+    async def request_permit(self, service, replica, most_wait_s):
         self.asked.append((replica, most_wait_s))
         if replica != "m1" or most_wait_s >= self.opens_in_s:
             limit = 3.8 if replica == "m1" else None
             return Permit(service, replica, limit, "k", self.opens_in_s if limit else 0.0)
         return PermitDenied(self.opens_in_s)
 
-    def give_back(self, permit):
+    def return_permit(self, permit):
         self.returned.append(permit)
 
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_reception.py
@@ -12,10 +12,10 @@
 from chalkyoke.gateway.reception import (
     Admission,
     Rejection,
+    admit_request,
     fingerprint,
-    judge,
+    is_still_allowed,
     prompt_blocks,
-    still_allowed,
 )
 from chalkyoke.http1.messages import Request
 
@@ -45,7 +45,9 @@
 
 def ask(path="/chat/x", key="k1", request_id="1", host=b"A.example:80", **fields):
     request = Request(b"GET", path.encode(), [(b"Host", host)], b"")
-    return judge(request, RequestFields(request_id, key=key, **fields), catalog(), now=100.0)
+    return admit_request(
+        request, RequestFields(request_id, key=key, **fields), catalog(), now=100.0
+    )
 
 
 def test_the_longest_prefix_of_the_path_decides():
@@ -59,19 +61,19 @@
     assert ask(key="nobody's").status == 401
     assert ask(key=None).status == 401
     assert ask(request_id="").status == 400
-    empty = judge(Request(b"GET", b"/", [], b""), RequestFields("1"), Catalog(), 0.0)
+    empty = admit_request(Request(b"GET", b"/", [], b""), RequestFields("1"), Catalog(), 0.0)
     assert empty.status == 503
 
 
 def test_time_is_bounded_by_the_caller_the_route_and_the_patience_of_streams():
     admission = ask(deadline_s=15.0)
-    assert (admission.ends, admission.due) == (104.0, 100.5)
-    assert admission.patience == 100.0 + 2.4
-    assert ask(deadline_s=1.0).ends == 101.0
+    assert (admission.deadline, admission.due_at) == (104.0, 100.5)
+    assert admission.patience_until == 100.0 + 2.4
+    assert ask(deadline_s=1.0).deadline == 101.0
 
 
 def test_a_request_costs_its_tokens_or_a_plain_cost():
-    assert ask(prompt_tokens=1000, most_output_tokens=50).cost == 1050
+    assert ask(prompt_tokens=1000, max_output_tokens=50).cost == 1050
     assert ask().cost == 200
 
 
@@ -85,12 +87,12 @@
 def test_a_taken_key_a_moved_route_and_a_dropped_route_are_seen_before_the_send():
     admission = ask()
     assert isinstance(admission, Admission)
-    assert still_allowed(admission, catalog(2))
-    assert not still_allowed(admission, catalog(2, teams=(Team("clerks", ("k2",)),)))
-    assert not still_allowed(admission, catalog(2, teams=(Team("others", ("k1",)),)))
+    assert is_still_allowed(admission, catalog(2))
+    assert not is_still_allowed(admission, catalog(2, teams=(Team("clerks", ("k2",)),)))
+    assert not is_still_allowed(admission, catalog(2, teams=(Team("others", ("k1",)),)))
     moved = Route("chat", "a.example", "/chat/", (Target("plain", 1),))
-    assert not still_allowed(admission, catalog(2, declared=(routes()[0], moved)))
-    assert not still_allowed(admission, catalog(2, declared=routes()[:1]))
+    assert not is_still_allowed(admission, catalog(2, declared=(routes()[0], moved)))
+    assert not is_still_allowed(admission, catalog(2, declared=routes()[:1]))
 
 
 def test_splits_follow_their_weights():
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_verdict.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_verdict.py
@@ -2,7 +2,7 @@
 
 import pytest
 from chalkyoke.catalog.resources import Route, RouteKind, Target
-from chalkyoke.gateway.verdict import Next, SendEnd, Sends, after
+from chalkyoke.gateway.verdict import NextStep, SendCounts, SendEnd, decide_next_step
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -29,15 +29,15 @@
     ):
         if route(kind, resumable).repeatable:
             continue
-        follows = after(
+        follows = decide_next_step(
             end,
             route(kind, resumable, attempts=3),
-            Sends(runs=1, arrivals=1),
+            SendCounts(runs=1, arrivals=1),
             begun=begun,
             budget=budget,
             time_left=time_left,
         )
-        assert follows in (Next.FAIL, Next.BREAK_OFF, Next.PASS_ON)
+        assert follows in (NextStep.FAIL, NextStep.BREAK_OFF, NextStep.PASS_ON)
 
 
 def test_a_promise_is_given_only_where_nothing_ran():
@@ -45,48 +45,53 @@
         SendEnd, KINDS, BOOLS, BOOLS, BOOLS, (0, 1)
     ):
         ran = runs + (end in RAN or end is SendEnd.DELIVERED)
-        follows = after(
+        follows = decide_next_step(
             end,
             route(kind, resumable),
-            Sends(runs=ran, arrivals=ran),
+            SendCounts(runs=ran, arrivals=ran),
             begun=begun,
             budget=budget,
             time_left=time_left,
         )
-        if follows is Next.REFUSE:
+        if follows is NextStep.REFUSE:
             assert ran == 0 and not begun
 
 
 def test_a_begun_answer_is_broken_off_and_never_answered_anew():
     for end, (kind, resumable) in itertools.product(RAN, KINDS):
-        follows = after(
-            end, route(kind, resumable, 1), Sends(1, 1), begun=True, budget=True, time_left=True
+        follows = decide_next_step(
+            end,
+            route(kind, resumable, 1),
+            SendCounts(1, 1),
+            begun=True,
+            budget=True,
+            time_left=True,
         )
-        assert follows in (Next.BREAK_OFF, Next.PASS_ON)
+        assert follows in (NextStep.BREAK_OFF, NextStep.PASS_ON)
 
 
 def test_a_send_that_never_arrived_costs_no_budget():
-    follows = after(
+    follows = decide_next_step(
         SendEnd.NOT_CONNECTED,
         route(RouteKind.NON_IDEMPOTENT, False, 1),
-        Sends(),
+        SendCounts(),
         begun=False,
         budget=False,
         time_left=True,
     )
-    assert follows is Next.SEND_AGAIN
+    assert follows is NextStep.SEND_AGAIN
 
 
 def test_a_declined_send_is_refused_without_budget():
-    follows = after(
+    follows = decide_next_step(
         SendEnd.DECLINED,
         route(RouteKind.NON_IDEMPOTENT, False, 1),
-        Sends(0, 1),
+        SendCounts(0, 1),
         begun=False,
         budget=False,
         time_left=True,
     )
-    assert follows is Next.REFUSE
+    assert follows is NextStep.REFUSE
 
 
 @given(
@@ -96,11 +101,13 @@
 )
 def test_no_request_runs_on_more_replicas_than_its_route_allows(kind, attempts, ends):
     rule = route(*kind, attempts=attempts)
-    sends = Sends()
+    sends = SendCounts()
     for end, budget, time_left in ends:
         if end in RAN or end is SendEnd.DELIVERED:
             sends.runs += 1
-        follows = after(end, rule, sends, begun=False, budget=budget, time_left=time_left)
-        if follows is not Next.SEND_AGAIN:
+        follows = decide_next_step(
+            end, rule, sends, begun=False, budget=budget, time_left=time_left
+        )
+        if follows is not NextStep.SEND_AGAIN:
             break
     assert sends.runs <= (attempts if rule.repeatable else 1)
--- a/packages/chalkyoke/src/chalkyoke/gateway/trials.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/trials.py
@@ -13,22 +13,22 @@
 class RolloutPort(Protocol):
     """Orders to move a service to replicas of another version."""
 
-    def takes_new(self, admission: Admission, *, again: bool) -> bool:
+    def claim_trial(self, admission: Admission, *, again: bool) -> bool:
         """Tell whether a request is to go to the version under trial; it is counted then."""
 
-    def give_back(self, admission: Admission) -> None:
+    def return_trial(self, admission: Admission) -> None:
         """Take back that a request goes to the version under trial."""
 
     def may_send(self, replica: Replica) -> bool:
         """Tell whether a replica that was granted may still be sent to."""
 
-    def note_sent(self, replica: Replica) -> None:
+    def record_sent(self, replica: Replica) -> None:
         """Count a request that goes to a replica."""
 
-    def note_left(self, replica: Replica) -> None:
+    def record_finished(self, replica: Replica) -> None:
         """Count a request that the replica no longer works on."""
 
-    def note_end(
+    def record_outcome(
         self,
         admission: Admission,
         replica: Replica,
--- a/packages/chalkyoke/src/chalkyoke/gateway/verdict.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/verdict.py
@@ -31,7 +31,7 @@
     STALLED = "stalled"
 
 
-class Next(StrEnum):
+class NextStep(StrEnum):
     """What follows."""
 
     DONE = "done"
@@ -42,7 +42,7 @@
     BREAK_OFF = "break_off"
 
 
-class Sends(msgspec.Struct):
+class SendCounts(msgspec.Struct):
     """What has been sent of one request so far.
 
     :ivar runs: replicas that may have run it.
@@ -53,9 +53,9 @@
     arrivals: int = 0
 
 
-def after(
-    end: SendEnd, route: Route, sends: Sends, *, begun: bool, budget: bool, time_left: bool
-) -> Next:
+def decide_next_step(
+    end: SendEnd, route: Route, sends: SendCounts, *, begun: bool, budget: bool, time_left: bool
+) -> NextStep:
     """Decide what follows the end of a send.
 
     :param begun: whether a part of the answer has gone to the caller.
@@ -64,21 +64,21 @@
     :rtype: Next
     """
     if end is SendEnd.DELIVERED:
-        return Next.DONE
+        return NextStep.DONE
     if end is SendEnd.NOT_CONNECTED:
-        return Next.SEND_AGAIN if time_left else _give_up(sends, begun)
+        return NextStep.SEND_AGAIN if time_left else _end_unsent(sends, begun)
     if end is SendEnd.DECLINED:
-        return Next.SEND_AGAIN if time_left and budget else _give_up(sends, begun)
+        return NextStep.SEND_AGAIN if time_left and budget else _end_unsent(sends, begun)
     may_repeat = route.repeatable and sends.runs < route.attempts
     if may_repeat and budget and time_left:
-        return Next.SEND_AGAIN
+        return NextStep.SEND_AGAIN
     if end is SendEnd.FAILURE_ANSWER:
-        return Next.PASS_ON
-    return Next.BREAK_OFF if begun else Next.FAIL
+        return NextStep.PASS_ON
+    return NextStep.BREAK_OFF if begun else NextStep.FAIL
 
 
-def _give_up(sends: Sends, begun: bool) -> Next:
+def _end_unsent(sends: SendCounts, begun: bool) -> NextStep:
     """End a request whose last send did not run: a promise only where none ran before."""
     if begun:
-        return Next.BREAK_OFF
-    return Next.REFUSE if sends.runs == 0 else Next.FAIL
+        return NextStep.BREAK_OFF
+    return NextStep.REFUSE if sends.runs == 0 else NextStep.FAIL
--- a/packages/chalkyoke/src/chalkyoke/limits/client.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/client.py
@@ -110,12 +110,14 @@
         """Return whether a replica has a limit."""
         return self._known.limit_of(replica) is not None
 
-    def holds(self, permit: Permit) -> bool:
+    def is_valid(self, permit: Permit) -> bool:
         """Return whether a permit is still valid; a lower limit of the replica invalidates it."""
         limit = self._known.limit_of(permit.replica)
         return limit is None or (permit.limit_per_s is not None and limit >= permit.limit_per_s)
 
-    async def ask(self, service: str, replica: str, most_wait_s: float) -> Permit | PermitDenied:
+    async def request_permit(
+        self, service: str, replica: str, most_wait_s: float
+    ) -> Permit | PermitDenied:
         """Get a permit to send one request.
 
         :param most_wait_s: longest time that the request would wait, in seconds.
@@ -133,7 +135,7 @@
             log.info("keeper_silent", service=service, keeper=process, avoided_s=KEEPER_BACKOFF_S)
         return self._use_own_share(service, replica, limit_per_s, most_wait_s)
 
-    def give_back(self, permit: Permit) -> None:
+    def return_permit(self, permit: Permit) -> None:
         """Return an unused permit to its keeper."""
         if permit.limit_per_s is None:
             return
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -188,7 +188,7 @@
     def find(self, replica, *, for_trial=False):
         return self.replicas.get(replica)
 
-    def of(self, service, *, for_trial=False):
+    def of_service(self, service, *, for_trial=False):
         return list(self.replicas.values())
 
     # Messages between nodes.
@@ -275,15 +275,15 @@
         if self.nodes[node.name] is not node:
             self.answers["lost"] += 1
             return
-        node.grants.started(admission, granted)
+        node.grants.record_started(admission, granted)
         replica = self.limited[granted.replica.id]
         replica.arrivals.append((self.now(), node.process))
         await asyncio.sleep(WORK_S * self.random.expovariate(1.0))
-        node.balancer.stats(granted.replica.id).record_answer(self.now() - granted.started)
+        node.balancer.stats(granted.replica.id).record_answer(self.now() - granted.started_at)
         node.grants.release(admission, granted, ReleaseOutcome.DELIVERED)
         self.answers["served"] += 1
         self.answers["served", route.name] += 1
-        self.answers["in time"] += self.now() <= admission.due
+        self.answers["in time"] += self.now() <= admission.due_at
         limit = replica.limit_per_s
         node.announcements.note_answer(granted.replica.id, limit if limit >= 0 else None)
         if limit >= 0 and self.nodes[node.name] is node:
--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -51,13 +51,13 @@
         self._now = now
         self._first_announced_here: set[str] = set()
 
-    def note_answer(self, replica: Replica, statement: Statement) -> None:
+    def record_answer(self, replica: Replica, statement: Statement) -> None:
         """Take what an answer says of its replica."""
         if statement.leaving:
             self._apply_leaving(replica)
         if statement.rest_s > 0:
             self._apply_rest(replica, statement.rest_s)
-        if statement.tells_limit:
+        if statement.reports_limit:
             self._limits.note_answer(replica.id, statement.limit_per_s)
 
     def _apply_leaving(self, replica: Replica) -> None:
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -117,7 +117,7 @@
         self.record = MemberRecord(
             host=settings.node.host,
             incarnation=secrets.randbits(INCARNATION_BITS),
-            address=settings.listen.links_reached_at,
+            address=settings.listen.advertised_links_address,
             administration=settings.listen.metrics,
             failure_domain=settings.node.failure_domain,
             leaving=False,
@@ -166,7 +166,7 @@
         settings = self.settings
         me = Identity(
             self.record.process,
-            settings.listen.links_reached_at,
+            settings.listen.advertised_links_address,
             settings.node.failure_domain,
             settings.key,
         )
@@ -221,7 +221,9 @@
         self.replicas = DeclaredReplicas(state, self.now, self.rollouts)
         self.pools = DeclaredPools(settings.scheduling, self.rollouts)
         node = settings.node
-        listed = NodeEntry(settings.listen.links_reached_at, node.failure_domain, node.capacity)
+        listed = NodeEntry(
+            settings.listen.advertised_links_address, node.failure_domain, node.capacity
+        )
         key = platform.keys.nodes + settings.node.host
         self.held_records = HeldRecords(self.store, platform.keys.held, self.now)
         self._registration = Registration(
@@ -284,7 +286,7 @@
             pooled=self.settings.scheduling.pooled,
         )
         self.scheduler_host.deliver = self.grants.receive
-        self.scheduler_host.report_running = self.grants.tell_running
+        self.scheduler_host.report_running = self.grants.report_running
 
     def _make_gateway(self) -> None:
         limits = self.settings.limits
@@ -307,7 +309,7 @@
             self.view,
             self.balancer,
             self.links.send,
-            lambda service: len(self.replicas.of(service)),
+            lambda service: len(self.replicas.of_service(service)),
             self.now,
         )
         self.announcements = Announcements(
@@ -325,7 +327,7 @@
             self.connections,
             self.links.send,
             self.metrics,
-            lambda request: self.gateway.request_held(request),
+            lambda request: self.gateway.on_request_held(request),
             self.held_records.queue_record,
             random.random,
             self.now,
@@ -340,12 +342,14 @@
                 quotas=self.quotas,
                 budget=RetryBudget(budget),
                 connections=self.connections,
-                nodes=self.count_nodes,
+                node_count=self.count_nodes,
                 now=self.now,
-                record=self.request_log.log_decision,
-                reject=self.request_log.log_rejection,
-                plain_ended=lambda admission, replica, failed: self.suspicions.record_outcome(
-                    replica.service, replica.id, admission.route.name, failed=failed
+                log_decision=self.request_log.log_decision,
+                log_rejection=self.request_log.log_rejection,
+                on_plain_request_ended=lambda admission, replica, failed: (
+                    self.suspicions.record_outcome(
+                        replica.service, replica.id, admission.route.name, failed=failed
+                    )
                 ),
                 rollouts=self.rollouts,
                 quarantine=self.quarantine,
@@ -410,7 +414,7 @@
             loop.add_signal_handler(each, self._stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         await self.links.listen()
-        server = await self._listen(self.settings.listen.callers, self.gateway.start)
+        server = await self._listen(self.settings.listen.callers, self.gateway.start_exchange)
         pages = [await self._listen(self.settings.listen.ready, self._pages.start)]
         if self.settings.listen.metrics:
             pages.append(await self._listen(self.settings.listen.metrics, self._pages.start))
@@ -424,7 +428,7 @@
 
     async def _listen(self, address: str, start: Start) -> asyncio.Server:
         ip, port = address.rsplit(":", 1)
-        own = self._connections if start == self.gateway.start else set()
+        own = self._connections if start == self.gateway.start_exchange else set()
         most = most_callers(self.settings.limits.descriptors or _descriptor_limit())
 
         def opened() -> None:
@@ -535,7 +539,7 @@
 
     def _run_housekeeping(self) -> None:
         self.fleet_size.record_live(self.view.live(), self.now())
-        self.grants.check_owners(self.pools.pools)
+        self.grants.report_to_new_owners(self.pools.pools)
         self.grants.send_progress()
         self.connections.expire()
         self._store_connections.expire()
@@ -569,7 +573,7 @@
                 self.scheduler_host.member_left(record.process)
         if changes:
             self.fleet_size.record_live(self.view.live(), self.now())
-            self.grants.check_owners(self.pools.pools)
+            self.grants.report_to_new_owners(self.pools.pools)
             self.keeper.refresh(self.now())
 
     def _catalog_changed(self) -> None:
@@ -578,13 +582,13 @@
             self._epoch_changed(state.epoch)
         for ended in state.pop_restarted():
             self.connections.drop_kept(ended.ip, ended.port)
-            self.gateway.replica_ended(ended.id)
+            self.gateway.on_replica_ended(ended.id)
             log.info("replica_restarted", ended=ended.id)
         self.rollouts.rebuild()
         self.replicas.rebuild()
         self.pools.rebuild(state.catalog, state.replicas)
         self.scheduler_host.reconfigure()
-        self.grants.check_owners(self.pools.pools)
+        self.grants.report_to_new_owners(self.pools.pools)
         self.quarantine.replicas_changed(state.replicas)
         self.quarantine.apply_stored_holds(state.held_requests, state.released_requests)
 
--- a/packages/chalkyoke/src/chalkyoke/node/pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pools.py
@@ -163,7 +163,7 @@
         allowed = standing is Eligibility.USUAL or (for_trial and standing is Eligibility.TRIAL)
         return found if allowed and not found.draining else None
 
-    def of(self, service: str, *, for_trial: bool = False) -> list[Replica]:
+    def of_service(self, service: str, *, for_trial: bool = False) -> list[Replica]:
         """List a service's replicas that take new work.
 
         Where all of them are gone from the list, those that went a moment ago are tried: they
--- a/packages/chalkyoke/src/chalkyoke/node/requestlog.py
+++ b/packages/chalkyoke/src/chalkyoke/node/requestlog.py
@@ -65,6 +65,6 @@
             tier=admission.rank,
             team=admission.team.name if admission.team else "",
             version=admission.version,
-            age_s=round(self._now() - admission.arrived, 4),
+            age_s=round(self._now() - admission.arrived_at, 4),
             **facts,
         )
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -163,7 +163,7 @@
 
     # Requests.
 
-    def takes_new(self, admission: Admission, *, again: bool) -> bool:
+    def claim_trial(self, admission: Admission, *, again: bool) -> bool:
         """Tell whether a request is to go to the version under trial; it is counted then."""
         share = self._shares.get(admission.service.name)
         if share is None or share.ended is not None:
@@ -172,7 +172,7 @@
             self._expected_duration_s(admission), self._now(), again=again
         )
 
-    def give_back(self, admission: Admission) -> None:
+    def return_trial(self, admission: Admission) -> None:
         """Take back that a request goes to the version under trial."""
         share = self._shares.get(admission.service.name)
         if share is not None:
@@ -189,14 +189,14 @@
             return True
         return not share.has_left_old(self._now())
 
-    def note_sent(self, replica: Replica) -> None:
+    def record_sent(self, replica: Replica) -> None:
         """Count a request that goes to a replica."""
         self._running[replica.service, replica.version] += 1
         share = self._shares.get(replica.service)
         if share is not None:
             share.exposure.count_sent()
 
-    def note_left(self, replica: Replica) -> None:
+    def record_finished(self, replica: Replica) -> None:
         """Count a request that the replica no longer works on."""
         self._running[replica.service, replica.version] -= 1
 
@@ -207,7 +207,7 @@
             if service == order.service and version != order.version
         )
 
-    def note_end(
+    def record_outcome(
         self,
         admission: Admission,
         replica: Replica,
@@ -246,12 +246,12 @@
 
     def _expected_duration_s(self, admission: Admission) -> float:
         """Tell how long a request may last, in seconds."""
-        left = admission.ends - self._now()
+        left = admission.deadline - self._now()
         if not admission.route.is_stream:
             return min(left, admission.route.goal_s)
         fields = admission.fields
-        likely = fields.likely_output_tokens
-        likely = likely or (fields.most_output_tokens or DEFAULT_OUTPUT_TOKENS) // 4
+        likely = fields.estimated_output_tokens
+        likely = likely or (fields.max_output_tokens or DEFAULT_OUTPUT_TOKENS) // 4
         return min(left, DURATION_FACTOR * self._estimated_work_s(fields.prompt_tokens, likely))
 
     # Reports and the leader's word.
--- a/packages/chalkyoke/src/chalkyoke/node/routing.py
+++ b/packages/chalkyoke/src/chalkyoke/node/routing.py
@@ -182,7 +182,7 @@
         elif isinstance(message, ENTRY_MESSAGES):
             parts.grants.receive(connection.peer, message)
         elif isinstance(message, AdoptRequest):
-            parts.grants.tell_running(message.pool, connection.peer)
+            parts.grants.report_running(message.pool, connection.peer)
             parts.scheduler_host.send_learned(message.pool, connection.peer)
         elif isinstance(message, SCHEDULER_MESSAGES):
             parts.scheduler_host.remember_address(connection.peer, address)
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
@@ -47,7 +47,7 @@
     state = starts(1, 2)
     replicas = DeclaredReplicas(state, lambda: 0.0)
     replicas.rebuild()
-    assert [each.id for each in replicas.of("model")] == ["m1/2"]
+    assert [each.id for each in replicas.of_service("model")] == ["m1/2"]
     assert replicas.find("m1/1") is None
 
 
--- a/packages/chalkyoke/src/chalkyoke/platform/headers.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/headers.py
@@ -45,13 +45,13 @@
             deadline_s=_parse_milliseconds(found.get(DEADLINE_MS, "")),
             key=found.get(CREDENTIAL),
             prompt_tokens=prompt,
-            most_output_tokens=most,
-            likely_output_tokens=read_whole(found.get(LENGTH_HINT, "")),
+            max_output_tokens=most,
+            estimated_output_tokens=read_whole(found.get(LENGTH_HINT, "")),
             parts=_parse_prompt_parts(found.get(PREFIX_HASH, "")),
             last_event_id=found.get(LAST_EVENT_ID, ""),
         )
 
-    def forward(self, headers: Headers, forwarding: Forwarding) -> Headers:
+    def forwarded_headers(self, headers: Headers, forwarding: Forwarding) -> Headers:
         """Build the headers with which a request is forwarded to a replica.
 
         Hop-by-hop headers and the headers that only the system may set are removed, and the
@@ -80,7 +80,7 @@
         )
         return AnswerFields(
             request_id=_decode_text(found.get(REQUEST_ID, b"")),
-            stamped=STAMP in found,
+            signed=STAMP in found,
             not_run=NOT_RUN in found,
             encoded=b"content-encoding" in found,
             load=_parse_load(found.get(LOAD)),
--- a/packages/chalkyoke/src/chalkyoke/platform/tests/test_formats.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/tests/test_formats.py
@@ -114,7 +114,7 @@
 def test_a_request_s_own_words_are_read():
     fields = PlatformHeaders().read_request(REQUEST)
     assert (fields.request_id, fields.deadline_s, fields.key) == ("r1", 6.0, "k")
-    assert (fields.prompt_tokens, fields.most_output_tokens, fields.likely_output_tokens) == (
+    assert (fields.prompt_tokens, fields.max_output_tokens, fields.estimated_output_tokens) == (
         1460,
         80,
         33,
@@ -133,7 +133,7 @@
 
 def test_what_the_system_sets_can_t_be_forged_and_the_key_stays_here():
     forwarding = Forwarding("i-1", "clerks", 2.5)
-    headers = PlatformHeaders().forward(REQUEST, forwarding)
+    headers = PlatformHeaders().forwarded_headers(REQUEST, forwarding)
     names = [name.lower() for name, _ in headers]
     assert len(names) == len(set(names))
     found = {name.lower(): value for name, value in headers}
@@ -145,13 +145,13 @@
 
 
 def test_without_a_team_none_is_named():
-    headers = PlatformHeaders().forward(REQUEST, Forwarding("i-1", "", 2.5))
+    headers = PlatformHeaders().forwarded_headers(REQUEST, Forwarding("i-1", "", 2.5))
     assert b"x-tenant" not in {name.lower() for name, _ in headers}
 
 
 def test_a_resumed_request_names_the_last_event_once():
     request = [*REQUEST, (b"Last-Event-Id", b"3")]
-    headers = PlatformHeaders().forward(request, Forwarding("i-1", "", 2.5, "9"))
+    headers = PlatformHeaders().forwarded_headers(request, Forwarding("i-1", "", 2.5, "9"))
     assert [value for name, value in headers if name.lower() == b"last-event-id"] == [b"9"]
 
 
@@ -159,7 +159,7 @@
     fields = PlatformHeaders().read_answer(
         [(b"X-Request-Id", b"r1"), (b"X-Server-Stamp", b"s"), (b"X-Server-Load", b"3,0,8")]
     )
-    assert (fields.request_id, fields.stamped, fields.not_run) == ("r1", True, False)
+    assert (fields.request_id, fields.signed, fields.not_run) == ("r1", True, False)
     assert fields.load == (3, 0, 8)
     assert PlatformHeaders().read_answer([(b"X-Server-Load", b"3,x")]).load is None
 
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -78,13 +78,13 @@
 
     # Calls of exchanges.
 
-    def holds(self, request: Identity) -> bool:
+    def is_held(self, request: Identity) -> bool:
         """Return whether a request is held back."""
         return self._evidence.holds_any and self._evidence.is_held(request())
 
-    def delivered(self, replica: Replica, request: Identity) -> None:
+    def record_delivered(self, replica: Replica, request: Identity) -> None:
         """Record that a replica has served a request in full, and broadcast it for a suspect."""
-        self.answered(replica)
+        self.record_answer(replica)
         digest = request()
         self._evidence.record_delivered(digest, self._now())
         suspicion = self._evidence.find(digest)
@@ -94,11 +94,11 @@
         self._apply_served(message)
         self._broadcast(message)
 
-    def answered(self, replica: Replica) -> None:
+    def record_answer(self, replica: Replica) -> None:
         """Record that a replica has sent any answer, so its broken runs are no sign of its end."""
         self._runs.discard(replica.id)
 
-    def broke_off(
+    def record_broken(
         self, admission: Admission, replica: Replica, request: bytes, output_s: float
     ) -> None:
         """Record that a replica broke off a run, and probe at once whether the replica has ended.
@@ -113,12 +113,12 @@
             self._probes[replica.id] = probe
             probe.add_done_callback(lambda _: self._probes.pop(replica.id, None))
 
-    def left(self, replica: Replica, request: bytes, output_s: float) -> None:
+    def record_abandoned(self, replica: Replica, request: bytes, output_s: float) -> None:
         """Record that the caller or this node has abandoned a run."""
         now = self._now()
         self._runs.add(replica.id, request, now, output_s=output_s, broken=False)
 
-    def unreachable(self, replica: Replica) -> None:
+    def record_unreachable(self, replica: Replica) -> None:
         """Record that a replica refuses connections: runs that broke there broke at its end."""
         self._record_end(replica.id, "unreachable")
 
@@ -128,7 +128,7 @@
         )
         if isinstance(opened, ConnectFailure):
             if opened is not ConnectFailure.AT_LIMIT:
-                self.unreachable(replica)
+                self.record_unreachable(replica)
             return
         # The next request to it may use this connection.
         self._connections.give_back(replica.ip, replica.port, opened)
--- a/packages/chalkyoke/src/chalkyoke/tests/test_gatewayd.py
+++ b/packages/chalkyoke/src/chalkyoke/tests/test_gatewayd.py
@@ -38,9 +38,9 @@
 
 
 def test_other_nodes_are_told_the_advertised_address(lay):
-    assert load(lay(GOOD)).listen.links_reached_at == "127.0.0.1:3"
+    assert load(lay(GOOD)).listen.advertised_links_address == "127.0.0.1:3"
     advertised = GOOD.replace('links = "', 'links_advertised = "127.0.0.1:9"\nlinks = "')
-    assert load(lay(advertised)).listen.links_reached_at == "127.0.0.1:9"
+    assert load(lay(advertised)).listen.advertised_links_address == "127.0.0.1:9"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -108,7 +108,7 @@
     def run(self, request, *, node=None):
         """Send a request to a replica that is there; nothing where a node holds it back."""
         node = self.random.randrange(len(self.nodes)) if node is None else node
-        if self.nodes[node].holds(lambda: request):
+        if self.nodes[node].is_held(lambda: request):
             return None
         replica = self.random.choice(self.replicas)
         now = asyncio.get_running_loop().time()
@@ -117,7 +117,7 @@
 
     def deliver(self, replica, request, node):
         if self.running.get(replica.id, {}).pop((request, node), None) is not None:
-            self.nodes[node].delivered(replica, lambda: request)
+            self.nodes[node].record_delivered(replica, lambda: request)
             return True
         return False
 
@@ -131,7 +131,7 @@
         service = SimpleNamespace(service=SimpleNamespace(max_connections=100))
         for (request, node), at in runs.items():
             output_s = max(0.0, now - at - 0.1)
-            self.nodes[node].broke_off(service, replica, request, output_s)
+            self.nodes[node].record_broken(service, replica, request, output_s)
         return runs
 
     def held(self):
@@ -192,7 +192,7 @@
                 if len(sends) == 3:
                     third = loop.time()
                     await asyncio.sleep(0.02)
-                    knowing = sum(node.holds(lambda: CRASHING) for node in fleet.nodes)
+                    knowing = sum(node.is_held(lambda: CRASHING) for node in fleet.nodes)
                     assert knowing == nodes
             await asyncio.sleep(0.2)
         told = fleet.messages["ReplicaEnded"]
@@ -215,10 +215,10 @@
             await asyncio.sleep(0.1)
             fleet.end(replica)
             await asyncio.sleep(0.2)
-        assert sum(node.holds(lambda: CRASHING) for node in fleet.nodes) == len(fleet.cut)
+        assert sum(node.is_held(lambda: CRASHING) for node in fleet.nodes) == len(fleet.cut)
         fleet.cut = set()
         healed = loop.time()
-        while not all(node.holds(lambda: CRASHING) for node in fleet.nodes):
+        while not all(node.is_held(lambda: CRASHING) for node in fleet.nodes):
             fleet.tick()
             await asyncio.sleep(1.0)
             assert loop.time() < healed + KNOWN_S
