--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
@@ -40,14 +40,14 @@
     change(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
     for clock.now in (0.1, 5.0, 60.0):
         assert replicas.find("m1") is None
-        assert [each.id for each in replicas.of("model")] == ["m2"]
+        assert [each.id for each in replicas.of_service("model")] == ["m2"]
 
 
 def test_a_leaving_replica_is_no_fallback_when_all_records_are_removed():
     state, replicas, clock = declared("m1 ready", "m2 ready")
     change(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
     change(state, replicas, clock, 3, Removed("m1", 3), Removed("m2", 4))
-    assert [each.id for each in replicas.of("model")] == ["m2"]
+    assert [each.id for each in replicas.of_service("model")] == ["m2"]
     assert replicas.find("m1") is None
 
 
@@ -55,7 +55,7 @@
     """Some replicas never announce that they leave; grants in transit stay usable for a moment."""
     state, replicas, clock = declared("m1 ready", "m2 ready")
     change(state, replicas, clock, 2, Removed("m1", 2))
-    assert [each.id for each in replicas.of("model")] == ["m2"]
+    assert [each.id for each in replicas.of_service("model")] == ["m2"]
     clock.now = DEPARTED_FALLBACK_S * 1.01
     assert replicas.find("m1") is None
     assert DEPARTED_FALLBACK_S < 2.0, "a departed replica keeps serving for longer"
@@ -67,7 +67,7 @@
     clock.now = DEPARTED_FALLBACK_S / 2
     assert replicas.find("m1") is not None
     clock.now = DEPARTED_FALLBACK_S * 2
-    assert replicas.find("m1") is None and replicas.of("model") == []
+    assert replicas.find("m1") is None and replicas.of_service("model") == []
 
 
 def test_the_fallback_time_runs_from_the_removal_and_not_from_its_receipt():
@@ -76,4 +76,4 @@
         clock.now = 10.0
         state.apply_replica_changes([Removed("m1", 2)], 2, clock.now - delay_s)
         replicas.rebuild()
-        assert [each.id for each in replicas.of("model")] == found
+        assert [each.id for each in replicas.of_service("model")] == found
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_starts.py
@@ -47,7 +47,7 @@
     state = starts(1, 2)
     replicas = DeclaredReplicas(state, lambda: 0.0)
     replicas.rebuild()
-    assert [each.id for each in replicas.of("model")] == ["m1/2"]
+    assert [each.id for each in replicas.of_service("model")] == ["m1/2"]
     assert replicas.find("m1/1") is None
 
 
