--- a/scripts/record_version.py
+++ b/scripts/record_version.py
@@ -34,58 +34,63 @@
 STAMP = Stamp(1_760_000_000_000, 3)
 
 
-def sample(kind: Any, number: int) -> Any:
+def sample_value(kind: Any, number: int) -> Any:
     """Make a value of a type, another one for another number."""
     origin, parts = typing.get_origin(kind), typing.get_args(kind)
     if origin in (typing.Union, types.UnionType):
-        return sample(parts[0], number)
+        return sample_value(parts[0], number)
     if origin is tuple:
         inner = parts[:1] * 2 if parts[-1] is Ellipsis else parts
-        return tuple(sample(each, number + place) for place, each in enumerate(inner))
+        return tuple(sample_value(each, number + place) for place, each in enumerate(inner))
     if origin is typing.Annotated:
-        return sample(parts[0], number)
+        return sample_value(parts[0], number)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        return build(kind, number)
+        return build_message(kind, number)
     if isinstance(kind, type) and issubclass(kind, tuple):
-        return kind(*(sample(each, number + place) for place, each in enumerate(_parts(kind))))
+        return kind(
+            *(
+                sample_value(each, number + place)
+                for place, each in enumerate(_named_tuple_types(kind))
+            )
+        )
     if isinstance(kind, type) and issubclass(kind, enum.Enum):
         return list(kind)[number % len(list(kind))]
     simple = {str: f"t{number}", bytes: bytes([number % 250]) * 3, float: number + 0.5}
     return {**simple, int: number, bool: number % 2 == 0}[kind]
 
 
-def _parts(kind: Any) -> Iterable[Any]:
+def _named_tuple_types(kind: Any) -> Iterable[Any]:
     """List the types of a named tuple's fields."""
     return typing.get_type_hints(kind, include_extras=True).values()
 
 
-def build(kind: Any, number: int) -> Any:
+def build_message(kind: Any, number: int) -> Any:
     """Make a message with a value in each field."""
     hints = typing.get_type_hints(kind, include_extras=True)
     names = [field.name for field in msgspec.structs.fields(kind)]
-    return kind(*(sample(hints[name], number + place) for place, name in enumerate(names)))
+    return kind(*(sample_value(hints[name], number + place) for place, name in enumerate(names)))
 
 
-def schema(kind: Any) -> list[Any]:
+def message_schema(kind: Any) -> list[Any]:
     """Name the fields of a message with their types and whether they may be left out."""
     hints = typing.get_type_hints(kind, include_extras=True)
     told = []
     for field in msgspec.structs.fields(kind):
         required = field.default is msgspec.NODEFAULT
         required = required and field.default_factory is msgspec.NODEFAULT
-        told.append([field.name, word(hints[field.name]), required])
+        told.append([field.name, describe_type(hints[field.name]), required])
     return told
 
 
-def word(kind: Any) -> Any:
+def describe_type(kind: Any) -> Any:
     """Word a type, a nested message by its fields, so that nothing hangs on module names."""
     origin, parts = typing.get_origin(kind), typing.get_args(kind)
     if parts:
-        return [str(getattr(origin, "__name__", origin)), *(word(each) for each in parts)]
+        return [str(getattr(origin, "__name__", origin)), *(describe_type(each) for each in parts)]
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        return schema(kind)
+        return message_schema(kind)
     if isinstance(kind, type) and issubclass(kind, tuple):
-        return ["tuple", *(word(each) for each in _parts(kind))]
+        return ["tuple", *(describe_type(each) for each in _named_tuple_types(kind))]
     if isinstance(kind, type) and issubclass(kind, enum.Enum):
         return ["enum", *sorted(str(each.value) for each in kind)]
     return getattr(kind, "__name__", str(kind))
@@ -99,8 +104,11 @@
     codec = FrameCodec(kinds)
     messages = {}
     for number, kind in enumerate(kinds):
-        frame = codec.encode(STAMP, build(kind, number + 1))
-        messages[str(kind.__struct_config__.tag)] = {"frame": frame.hex(), "schema": schema(kind)}
+        frame = codec.encode(STAMP, build_message(kind, number + 1))
+        messages[str(kind.__struct_config__.tag)] = {
+            "frame": frame.hex(),
+            "schema": message_schema(kind),
+        }
     order = RolloutOrder("model", "2", 2, 30.0, 7)
     key, status = write_status(order, RolloutState.RUNNING)
     records = {
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -95,7 +95,7 @@
     today = KINDS[kind]
     before = struct_of(kind, recorded(version, kind)["schema"], tag=kind)
     codec = FrameCodec((today,))
-    data = codec.encode(STAMP, record_version.build(today, 7))
+    data = codec.encode(STAMP, record_version.build_message(today, 7))
     (frame,) = FrameReader().feed(data)
     understood = msgspec.convert(frame[2:], before, builtin_types=(bytes,))
     assert understood is not None
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize(("version", "kind"), CASES)
 def test_fields_are_only_added_at_the_end_and_with_a_default(version, kind):
     before = recorded(version, kind)["schema"]
-    now = json.loads(json.dumps(record_version.schema(KINDS[kind])))
+    now = json.loads(json.dumps(record_version.message_schema(KINDS[kind])))
     assert only_adds(now, before)
 
 
