--- a/packages/chalkyoke/src/chalkyoke/administration/metrics.py
+++ b/packages/chalkyoke/src/chalkyoke/administration/metrics.py
@@ -37,14 +37,14 @@
         table = self.counters.setdefault(name, {})
         table[key] = table.get(key, 0) + amount
 
-    def counted(self, name: str, **labels: str) -> float:
+    def counter_value(self, name: str, **labels: str) -> float:
         """Read a counter; 0 where it was never added to.
 
         :rtype: float
         """
         return self.counters.get(name, {}).get(tuple(sorted(labels.items())), 0)
 
-    def time(self, name: str, seconds: float, **labels: str) -> None:
+    def record_duration(self, name: str, seconds: float, **labels: str) -> None:
         """Add a duration to a histogram.
 
         :param seconds: the duration.
@@ -58,6 +58,6 @@
         found[0].record_value(max(LOWEST_US, int(seconds * 1e6)))
         found[1][0] += seconds
 
-    def gauge(self, name: str, read: Callable[[], float]) -> None:
+    def register_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Name a value that is read when the metrics are."""
         self.gauges[name] = read
--- a/packages/chalkyoke/src/chalkyoke/balancing/state.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/state.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from chalkyoke.rests import bounded
+from chalkyoke.retry_after import cap_retry_after
 
 # Decay time of the load that other nodes have at a replica, in seconds: the load changes with each
 # answer.
@@ -89,7 +89,7 @@
 
         :return: remaining time of the rest in seconds, within the general bound.
         """
-        self.resting_until = max(self.resting_until, now + bounded(seconds))
+        self.resting_until = max(self.resting_until, now + cap_retry_after(seconds))
         return self.rest_left_s(now)
 
     def rest_left_s(self, now: float) -> float:
--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_rests.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_rests.py
@@ -1,5 +1,5 @@
 from chalkyoke.balancing.local import LocalBalancer
-from chalkyoke.rests import MOST_REST_S
+from chalkyoke.retry_after import MAX_RETRY_AFTER_S
 
 from .test_local import replicas as some_replicas
 
@@ -34,8 +34,8 @@
 
 def test_rest_is_bounded_and_survives_lapsed_record():
     balancer, replicas = make(1)
-    assert balancer.record_rest("r0", float("inf"), 0.0) == (True, MOST_REST_S)
+    assert balancer.record_rest("r0", float("inf"), 0.0) == (True, MAX_RETRY_AFTER_S)
     balancer.prune((), 1.0)
-    assert balancer.rest_left_s(replicas, 1.0) == MOST_REST_S - 1.0
-    balancer.prune((), MOST_REST_S)
+    assert balancer.rest_left_s(replicas, 1.0) == MAX_RETRY_AFTER_S - 1.0
+    balancer.prune((), MAX_RETRY_AFTER_S)
     assert balancer.rest_left_s(replicas, 1.0) == 0.0
--- a/packages/chalkyoke/src/chalkyoke/decimals.py
+++ b/packages/chalkyoke/src/chalkyoke/decimals.py
@@ -8,23 +8,23 @@
 from typing import NamedTuple
 
 
-class Least(NamedTuple):
+class SmallestDecimal(NamedTuple):
     """The least of several numbers.
 
     :ivar least: nothing where none of them could be read.
     :ivar unreadable: whether one could not be read.
     """
 
-    least: float | None
+    value: float | None
     unreadable: bool
 
 
-def read_whole(text: str) -> int:
+def parse_integer(text: str) -> int:
     """Read a number of digits; 0 where it is none."""
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
-def read_decimal(text: str) -> float | None:
+def parse_decimal(text: str) -> float | None:
     """Read a number of digits with or without a fraction.
 
     :return: nothing for a sign, an exponent or anything else that is no such number.
@@ -36,8 +36,8 @@
     return float(f"{whole}.{part or 0}")
 
 
-def least_decimal(texts: Iterable[str]) -> Least:
+def parse_smallest_decimal(texts: Iterable[str]) -> SmallestDecimal:
     """Read a header that may stand there more than once; the least is the safe one to keep to."""
-    read = [read_decimal(text) for text in texts]
+    read = [parse_decimal(text) for text in texts]
     found = [each for each in read if each is not None]
-    return Least(min(found, default=None), len(found) < len(read))
+    return SmallestDecimal(min(found, default=None), len(found) < len(read))
--- a/packages/chalkyoke/src/chalkyoke/entry/acquirer.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/acquirer.py
@@ -69,7 +69,7 @@
             self._send_acquire(run)
             done, _ = await asyncio.wait([future], timeout=RESEND_S)
             if done:
-                self._metrics.time("queue", self._now() - started, tier=run.request.tier)
+                self._metrics.record_duration("queue", self._now() - started, tier=run.request.tier)
                 return future.result()
 
     def _send_acquire(self, run: Run) -> None:
--- a/packages/chalkyoke/src/chalkyoke/entry/dispatcher.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/dispatcher.py
@@ -172,7 +172,9 @@
     def _first_byte(self, run: Run, response: aiohttp.ClientResponse) -> None:
         run.start_answer(AnswerHead(200, response.headers.get("Content-Type", "")))
         self._events.add(EventKind.FIRST_BYTE, run.id)
-        self._metrics.time("first_byte", self._now() - run.arrived, tier=run.request.tier)
+        self._metrics.record_duration(
+            "first_byte", self._now() - run.arrived, tier=run.request.tier
+        )
 
     async def _pass_error(self, run: Run, response: aiohttp.ClientResponse) -> None:
         """Hand on an engine's own 4xx: the whole answer to a request that it does not take."""
--- a/packages/chalkyoke/src/chalkyoke/entry/ends.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/ends.py
@@ -58,7 +58,7 @@
         self._metrics.count("answered", tier=tier)
         if self._now() <= run.deadline:
             self._metrics.count("goodput", tier=tier)
-        self._metrics.time("answer", self._now() - run.arrived, tier=tier)
+        self._metrics.record_duration("answer", self._now() - run.arrived, tier=tier)
         self._acquirer.release(run, ReleaseOutcome.DELIVERED, usage)
         self._runs.keep(run)
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -19,9 +19,9 @@
 from chalkyoke.gateway.statements import statement_of
 from chalkyoke.gateway.verdict import MISDIRECTED, Next, SendEnd, Sends, after
 from chalkyoke.http1.client import ClientConnection
-from chalkyoke.http1.messages import Request, find, request_head
+from chalkyoke.http1.messages import Request, encode_request_head, find_header
 from chalkyoke.http1.pool import ConnectFailure
-from chalkyoke.http1.server import Answering
+from chalkyoke.http1.server import ResponseWriter
 from chalkyoke.invariants import require
 from chalkyoke.quarantine.identity import request_digest
 from chalkyoke.quotas.client import QuotaDecision
@@ -68,7 +68,7 @@
     :param parts: what all exchanges share.
     """
 
-    def __init__(self, parts: GatewayParts, request: Request, answering: Answering) -> None:
+    def __init__(self, parts: GatewayParts, request: Request, answering: ResponseWriter) -> None:
         self._parts = parts
         self._feedback = Feedback(parts)
         self._request = request
@@ -108,7 +108,7 @@
         """Learn that a start of a replica is over, which its connection may never tell."""
         granted = self._granted
         if self._connection is not None and granted is not None and granted.replica.id == replica:
-            self._connection.give_up()
+            self._connection.abort_as_reset()
 
     def request_held(self, request: bytes) -> None:
         """End at once where this is a request that is held back from now on, and still waits."""
@@ -224,7 +224,7 @@
         if not self._named:
             request, admission = self._request, self._admission
             caller = admission.team.name if admission is not None and admission.team else ""
-            host = (find(request.headers, b"host") or b"").decode("latin-1")
+            host = (find_header(request.headers, b"host") or b"").decode("latin-1")
             self._named = request_digest(request.method, host, request.target, caller, request.body)
         return self._named
 
@@ -335,7 +335,7 @@
             self._give_back_trial(admission, granted)
             return SendEnd.NOT_CONNECTED
         if not self._may_send(admission, granted):
-            parts.connections.give_back(granted.replica.ip, granted.replica.port, connection)
+            parts.connections.release(granted.replica.ip, granted.replica.port, connection)
             self._hand_back(admission, granted)
             return None
         relay = self._dispatch(admission, granted, connection)
@@ -347,9 +347,9 @@
         granted.events = relay.events
         if end is SendEnd.STALLED and relay.head is None:
             # The connection may have gone silent, and those kept beside it too.
-            parts.connections.drop_kept(granted.replica.ip, granted.replica.port)
+            parts.connections.abort_idle(granted.replica.ip, granted.replica.port)
         if end not in (SendEnd.STALLED, SendEnd.UNUSABLE):
-            parts.connections.give_back(granted.replica.ip, granted.replica.port, connection)
+            parts.connections.release(granted.replica.ip, granted.replica.port, connection)
         elif not connection.closed:
             connection.cancel()
         return end
@@ -413,7 +413,7 @@
         )
         headers = parts.headers.forward(request.headers, forwarding)
         has_body = bool(request.body) or request.method in METHODS_WITH_BODY
-        head = request_head(
+        head = encode_request_head(
             request.method, request.target, headers, len(request.body) if has_body else None
         )
         relay = Relay(
--- a/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
@@ -9,7 +9,7 @@
 from chalkyoke.gateway.exchange import Exchange
 from chalkyoke.gateway.parts import GatewayParts
 from chalkyoke.http1.messages import Request
-from chalkyoke.http1.server import Answering
+from chalkyoke.http1.server import ResponseWriter
 
 
 class Gateway:
@@ -24,7 +24,7 @@
         """Count the requests that are being answered."""
         return len(self._exchanges)
 
-    def start(self, request: Request, answering: Answering) -> Exchange:
+    def start(self, request: Request, answering: ResponseWriter) -> Exchange:
         """Begin to answer a request."""
         exchange = Exchange(self._parts, request, answering)
         exchange.task = asyncio.get_running_loop().create_task(exchange.run())
--- a/packages/chalkyoke/src/chalkyoke/gateway/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/reception.py
@@ -16,7 +16,7 @@
     pick_target,
 )
 from chalkyoke.gateway.ports import RequestFields
-from chalkyoke.http1.messages import Request, find
+from chalkyoke.http1.messages import Request, find_header
 
 # Prompts are compared in blocks of so many tokens: what an engine reads in some 8 ms, and a few
 # names in a message for the longest prompts.
@@ -83,7 +83,7 @@
         return Rejection(503, "no configuration yet")
     if not fields.request_id:
         return Rejection(400, "no request id")
-    host = (find(request.headers, b"host") or b"").decode("latin-1")
+    host = (find_header(request.headers, b"host") or b"").decode("latin-1")
     path = request.target.partition(b"?")[0].decode("latin-1")
     route = catalog.find_route(host, path)
     if route is None:
--- a/packages/chalkyoke/src/chalkyoke/gateway/relay.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/relay.py
@@ -12,9 +12,9 @@
 from chalkyoke.gateway.events import EventCutter
 from chalkyoke.gateway.ports import AnswerFields, HeaderFormat
 from chalkyoke.gateway.verdict import MISDIRECTED, SERVER_ERROR_MIN, SendEnd
-from chalkyoke.http1.client import Break
-from chalkyoke.http1.messages import AnswerHead, Headers, end_to_end
-from chalkyoke.http1.server import Answering
+from chalkyoke.http1.client import BreakReason
+from chalkyoke.http1.messages import AnswerHead, Headers, end_to_end_headers
+from chalkyoke.http1.server import ResponseWriter
 
 # A plain answer of up to so many bytes is read whole before any of it is passed on, so that one
 # that breaks off can be had elsewhere; a longer one costs too much memory.
@@ -30,7 +30,7 @@
     :ivar first_at: when the first byte of the answer was passed on, on the node's clock.
     """
 
-    answering: Answering
+    answering: ResponseWriter
     cutter: EventCutter
     events: int = 0
     first_at: float = 0.0
@@ -109,7 +109,7 @@
         if self._by_event:
             self._pass_events(data, now)
         elif self._passing:
-            self._delivery.answering.send(data)
+            self._delivery.answering.send_body(data)
         else:
             self._hold(data, now)
 
@@ -122,12 +122,12 @@
         elif self._by_event:
             self._end_stream()
         elif self._passing:
-            self._delivery.answering.end()
+            self._delivery.answering.finish()
             self._end(SendEnd.DELIVERED)
         else:
             self._end(self._judge(head))
 
-    def answer_broken(self, _: Break) -> None:
+    def answer_broken(self, _: BreakReason) -> None:
         """Learn that no more of the answer comes."""
         self._end(SendEnd.BROKEN)
 
@@ -144,9 +144,9 @@
         if head is None:
             return
         body = b"".join(self._held)
-        whole = AnswerHead(head.status, head.reason, end_to_end(head.headers), len(body))
+        whole = AnswerHead(head.status, head.reason, end_to_end_headers(head.headers), len(body))
         self._begin(whole, body, self._clock())
-        self._delivery.answering.end()
+        self._delivery.answering.finish()
 
     def _usable(self) -> bool:
         """Tell whether an answer can be the replica's own, unaltered."""
@@ -173,7 +173,7 @@
             return
         if head.status >= SERVER_ERROR_MIN or self.fields.not_run:
             return
-        passed = AnswerHead(head.status, head.reason, end_to_end(head.headers), head.length)
+        passed = AnswerHead(head.status, head.reason, end_to_end_headers(head.headers), head.length)
         self._begin(passed, b"".join(self._held), now)
         self._held.clear()
         self._passing = True
@@ -193,22 +193,22 @@
         self.events += cut.count
         self._delivery.events += cut.count
         if self._delivery.head_sent:
-            self._delivery.answering.send(cut.data)
+            self._delivery.answering.send_body(cut.data)
         elif self.head is not None:
             head = self.head
-            passed = AnswerHead(head.status, head.reason, end_to_end(head.headers), None)
+            passed = AnswerHead(head.status, head.reason, end_to_end_headers(head.headers), None)
             self._begin(passed, cut.data, now)
 
     def _begin(self, head: AnswerHead, data: bytes, now: float) -> None:
         self._delivery.head_sent = True
         self._delivery.first_at = now
-        self._delivery.answering.begin(head, data)
+        self._delivery.answering.send_head(head, data)
 
     def _end_stream(self) -> None:
         if self._delivery.cutter.partial or not self._delivery.head_sent:
             self._end(SendEnd.BROKEN)
             return
-        self._delivery.answering.end()
+        self._delivery.answering.finish()
         self._end(SendEnd.DELIVERED)
 
     def _end(self, end: SendEnd) -> None:
--- a/packages/chalkyoke/src/chalkyoke/gateway/replies.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/replies.py
@@ -8,8 +8,8 @@
 from chalkyoke.gateway.reception import Admission
 from chalkyoke.gateway.relay import Delivery
 from chalkyoke.gateway.verdict import Sends
-from chalkyoke.http1.messages import AnswerHead, Headers, reason_of
-from chalkyoke.http1.server import Answering
+from chalkyoke.http1.messages import AnswerHead, Headers, reason_phrase
+from chalkyoke.http1.server import ResponseWriter
 from chalkyoke.invariants import require
 from chalkyoke.quotas.client import QuotaDecision
 
@@ -27,7 +27,7 @@
     """
 
     def __init__(
-        self, parts: GatewayParts, answering: Answering, delivery: Delivery, sends: Sends
+        self, parts: GatewayParts, answering: ResponseWriter, delivery: Delivery, sends: Sends
     ) -> None:
         self._parts = parts
         self._answering = answering
@@ -45,8 +45,10 @@
             bounded = min(MAX_RETRY_AFTER_S, max(0.0, retry_after_s))
             headers.append((b"Retry-After", b"%.2f" % bounded))
         body = reason.encode()
-        self._answering.begin(AnswerHead(status, reason_of(status), headers, len(body)), body)
-        self._answering.end()
+        self._answering.send_head(
+            AnswerHead(status, reason_phrase(status), headers, len(body)), body
+        )
+        self._answering.finish()
 
     def refuse(self, admission: Admission, reason: str, retry_after_s: float) -> None:
         """Tell that the request has not run and never will.
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
@@ -72,10 +72,10 @@
 class Answering:
     status = None
 
-    def begin(self, head, data=b""):
+    def send_head(self, head, data=b""):
         self.status = head.status
 
-    def end(self):
+    def finish(self):
         pass
 
     def abort(self):
@@ -256,7 +256,7 @@
         route = replace(ROUTE, kind=RouteKind.IDEMPOTENT, attempts=2)
         exchange, _, answering = exchange_with(acquire, connect, route)
         parts = exchange._parts
-        parts.connections.drop_kept = lambda ip, port: dropped.append((ip, port))
+        parts.connections.abort_idle = lambda ip, port: dropped.append((ip, port))
         parts.headers.forward = lambda headers, forwarding: []
         parts.budget = SimpleNamespace(
             remaining=lambda *_: 9.0, try_spend=lambda *_: True, record_first=lambda *_: None
@@ -289,7 +289,7 @@
 
         exchange, _, answering = exchange_with(acquire, rollouts=Left())
         exchange._parts.connections = SimpleNamespace(
-            connect=connect, give_back=lambda *where: given_back.append(where)
+            connect=connect, release=lambda *where: given_back.append(where)
         )
         await exchange.run()
         assert answering.status == 503
--- a/packages/chalkyoke/src/chalkyoke/http1/calls.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/calls.py
@@ -8,16 +8,16 @@
 
 import msgspec
 
-from chalkyoke.http1.client import Break, ClientConnection
-from chalkyoke.http1.messages import AnswerHead, Headers, request_head
+from chalkyoke.http1.client import BreakReason, ClientConnection
+from chalkyoke.http1.messages import AnswerHead, Headers, encode_request_head
 from chalkyoke.http1.pool import ConnectFailure, ConnectionPool
 
 # How long opening a connection may take, in seconds: some round trips to another region.
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 # Connections to one address at most: a watch, a lease and a listing at once, and as many lost.
-CALLER_CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 # How old a kept connection may be, in seconds: below what servers usually keep.
-FRESH_S = 8.0
+MAX_IDLE_S = 8.0
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
     sent: bool
 
 
-class _Whole:
+class _AnswerCollector:
     """Collects an answer."""
 
     def __init__(self, future: "asyncio.Future[CallAnswer | CallFailed]") -> None:
@@ -61,12 +61,12 @@
             body = b"".join(self._parts)
             self._future.set_result(CallAnswer(self._status, body, self._headers))
 
-    def answer_broken(self, how: Break) -> None:
+    def answer_broken(self, how: BreakReason) -> None:
         if not self._future.done():
             self._future.set_result(CallFailed(how, sent=True))
 
 
-class Caller:
+class HttpClient:
     """Make calls on one address; every outcome is a value.
 
     :param address: ``ip:port``.
@@ -89,16 +89,16 @@
         connection = await self._pool.connect(
             self._ip,
             self._port,
-            limit=CALLER_CONNECTIONS,
-            timeout_s=min(CONNECT_S, timeout_s),
-            fresh_s=FRESH_S,
+            limit=MAX_CONNECTIONS,
+            timeout_s=min(CONNECT_TIMEOUT_S, timeout_s),
+            fresh_s=MAX_IDLE_S,
         )
         if isinstance(connection, ConnectFailure):
             return CallFailed(connection, sent=False)
         headers = list(self._host)
         if body is not None:
             headers.append((b"Content-Type", b"application/json"))
-        data = request_head(method, target, headers, None if body is None else len(body))
+        data = encode_request_head(method, target, headers, None if body is None else len(body))
         return await self._exchange(connection, data + (body or b""), timeout_s)
 
     async def _exchange(
@@ -106,7 +106,7 @@
     ) -> CallAnswer | CallFailed:
         future: asyncio.Future[CallAnswer | CallFailed]
         future = asyncio.get_running_loop().create_future()
-        connection.send(data, _Whole(future), lambda _: True)
+        connection.send(data, _AnswerCollector(future), lambda _: True)
         try:
             async with asyncio.timeout(timeout_s):
                 answer = await future
@@ -114,10 +114,10 @@
             # A connection on which an answer was lost says nothing further, and the other ones may
             # have gone silent with it: the next call takes a new one.
             connection.cancel()
-            self._pool.drop_kept(self._ip, self._port)
+            self._pool.abort_idle(self._ip, self._port)
             return CallFailed("timed out", sent=True)
         except asyncio.CancelledError:
             connection.cancel()
             raise
-        self._pool.give_back(self._ip, self._port, connection)
+        self._pool.release(self._ip, self._port, connection)
         return answer
--- a/packages/chalkyoke/src/chalkyoke/http1/client.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/client.py
@@ -14,14 +14,14 @@
 from chalkyoke.http1.messages import AnswerHead, Headers, connection_options
 
 # The last status that announces another answer (RFC 9110).
-INFORMATIONAL_MAX = 199
+MAX_INFORMATIONAL_STATUS = 199
 BODILESS_STATUSES = frozenset((204, 304))
 # An answer with a longer head, in bytes, is not read: a bound on memory, four times what callers
 # may send.
 MAX_ANSWER_HEAD_BYTES = 65_536
 
 
-class Break(StrEnum):
+class BreakReason(StrEnum):
     """How an exchange ended without a whole answer."""
 
     CLOSED = "closed"
@@ -30,7 +30,7 @@
     CANCELLED = "cancelled"
 
 
-class Sink(Protocol):
+class AnswerSink(Protocol):
     """Takes one answer as it comes. ``answer_end`` or ``answer_broken`` is called once, last."""
 
     def answer_head(self, head: AnswerHead) -> None:
@@ -42,11 +42,11 @@
     def answer_end(self) -> None:
         """Learn that the answer is whole."""
 
-    def answer_broken(self, how: Break) -> None:
+    def answer_broken(self, how: BreakReason) -> None:
         """Learn that no more of the answer comes."""
 
 
-Belongs = Callable[[Headers], bool]
+AnswerMatcher = Callable[[Headers], bool]
 
 
 class ClientConnection(asyncio.Protocol):
@@ -62,10 +62,10 @@
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._sink: Sink | None = None
-        self._belongs: Belongs | None = None
+        self._sink: AnswerSink | None = None
+        self._matches_request: AnswerMatcher | None = None
         self._bodiless = False
-        self._stray = False
+        self._unusable = False
         self._parser = httptools.HttpResponseParser(self)
         self.idle_since = self._loop.time()
         self.keep_alive_s = 0.0
@@ -95,7 +95,7 @@
         if ends_here and exc is None:
             self._finish(whole=True)
         else:
-            self._fail(Break.CLOSED if exc is None else Break.RESET)
+            self._break_exchange(BreakReason.CLOSED if exc is None else BreakReason.RESET)
 
     def eof_received(self) -> bool:
         """Close this side too."""
@@ -104,19 +104,19 @@
     def data_received(self, data: bytes) -> None:
         """Parse what has come."""
         if self._sink is None:
-            self._stray = True
+            self._unusable = True
             self.transport.abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._garbled()
+            self._abort_garbled()
         except httptools.HttpParserError:
             # Bytes after a whole answer belong to nobody; the answer itself stands.
             if self._sink is None:
                 self.transport.abort()
             else:
-                self._garbled()
+                self._abort_garbled()
 
     # One exchange.
 
@@ -125,19 +125,21 @@
         """Whether another request may be sent."""
         return (
             self._sink is None
-            and not self._stray
+            and not self._unusable
             and not self.closed
             and not self.transport.is_closing()
         )
 
-    def send(self, data: bytes, sink: Sink, belongs: Belongs, *, bodiless: bool = False) -> None:
+    def send(
+        self, data: bytes, sink: AnswerSink, belongs: AnswerMatcher, *, bodiless: bool = False
+    ) -> None:
         """Send a request; from here on it may have run.
 
         :param data: head and body.
         :param belongs: tells by its headers whether an answer belongs to the request.
         :param bodiless: whether the answer has no body whatever its head says (``HEAD``).
         """
-        self._sink, self._belongs, self._bodiless = sink, belongs, bodiless
+        self._sink, self._matches_request, self._bodiless = sink, belongs, bodiless
         self._reset_message()
         self.transport.write(data)
 
@@ -146,9 +148,9 @@
         self._sink = None
         self.transport.abort()
 
-    def give_up(self) -> None:
+    def abort_as_reset(self) -> None:
         """End the exchange as one that the upstream broke off: it has ended, if silently."""
-        self._fail(Break.RESET)
+        self._break_exchange(BreakReason.RESET)
         self.transport.abort()
 
     def pause(self) -> None:
@@ -166,7 +168,7 @@
     def on_message_begin(self) -> None:
         """Begin an answer; one that comes after the expected one is stray."""
         if self._sink is None:
-            self._stray = True
+            self._unusable = True
         self._reset_message()
 
     def on_status(self, status: bytes) -> None:
@@ -181,9 +183,9 @@
 
     def on_headers_complete(self) -> None:
         """Pass the head on, if the answer belongs to the request."""
-        sink, belongs = self._sink, self._belongs
+        sink, belongs = self._sink, self._matches_request
         status = self._parser.get_status_code()
-        if sink is None or belongs is None or status <= INFORMATIONAL_MAX:
+        if sink is None or belongs is None or status <= MAX_INFORMATIONAL_STATUS:
             self._skipping = True
             return
         if self._head_size > MAX_ANSWER_HEAD_BYTES or not belongs(self._headers):
@@ -231,32 +233,32 @@
         sink, self._sink = self._sink, None
         self.idle_since = self._loop.time()
         if not self.closed:
-            self._note_keep_alive()
+            self._update_keep_alive()
         if sink is not None and whole:
             sink.answer_end()
 
-    def _note_keep_alive(self) -> None:
+    def _update_keep_alive(self) -> None:
         options = connection_options(self._headers)
         if b"close" in options or self._until_close or self._bodiless:
-            self._stray = True
+            self._unusable = True
             self.transport.close()
             return
         for name, value in self._headers:
             if name.lower() == b"keep-alive":
-                self.keep_alive_s = _timeout_of(value)
+                self.keep_alive_s = _keep_alive_timeout_s(value)
 
-    def _garbled(self) -> None:
-        self._fail(Break.GARBLED)
+    def _abort_garbled(self) -> None:
+        self._break_exchange(BreakReason.GARBLED)
         self.transport.abort()
 
-    def _fail(self, how: Break) -> None:
+    def _break_exchange(self, how: BreakReason) -> None:
         sink, self._sink = self._sink, None
-        self._stray = True
+        self._unusable = True
         if sink is not None:
             sink.answer_broken(how)
 
 
-def _timeout_of(value: bytes) -> float:
+def _keep_alive_timeout_s(value: bytes) -> float:
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.lower() == b"timeout" and seconds.isdigit():
--- a/packages/chalkyoke/src/chalkyoke/http1/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from chalkyoke.decimals import read_whole
+from chalkyoke.decimals import parse_integer
 
 Header = tuple[bytes, bytes]
 Headers = list[Header]
@@ -53,7 +53,7 @@
     length: int | None
 
 
-def find(headers: Headers, name: bytes) -> bytes | None:
+def find_header(headers: Headers, name: bytes) -> bytes | None:
     """Find the first header of a name.
 
     :param name: in lower case.
@@ -65,19 +65,19 @@
     return None
 
 
-def find_whole(headers: Headers, name: bytes, most: int) -> int:
+def find_integer(headers: Headers, name: bytes, most: int) -> int:
     """Read the first header of a name as a whole number; 0 where it is none.
 
     :param name: in lower case.
     :param most: a larger number is taken for none.
     :rtype: int
     """
-    found = find(headers, name)
-    number = 0 if found is None else read_whole(found.decode("latin-1"))
+    found = find_header(headers, name)
+    number = 0 if found is None else parse_integer(found.decode("latin-1"))
     return number if number <= most else 0
 
 
-def end_to_end(headers: Headers, keep: frozenset[bytes] = frozenset()) -> Headers:
+def end_to_end_headers(headers: Headers, keep: frozenset[bytes] = frozenset()) -> Headers:
     """Leave out the headers that concern a single connection only.
 
     :param keep: names in lower case that a ``Connection`` header can't take away.
@@ -105,7 +105,9 @@
     return frozenset(options)
 
 
-def request_head(method: bytes, target: bytes, headers: Headers, length: int | None) -> bytes:
+def encode_request_head(
+    method: bytes, target: bytes, headers: Headers, length: int | None
+) -> bytes:
     """Write the head of a request.
 
     :param length: length of the body; ``None`` where there is none.
@@ -119,7 +121,7 @@
     return b"".join(parts)
 
 
-def answer_head(head: AnswerHead, *, close: bool, chunked: bool) -> bytes:
+def encode_answer_head(head: AnswerHead, *, close: bool, chunked: bool) -> bytes:
     """Write the head of an answer.
 
     :param close: whether the connection ends after the answer.
@@ -138,7 +140,7 @@
     return b"".join(parts)
 
 
-def reason_of(status: int) -> bytes:
+def reason_phrase(status: int) -> bytes:
     """Give the usual reason phrase of a status.
 
     :rtype: bytes
--- a/packages/chalkyoke/src/chalkyoke/http1/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/pool.py
@@ -13,7 +13,7 @@
 from chalkyoke.sockets import set_user_timeout
 
 # How long a connection is kept whose upstream does not say how long it keeps it, in seconds.
-IDLE_LIMIT_S = 20.0
+DEFAULT_IDLE_LIMIT_S = 20.0
 # How much sooner than an upstream says a connection is given up, in seconds: it tells whole ones.
 KEEP_ALIVE_MARGIN_S = 1.0
 # How long bytes may stay unconfirmed before the system gives a connection up, in milliseconds: less
@@ -29,7 +29,7 @@
     AT_LIMIT = "at_limit"
 
 
-class _Address(msgspec.Struct):
+class _AddressEntry(msgspec.Struct):
     idle: list[ClientConnection] = msgspec.field(default_factory=list)
     open: int = 0
 
@@ -44,8 +44,8 @@
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._addresses: dict[tuple[str, int], _Address] = {}
-        self.opened = 0
+        self._addresses: dict[tuple[str, int], _AddressEntry] = {}
+        self.opened_connections = 0
 
     async def connect(
         self, ip: str, port: int, *, limit: int, timeout_s: float, fresh_s: float
@@ -56,8 +56,8 @@
         :param timeout_s: how long the opening may take.
         :param fresh_s: a kept connection is taken only if it was used within this time.
         """
-        entry = self._addresses.setdefault((ip, port), _Address())
-        kept = self._take_kept(entry, fresh_s)
+        entry = self._addresses.setdefault((ip, port), _AddressEntry())
+        kept = self._take_idle(entry, fresh_s)
         if kept is not None:
             return kept
         return await self.open(ip, port, limit=limit, timeout_s=timeout_s)
@@ -70,7 +70,7 @@
         :param limit: connections at most to this address.
         :param timeout_s: how long the opening may take.
         """
-        entry = self._addresses.setdefault((ip, port), _Address())
+        entry = self._addresses.setdefault((ip, port), _AddressEntry())
         if entry.open >= limit:
             return ConnectFailure.AT_LIMIT
 
@@ -87,14 +87,14 @@
         except BaseException:
             entry.open -= 1
             raise
-        self.opened += 1
+        self.opened_connections += 1
         set_user_timeout(connection.transport, USER_TIMEOUT_MS)
-        connection.on_close = lambda closed: self._forget((ip, port), closed)
+        connection.on_close = lambda closed: self._remove_closed((ip, port), closed)
         if connection.closed:
-            self._forget((ip, port), connection)
+            self._remove_closed((ip, port), connection)
         return connection
 
-    def give_back(self, ip: str, port: int, connection: ClientConnection) -> None:
+    def release(self, ip: str, port: int, connection: ClientConnection) -> None:
         """Keep a connection whose answer has ended, if it can serve again."""
         entry = self._addresses.get((ip, port))
         if entry is None or not connection.reusable:
@@ -103,7 +103,7 @@
             return
         entry.idle.append(connection)
 
-    def drop_kept(self, ip: str, port: int) -> None:
+    def abort_idle(self, ip: str, port: int) -> None:
         """Close the kept connections to an address, since they may have gone silent."""
         entry = self._addresses.get((ip, port))
         if entry is None:
@@ -112,12 +112,14 @@
             connection.transport.abort()
         entry.idle.clear()
 
-    def expire(self) -> None:
+    def close_expired(self) -> None:
         """Close what has been idle for too long; call about once a second."""
         now = self._loop.time()
         for key, entry in list(self._addresses.items()):
             for connection in list(entry.idle):
-                if not connection.reusable or now - connection.idle_since > _limit(connection):
+                if not connection.reusable or now - connection.idle_since > _idle_limit_s(
+                    connection
+                ):
                     entry.idle.remove(connection)
                     connection.transport.close()
             if entry.open == 0 and not entry.idle:
@@ -129,17 +131,17 @@
             for connection in entry.idle:
                 connection.transport.abort()
 
-    def _take_kept(self, entry: _Address, fresh_s: float) -> ClientConnection | None:
+    def _take_idle(self, entry: _AddressEntry, fresh_s: float) -> ClientConnection | None:
         now = self._loop.time()
         while entry.idle:
             connection = entry.idle.pop()
             age = now - connection.idle_since
-            if connection.reusable and age <= min(fresh_s, _limit(connection)):
+            if connection.reusable and age <= min(fresh_s, _idle_limit_s(connection)):
                 return connection
             connection.transport.close()
         return None
 
-    def _forget(self, key: tuple[str, int], connection: ClientConnection) -> None:
+    def _remove_closed(self, key: tuple[str, int], connection: ClientConnection) -> None:
         connection.on_close = None
         entry = self._addresses.get(key)
         if entry is None:
@@ -149,7 +151,7 @@
             entry.idle.remove(connection)
 
 
-def _limit(connection: ClientConnection) -> float:
+def _idle_limit_s(connection: ClientConnection) -> float:
     if connection.keep_alive_s <= 0:
-        return IDLE_LIMIT_S
+        return DEFAULT_IDLE_LIMIT_S
     return max(0.0, connection.keep_alive_s - KEEP_ALIVE_MARGIN_S)
--- a/packages/chalkyoke/src/chalkyoke/http1/server.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/server.py
@@ -16,18 +16,18 @@
     AnswerHead,
     Headers,
     Request,
-    answer_head,
     connection_options,
-    reason_of,
+    encode_answer_head,
+    reason_phrase,
 )
 
 # Requests that may wait on one connection, in number; beyond it is not read on.
-MAX_PIPELINED = 16
+MAX_PIPELINED_REQUESTS = 16
 # How long a connection stays open after its last answer, in seconds, so that the caller reads it
 # before the close reaches it.
 LINGER_S = 1.0
 # The slowest upload that is waited for, in bytes a second: a bound on held connections.
-BODY_RATE_BYTES_S = 20_000
+MIN_BODY_BYTES_PER_S = 20_000
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 BODILESS_STATUSES = frozenset((204, 304))
@@ -46,7 +46,7 @@
     idle_timeout_s: float = 15.0
 
 
-class Work(Protocol):
+class RequestHandler(Protocol):
     """A request that is being answered."""
 
     def caller_left(self) -> None:
@@ -56,62 +56,62 @@
         """Learn that the caller reads too slowly, or that it has caught up."""
 
 
-Start = Callable[[Request, "Answering"], Work]
+StartHandler = Callable[[Request, "ResponseWriter"], RequestHandler]
 
 
-class Answering:
+class ResponseWriter:
     """The way back to the caller of one request."""
 
-    __slots__ = ("_bodiless", "_chunked", "_connection", "_left", "begun", "ended")
+    __slots__ = ("_bodiless", "_chunked", "_connection", "_unsent_bytes", "finished", "head_sent")
 
     def __init__(self, connection: "ServerConnection", bodiless: bool) -> None:
         self._connection = connection
         self._bodiless = bodiless
         self._chunked = False
-        self._left = 0
-        self.begun = False
-        self.ended = False
+        self._unsent_bytes = 0
+        self.head_sent = False
+        self.finished = False
 
-    def begin(self, head: AnswerHead, data: bytes = b"") -> None:
+    def send_head(self, head: AnswerHead, data: bytes = b"") -> None:
         """Send the head, and the first bytes of the body with it."""
-        if self.ended:
+        if self.finished:
             return
-        self.begun = True
+        self.head_sent = True
         if head.status in BODILESS_STATUSES:
             self._bodiless = True
         self._chunked = head.length is None and not self._bodiless
-        self._left = head.length or 0
+        self._unsent_bytes = head.length or 0
         close = self._connection.closes_after_answer
-        self._connection.write(answer_head(head, close=close, chunked=self._chunked))
+        self._connection.write(encode_answer_head(head, close=close, chunked=self._chunked))
         if data:
-            self.send(data)
+            self.send_body(data)
 
-    def send(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send more of the body."""
-        if self.ended or self._bodiless or not data:
+        if self.finished or self._bodiless or not data:
             return
         if self._chunked:
             self._connection.write(b"%x\r\n%b\r\n" % (len(data), data))
             return
-        self._left -= len(data)
+        self._unsent_bytes -= len(data)
         self._connection.write(data)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """End the answer; one whose length does not fit ends visibly broken."""
-        if self.ended:
+        if self.finished:
             return
-        if not self._chunked and not self._bodiless and self._left != 0:
+        if not self._chunked and not self._bodiless and self._unsent_bytes != 0:
             self.abort()
             return
-        self.ended = True
-        self._connection.answered(LAST_CHUNK if self._chunked else b"")
+        self.finished = True
+        self._connection.finish_answer(LAST_CHUNK if self._chunked else b"")
 
     def abort(self) -> None:
         """Break the answer off, so that it can't be taken for a whole one."""
-        if self.ended:
+        if self.finished:
             return
-        self.ended = True
-        self._connection.drop()
+        self.finished = True
+        self._connection.abort()
 
 
 class ServerConnection(asyncio.Protocol):
@@ -126,33 +126,33 @@
 
     def __init__(
         self,
-        start: Start,
+        start: StartHandler,
         limits: Callable[[], ServerLimits],
         connections: set["ServerConnection"],
         opened: Callable[[], None] = lambda: None,
     ) -> None:
-        self._start = start
+        self._start_handler = start
         self._limits = limits
         self._connections = connections
-        self._opened = opened
+        self._on_opened = opened
         self._loop = asyncio.get_running_loop()
         self.idle_since = self._loop.time()
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: deque[tuple[Request, bool, bool]] = deque()
-        self._work: Work | None = None
-        self._answering: Answering | None = None
-        self._out: list[bytes] = []
+        self._waiting_requests: deque[tuple[Request, bool, bool]] = deque()
+        self._handler: RequestHandler | None = None
+        self._response_writer: ResponseWriter | None = None
+        self._write_buffer: list[bytes] = []
         self._flushing = False
         self._timer: asyncio.TimerHandle | None = None
         self._refused = False
-        self._last = False
+        self._last_request_read = False
         self._paused = False
         self.closes_after_answer = False
         self.stopping = False
         self._in_message = False
         self._head_complete = False
         self._unparsed = 0
-        self._size = 0
+        self._head_size = 0
         self._body_size = 0
         self._target = bytearray()
         self._headers: Headers = []
@@ -164,18 +164,18 @@
         """Begin."""
         self.transport = cast(asyncio.Transport, transport)
         self._connections.add(self)
-        self._opened()
-        self._arm(self._limits().idle_timeout_s)
+        self._on_opened()
+        self._set_timer(self._limits().idle_timeout_s)
 
     def connection_lost(self, _: Exception | None) -> None:
         """Tell the work in progress that its caller has left."""
         self._connections.discard(self)
-        self._disarm()
-        self._waiting.clear()
-        work, self._work = self._work, None
+        self._cancel_timer()
+        self._waiting_requests.clear()
+        work, self._handler = self._handler, None
         if work is not None:
-            if self._answering is not None:
-                self._answering.ended = True
+            if self._response_writer is not None:
+                self._response_writer.finished = True
             work.caller_left()
 
     def eof_received(self) -> bool:
@@ -184,26 +184,26 @@
 
     def pause_writing(self) -> None:
         """Hold the work back while the caller reads too slowly."""
-        if self._work is not None:
-            self._work.caller_can_read(False)
+        if self._handler is not None:
+            self._handler.caller_can_read(False)
 
     def resume_writing(self) -> None:
         """Let the work go on."""
-        if self._work is not None:
-            self._work.caller_can_read(True)
+        if self._handler is not None:
+            self._handler.caller_can_read(True)
 
     def data_received(self, data: bytes) -> None:
         """Parse what has come."""
-        if self._refused or self._last:
+        if self._refused or self._last_request_read:
             return
         if not self._in_message:
-            self._arm(self._limits().header_timeout_s)
+            self._set_timer(self._limits().header_timeout_s)
         if not self._head_complete:
             self._unparsed += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._last = True
+            self._last_request_read = True
         except httptools.HttpParserError:
             self._refuse(400)
             return
@@ -216,12 +216,12 @@
     @property
     def idle(self) -> bool:
         """Whether no request is being read or answered."""
-        return self._work is None and not self._waiting and not self._in_message
+        return self._handler is None and not self._waiting_requests and not self._in_message
 
-    def stop(self) -> None:
+    def close_gracefully(self) -> None:
         """Announce the end with the next answer; a connection at rest closes at once."""
         self.stopping = True
-        if self._work is not None:
+        if self._handler is not None:
             self.closes_after_answer = True
         elif self.idle:
             self.transport.close()
@@ -235,18 +235,18 @@
     def on_url(self, url: bytes) -> None:
         """Take a part of the target."""
         self._target += url
-        self._size += len(url)
+        self._head_size += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header."""
-        self._size += len(name) + len(value) + 4
+        self._head_size += len(name) + len(value) + 4
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         """Check the head as a whole."""
         self._head_complete = True
         limits = self._limits()
-        if self._size > limits.header_bytes:
+        if self._head_size > limits.header_bytes:
             self._refuse(431)
             return
         hosts = sum(1 for name, _ in self._headers if name.lower() == b"host")
@@ -258,7 +258,7 @@
         if length is not None and length > limits.body_bytes:
             self._refuse(413)
             return
-        self._arm(limits.header_timeout_s + (length or 0) / BODY_RATE_BYTES_S)
+        self._set_timer(limits.header_timeout_s + (length or 0) / MIN_BODY_BYTES_PER_S)
         if any(name.lower() == b"expect" for name, _ in self._headers):
             self.write(CONTINUE)
 
@@ -282,14 +282,14 @@
             self._headers,
             b"".join(self._body),
         )
-        keep = self._parser.should_keep_alive() and not self._last
+        keep = self._parser.should_keep_alive() and not self._last_request_read
         if b"close" in connection_options(self._headers):
             keep = False
-        self._waiting.append((request, keep, request.method == b"HEAD"))
+        self._waiting_requests.append((request, keep, request.method == b"HEAD"))
         self._reset_message()
-        if self._work is None:
-            self._next()
-        elif len(self._waiting) >= MAX_PIPELINED:
+        if self._handler is None:
+            self._start_next_request()
+        elif len(self._waiting_requests) >= MAX_PIPELINED_REQUESTS:
             self._paused = True
             self.transport.pause_reading()
 
@@ -303,7 +303,7 @@
         self._in_message = False
         self._head_complete = False
         self._unparsed = 0
-        self._size = 0
+        self._head_size = 0
         self._body_size = 0
         self._target = bytearray()
         self._headers = []
@@ -311,73 +311,73 @@
 
     # Requests and answers.
 
-    def _next(self) -> None:
-        if not self._waiting:
-            self._arm(self._limits().idle_timeout_s)
+    def _start_next_request(self) -> None:
+        if not self._waiting_requests:
+            self._set_timer(self._limits().idle_timeout_s)
             return
-        self._disarm()
-        request, keep, bodiless = self._waiting.popleft()
-        if self._paused and len(self._waiting) < MAX_PIPELINED:
+        self._cancel_timer()
+        request, keep, bodiless = self._waiting_requests.popleft()
+        if self._paused and len(self._waiting_requests) < MAX_PIPELINED_REQUESTS:
             self._paused = False
             self.transport.resume_reading()
         self.closes_after_answer = not keep or self.stopping
-        self._answering = Answering(self, bodiless)
-        self._work = self._start(request, self._answering)
-        if self._answering.ended:
-            self._work = None
+        self._response_writer = ResponseWriter(self, bodiless)
+        self._handler = self._start_handler(request, self._response_writer)
+        if self._response_writer.finished:
+            self._handler = None
 
-    def answered(self, rest: bytes) -> None:
+    def finish_answer(self, rest: bytes) -> None:
         """End the answer in progress, and go on with the next request."""
-        self._work = None
+        self._handler = None
         self.idle_since = self._loop.time()
         if rest:
             self.write(rest)
         if self.closes_after_answer:
-            self._linger()
+            self._close_after_linger()
             return
         self._loop.call_soon(self._after_answer)
 
     def _after_answer(self) -> None:
-        if self._work is None and not self.transport.is_closing():
-            if self.stopping and not self._waiting:
-                self._linger()
+        if self._handler is None and not self.transport.is_closing():
+            if self.stopping and not self._waiting_requests:
+                self._close_after_linger()
                 return
-            self._next()
+            self._start_next_request()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Break the connection off."""
-        self._work = None
-        self._out.clear()
+        self._handler = None
+        self._write_buffer.clear()
         self.transport.abort()
 
     def write(self, data: bytes) -> None:
         """Send bytes; what comes in one turn of the loop goes out in one call."""
-        self._out.append(data)
+        self._write_buffer.append(data)
         if not self._flushing:
             self._flushing = True
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
         self._flushing = False
-        if self._out and not self.transport.is_closing():
-            self.transport.write(b"".join(self._out))
-        self._out.clear()
+        if self._write_buffer and not self.transport.is_closing():
+            self.transport.write(b"".join(self._write_buffer))
+        self._write_buffer.clear()
 
     def _refuse(self, status: int) -> None:
         """Answer a request that can't be taken, then close; nothing of it is passed on."""
         if self._refused:
             return
         self._refused = True
-        if self._work is not None:
+        if self._handler is not None:
             # An earlier request is still being answered; what follows it is not taken.
             self.closes_after_answer = True
-            self._waiting.clear()
+            self._waiting_requests.clear()
             return
-        head = AnswerHead(status, reason_of(status), [], 0)
-        self.write(answer_head(head, close=True, chunked=False))
-        self._linger()
+        head = AnswerHead(status, reason_phrase(status), [], 0)
+        self.write(encode_answer_head(head, close=True, chunked=False))
+        self._close_after_linger()
 
-    def _linger(self) -> None:
+    def _close_after_linger(self) -> None:
         """Close after the caller had time to read: closing over unread bytes would reset."""
         self._refused = True
         self._flush()
@@ -385,23 +385,23 @@
             return
         if self.transport.can_write_eof():
             self.transport.write_eof()
-        self._disarm()
+        self._cancel_timer()
         self._timer = self._loop.call_later(LINGER_S, self.transport.close)
 
     # Time.
 
-    def _arm(self, seconds: float) -> None:
-        self._disarm()
+    def _set_timer(self, seconds: float) -> None:
+        self._cancel_timer()
         self._timer = self._loop.call_later(seconds, self._timed_out)
 
-    def _disarm(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _timed_out(self) -> None:
         self._timer = None
-        if self._in_message and self._work is None:
+        if self._in_message and self._handler is None:
             self._refuse(408)
         elif self.idle:
             self.transport.close()
--- a/packages/chalkyoke/src/chalkyoke/http1/tests/test_calls.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/tests/test_calls.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from chalkyoke.http1.calls import CallAnswer, Caller, CallFailed
+from chalkyoke.http1.calls import CallAnswer, CallFailed, HttpClient
 from chalkyoke.http1.pool import ConnectionPool
 
 from tests import virtual
@@ -36,7 +36,7 @@
     async def main():
         server, pool = Server(), ConnectionPool()
         asyncio.get_running_loop().create_connection = server.create_connection
-        caller = Caller(pool, "127.0.0.1:1")
+        caller = HttpClient(pool, "127.0.0.1:1")
 
         async def call():
             return await caller.call(b"GET", b"/", None, 1.0)
--- a/packages/chalkyoke/src/chalkyoke/http1/tests/test_client.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/tests/test_client.py
@@ -1,7 +1,7 @@
 import asyncio
 
 import pytest
-from chalkyoke.http1.client import Break, ClientConnection
+from chalkyoke.http1.client import BreakReason, ClientConnection
 
 from .transports import KeptTransport
 
@@ -56,7 +56,7 @@
 
 def test_only_an_answer_to_another_request_is_no_answer():
     _, _, sink = exchange(OTHERS, is_lost=True)
-    assert (sink.body, sink.ended, sink.broken) == (b"", 0, [Break.CLOSED])
+    assert (sink.body, sink.ended, sink.broken) == (b"", 0, [BreakReason.CLOSED])
 
 
 @pytest.mark.parametrize("extra", [OTHERS, MINE, b"\x00\x01 no answer", b"HTTP/1.1 200 OK\r\n"])
@@ -74,13 +74,13 @@
 
 def test_bytes_that_are_no_answer_break_the_exchange():
     connection, transport, sink = exchange(b"\x00\x01\x02\x03\r\n\r\n")
-    assert sink.broken == [Break.GARBLED] and transport.aborted
+    assert sink.broken == [BreakReason.GARBLED] and transport.aborted
     assert not connection.reusable
 
 
 @pytest.mark.parametrize(
     ("lost", "ended", "broken"),
-    [(None, 1, []), (ConnectionResetError(), 0, [Break.RESET])],
+    [(None, 1, []), (ConnectionResetError(), 0, [BreakReason.RESET])],
 )
 def test_an_answer_without_a_length_ends_with_its_connection_but_not_with_a_reset(
     lost, ended, broken
@@ -92,7 +92,7 @@
 
 def test_an_answer_that_is_cut_short_is_broken():
     _, _, sink = exchange(MINE[:-1], is_lost=True)
-    assert (sink.ended, sink.broken) == (0, [Break.CLOSED])
+    assert (sink.ended, sink.broken) == (0, [BreakReason.CLOSED])
 
 
 def test_an_answer_that_announces_the_end_is_the_last_on_its_connection():
--- a/packages/chalkyoke/src/chalkyoke/http1/tests/test_room.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/tests/test_connection_limit.py
@@ -1,6 +1,6 @@
 from dataclasses import dataclass
 
-from chalkyoke.http1.room import make_room, most_callers
+from chalkyoke.http1.connection_limit import close_idle_connections, max_caller_connections
 
 
 @dataclass(eq=False)
@@ -9,21 +9,21 @@
     idle: bool = True
     stopped: bool = False
 
-    def stop(self):
+    def close_gracefully(self):
         self.stopped = True
 
 
 def test_the_longest_at_rest_make_room_and_nobody_else():
     callers = [Caller(float(number), idle=number % 2 == 0) for number in range(110)]
-    assert make_room(callers, 100) == 12
+    assert close_idle_connections(callers, 100) == 12
     stopped = [each for each in callers if each.stopped]
     assert stopped == [callers[number] for number in range(0, 24, 2)]
 
 
 def test_nothing_closes_below_the_bound_or_where_all_are_busy():
-    assert make_room([Caller(0.0) for _ in range(100)], 100) == 0
-    assert make_room([Caller(0.0, idle=False) for _ in range(120)], 100) == 0
+    assert close_idle_connections([Caller(0.0) for _ in range(100)], 100) == 0
+    assert close_idle_connections([Caller(0.0, idle=False) for _ in range(120)], 100) == 0
 
 
 def test_the_bound_leaves_descriptors_for_the_rest():
-    assert most_callers(4100) == 2460
+    assert max_caller_connections(4100) == 2460
--- a/packages/chalkyoke/src/chalkyoke/http1/tests/test_server.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/tests/test_server.py
@@ -45,8 +45,8 @@
 
     async def answer(self, number, body=b"ok", status=200):
         _, answering = self.requests[number]
-        answering.begin(AnswerHead(status, b"OK", [], len(body)), body)
-        answering.end()
+        answering.send_head(AnswerHead(status, b"OK", [], len(body)), body)
+        answering.finish()
         await settle()
 
 
@@ -167,8 +167,8 @@
         caller = Caller()
         await caller.send(GOOD)
         _, answering = caller.requests[0]
-        answering.begin(AnswerHead(200, b"OK", [], 10), b"half")
-        answering.end()
+        answering.send_head(AnswerHead(200, b"OK", [], 10), b"half")
+        answering.finish()
         await settle()
         assert caller.transport.aborted
 
@@ -180,7 +180,7 @@
         caller = Caller()
         await caller.send(GOOD)
         _, answering = caller.requests[0]
-        answering.begin(AnswerHead(200, b"OK", [], None), b"half")
+        answering.send_head(AnswerHead(200, b"OK", [], None), b"half")
         await settle()
         answering.abort()
         assert b"Transfer-Encoding: chunked" in caller.transport.written
@@ -215,7 +215,7 @@
     async def check():
         caller = Caller()
         await caller.send(GOOD)
-        caller.connection.stop()
+        caller.connection.close_gracefully()
         assert not caller.transport.closed
         await caller.answer(0)
         assert b"Connection: close" in caller.transport.written
@@ -230,7 +230,7 @@
         await caller.send(GOOD)
         await caller.answer(0)
         await caller.send(GOOD[:10])
-        caller.connection.stop()
+        caller.connection.close_gracefully()
         assert not caller.transport.closed
         await caller.send(GOOD[10:])
         await caller.answer(1)
@@ -243,7 +243,7 @@
 def test_a_planned_stop_closes_a_connection_at_rest():
     async def check():
         caller = Caller()
-        caller.connection.stop()
+        caller.connection.close_gracefully()
         assert caller.transport.closed
 
     run(check)
--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -54,7 +54,7 @@
         self._now = now
         self._broadcast_from: dict[str, float] = {}
         self._pending: set[str] = set()
-        metrics.gauge("replica_limits", lambda: len(known.limits()))
+        metrics.register_gauge("replica_limits", lambda: len(known.limits()))
 
     def note_answer(self, replica: str, limit_per_s: float | None) -> None:
         """Record the limit in a replica's answer, and broadcast a change.
--- a/packages/chalkyoke/src/chalkyoke/linelog.py
+++ b/packages/chalkyoke/src/chalkyoke/linelog.py
@@ -12,12 +12,12 @@
 import msgspec
 
 # Lines that wait for a slow reader, in bytes; what is beyond that is dropped and counted.
-MAX_HELD_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 # How long a line waits for others to be written with it, in seconds.
-FLUSH_S = 0.05
+FLUSH_DELAY_S = 0.05
 # For how many seconds a quota of lines may be saved up.
 BURST_S = 2.0
-KEPT_LEVEL = logbook.NOTICE
+PRIORITY_LEVEL = logbook.NOTICE
 
 
 class LineWriter:
@@ -30,38 +30,38 @@
     def __init__(self, descriptor: int, call_later: Callable[[float, Callable[[], None]], object]):
         self._descriptor = descriptor
         self._call_later = call_later
-        self._held = bytearray()
-        self._planned = False
+        self._buffer = bytearray()
+        self._flush_scheduled = False
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
         """Take a line; it is dropped and counted where too much is held."""
-        if len(self._held) + len(line) > MAX_HELD_BYTES:
+        if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._held += line
-        if not self._planned:
-            self._planned = True
-            self._call_later(FLUSH_S, self.flush)
+        self._buffer += line
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            self._call_later(FLUSH_DELAY_S, self.flush)
 
     def flush(self) -> None:
         """Write what can be written now."""
-        self._planned = False
+        self._flush_scheduled = False
         try:
-            written = os.write(self._descriptor, self._held)
-            del self._held[:written]
+            written = os.write(self._descriptor, self._buffer)
+            del self._buffer[:written]
         except BlockingIOError:
             pass
         except OSError:
-            self._held.clear()
+            self._buffer.clear()
             return
-        if self._held and not self._planned:
-            self._planned = True
-            self._call_later(FLUSH_S, self.flush)
+        if self._buffer and not self._flush_scheduled:
+            self._flush_scheduled = True
+            self._call_later(FLUSH_DELAY_S, self.flush)
 
 
-class Allowance:
+class LineTokenBucket:
     """A token bucket of lines.
 
     :param per_s: lines each second.
@@ -69,20 +69,20 @@
 
     def __init__(self, per_s: float, now: float) -> None:
         self._per_s = per_s
-        self._level = per_s * BURST_S
-        self._at = now
+        self._available_lines = per_s * BURST_S
+        self._updated_at = now
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Take one line.
 
         :rtype: bool
         """
-        earned = (now - self._at) * self._per_s
-        self._level = min(self._per_s * BURST_S, self._level + earned)
-        self._at = now
-        if self._level < 1:
+        earned = (now - self._updated_at) * self._per_s
+        self._available_lines = min(self._per_s * BURST_S, self._available_lines + earned)
+        self._updated_at = now
+        if self._available_lines < 1:
             return False
-        self._level -= 1
+        self._available_lines -= 1
         return True
 
 
@@ -108,14 +108,16 @@
         self._writer = writer
         self._host = host
         self._now = now
-        self._usual = Allowance(lines_per_s, now())
-        self._kept = Allowance(lines_per_s, now())
+        self._routine_bucket = LineTokenBucket(lines_per_s, now())
+        self._priority_bucket = LineTokenBucket(lines_per_s, now())
         self.suppressed = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write a record, or count it as suppressed."""
-        allowance = self._kept if record.level >= KEPT_LEVEL else self._usual
-        if not allowance.take(self._now()):
+        allowance = (
+            self._priority_bucket if record.level >= PRIORITY_LEVEL else self._routine_bucket
+        )
+        if not allowance.try_take(self._now()):
             self.suppressed += 1
             return
         line = {
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -32,10 +32,10 @@
 from chalkyoke.gateway.grants import Grants
 from chalkyoke.gateway.parts import GatewayParts
 from chalkyoke.gateway.settings import GatewaySettings, load
-from chalkyoke.http1.calls import Caller
+from chalkyoke.http1.calls import HttpClient
+from chalkyoke.http1.connection_limit import close_idle_connections, max_caller_connections
 from chalkyoke.http1.pool import ConnectionPool
-from chalkyoke.http1.room import make_room, most_callers
-from chalkyoke.http1.server import ServerConnection, ServerLimits, Start
+from chalkyoke.http1.server import ServerConnection, ServerLimits, StartHandler
 from chalkyoke.limits.announcements import LimitAnnouncements
 from chalkyoke.limits.client import PermitClient
 from chalkyoke.limits.keeper import AllocatedLimit, LimitKeeper
@@ -184,7 +184,7 @@
     def _make_catalog(self) -> None:
         settings, platform = self.settings, self._platform
         self._store_connections = ConnectionPool()
-        caller = Caller(self._store_connections, settings.store.address)
+        caller = HttpClient(self._store_connections, settings.store.address)
         self.store = platform.make_store(caller)
         state = CatalogState(
             platform.read_catalog, with_held_records(platform.read_record, platform.keys.held)
@@ -215,9 +215,11 @@
             self._catalog_changed,
             self.now,
         )
-        self.metrics.gauge("records_unreadable", lambda: len(state.unreadable))
-        self.metrics.gauge("store_epoch", lambda: state.epoch)
-        self.metrics.gauge("store_updates_ignored", lambda: self.catalog.ignored_updates.total())
+        self.metrics.register_gauge("records_unreadable", lambda: len(state.unreadable))
+        self.metrics.register_gauge("store_epoch", lambda: state.epoch)
+        self.metrics.register_gauge(
+            "store_updates_ignored", lambda: self.catalog.ignored_updates.total()
+        )
         self.replicas = DeclaredReplicas(state, self.now, self.rollouts)
         self.pools = DeclaredPools(settings.scheduling, self.rollouts)
         node = settings.node
@@ -422,13 +424,13 @@
         if self._supervisor.failure is not None:
             raise self._supervisor.failure
 
-    async def _listen(self, address: str, start: Start) -> asyncio.Server:
+    async def _listen(self, address: str, start: StartHandler) -> asyncio.Server:
         ip, port = address.rsplit(":", 1)
         own = self._connections if start == self.gateway.start else set()
-        most = most_callers(self.settings.limits.descriptors or _descriptor_limit())
+        most = max_caller_connections(self.settings.limits.descriptors or _descriptor_limit())
 
         def opened() -> None:
-            if closed := make_room(own, most):
+            if closed := close_idle_connections(own, most):
                 log.notice("room_made", closed=closed, open=len(own), most=most)
 
         return await asyncio.get_running_loop().create_server(
@@ -450,7 +452,7 @@
         await asyncio.sleep(LEAVE_DELAY_S)
         server.close()
         for connection in list(self._connections):
-            connection.stop()
+            connection.close_gracefully()
         left = self.settings.limits.grace_s - GRACE_MARGIN_S - (self.now() - began)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, left)):
@@ -537,8 +539,8 @@
         self.fleet_size.record_live(self.view.live(), self.now())
         self.grants.check_owners(self.pools.pools)
         self.grants.send_progress()
-        self.connections.expire()
-        self._store_connections.expire()
+        self.connections.close_expired()
+        self._store_connections.close_expired()
         self.balancer.prune(self.catalog.state.replicas, self.now())
         self.quotas.refresh_ownership()
         self.suspicions.tick()
@@ -577,7 +579,7 @@
         if state.epoch != self._store_epoch:
             self._epoch_changed(state.epoch)
         for ended in state.pop_restarted():
-            self.connections.drop_kept(ended.ip, ended.port)
+            self.connections.abort_idle(ended.ip, ended.port)
             self.gateway.replica_ended(ended.id)
             log.info("replica_restarted", ended=ended.id)
         self.rollouts.rebuild()
--- a/packages/chalkyoke/src/chalkyoke/node/linkgauges.py
+++ b/packages/chalkyoke/src/chalkyoke/node/linkgauges.py
@@ -11,10 +11,10 @@
 def add_link_gauges(metrics: Metrics, links: Links) -> None:
     """Show bytes and messages over all links, and what is late or lost on them."""
     counters = links.counters
-    metrics.gauge("link_sent_bytes", lambda: counters.sent_bytes)
-    metrics.gauge("link_received_bytes", lambda: counters.received_bytes)
-    metrics.gauge("link_unsent_bytes", links.unsent_bytes)
-    metrics.gauge("link_messages_dropped", lambda: counters.dropped)
-    metrics.gauge("link_messages_withheld", lambda: counters.withheld)
-    metrics.gauge("link_messages_skipped", lambda: counters.skipped)
-    metrics.gauge("link_went_silent", lambda: counters.silent)
+    metrics.register_gauge("link_sent_bytes", lambda: counters.sent_bytes)
+    metrics.register_gauge("link_received_bytes", lambda: counters.received_bytes)
+    metrics.register_gauge("link_unsent_bytes", links.unsent_bytes)
+    metrics.register_gauge("link_messages_dropped", lambda: counters.dropped)
+    metrics.register_gauge("link_messages_withheld", lambda: counters.withheld)
+    metrics.register_gauge("link_messages_skipped", lambda: counters.skipped)
+    metrics.register_gauge("link_went_silent", lambda: counters.silent)
--- a/packages/chalkyoke/src/chalkyoke/node/pages.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pages.py
@@ -8,8 +8,8 @@
 
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.administration.metricspage import metrics_page
-from chalkyoke.http1.messages import AnswerHead, Headers, Request, reason_of
-from chalkyoke.http1.server import Answering
+from chalkyoke.http1.messages import AnswerHead, Headers, Request, reason_phrase
+from chalkyoke.http1.server import ResponseWriter
 
 READY_PATH = b"/readyz"
 METRICS_PATH = b"/metrics"
@@ -35,7 +35,7 @@
         self._is_ready = is_ready
         self._metrics = metrics
 
-    def start(self, request: Request, answering: Answering) -> _FinishedPage:
+    def start(self, request: Request, answering: ResponseWriter) -> _FinishedPage:
         """Answer one request."""
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
@@ -47,7 +47,7 @@
             self._respond(answering, 404, b"no such page")
         return _FinishedPage()
 
-    def _respond(self, answering: Answering, status: int, body: bytes) -> None:
+    def _respond(self, answering: ResponseWriter, status: int, body: bytes) -> None:
         headers: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
-        answering.begin(AnswerHead(status, reason_of(status), headers, len(body)), body)
-        answering.end()
+        answering.send_head(AnswerHead(status, reason_phrase(status), headers, len(body)), body)
+        answering.finish()
--- a/packages/chalkyoke/src/chalkyoke/node/parts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/parts.py
@@ -10,7 +10,7 @@
 from chalkyoke.catalog.records import ReadRecord
 from chalkyoke.catalog.state import ReadCatalog
 from chalkyoke.gateway.ports import HeaderFormat
-from chalkyoke.http1.calls import Caller
+from chalkyoke.http1.calls import HttpClient
 from chalkyoke.rollouts.resources import RolloutOrder, RolloutState
 from chalkyoke.storage.port import Store
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        make_store: Callable[[Caller], Store],
+        make_store: Callable[[HttpClient], Store],
         headers: HeaderFormat,
         read_catalog: ReadCatalog,
         read_record: ReadRecord,
--- a/packages/chalkyoke/src/chalkyoke/node/process.py
+++ b/packages/chalkyoke/src/chalkyoke/node/process.py
@@ -214,11 +214,11 @@
                 tls.administration_key,
             ),
         ]
-        self.metrics.gauge("running", lambda: sum(1 for _ in self.entry.runs.active()))
-        self.metrics.gauge("tokens_kept", lambda: len(self.entry.runs.ledger))
+        self.metrics.register_gauge("running", lambda: sum(1 for _ in self.entry.runs.active()))
+        self.metrics.register_gauge("tokens_kept", lambda: len(self.entry.runs.ledger))
         add_link_gauges(self.metrics, self.links)
-        self.metrics.gauge("revision", lambda: self.configuration.state.revision)
-        self.metrics.gauge("live_members", lambda: len(self.view.live()))
+        self.metrics.register_gauge("revision", lambda: self.configuration.state.revision)
+        self.metrics.register_gauge("live_members", lambda: len(self.view.live()))
 
     # Life.
 
--- a/packages/chalkyoke/src/chalkyoke/platform/headers.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/headers.py
@@ -4,10 +4,10 @@
 The platform's HTTP headers of requests and answers.
 """
 
-from chalkyoke.decimals import least_decimal, read_whole
+from chalkyoke.decimals import parse_integer, parse_smallest_decimal
 from chalkyoke.gateway.ports import AnswerFields, Forwarding, Load, PromptPart, RequestFields
-from chalkyoke.http1.messages import Headers, end_to_end
-from chalkyoke.rests import read_seconds
+from chalkyoke.http1.messages import Headers, end_to_end_headers
+from chalkyoke.retry_after import parse_retry_after
 
 REQUEST_ID = b"x-request-id"
 DEADLINE_MS = b"x-deadline-ms"
@@ -46,7 +46,7 @@
             key=found.get(CREDENTIAL),
             prompt_tokens=prompt,
             most_output_tokens=most,
-            likely_output_tokens=read_whole(found.get(LENGTH_HINT, "")),
+            likely_output_tokens=parse_integer(found.get(LENGTH_HINT, "")),
             parts=_parse_prompt_parts(found.get(PREFIX_HASH, "")),
             last_event_id=found.get(LAST_EVENT_ID, ""),
         )
@@ -57,7 +57,7 @@
         Hop-by-hop headers and the headers that only the system may set are removed, and the
         system's own values are added.
         """
-        passed = end_to_end(headers, keep=KEPT_REQUEST_HEADERS)
+        passed = end_to_end_headers(headers, keep=KEPT_REQUEST_HEADERS)
         kept = [pair for pair in passed if pair[0].lower() not in SYSTEM_HEADERS]
         if forwarding.last_event_id:
             kept = [pair for pair in kept if pair[0].lower() != LAST_EVENT_ID]
@@ -75,7 +75,7 @@
         Of several limits the lowest applies.
         """
         found = {name.lower(): value for name, value in headers}
-        limit = least_decimal(
+        limit = parse_smallest_decimal(
             _decode_text(value) for name, value in headers if name.lower() == LIMIT
         )
         return AnswerFields(
@@ -85,8 +85,8 @@
             encoded=b"content-encoding" in found,
             load=_parse_load(found.get(LOAD)),
             leaving=found.get(LEAVING, b"").strip() == b"1",
-            retry_after_s=read_seconds(_decode_text(found.get(RETRY_AFTER, b""))),
-            limit_per_s=limit.least,
+            retry_after_s=parse_retry_after(_decode_text(found.get(RETRY_AFTER, b""))),
+            limit_per_s=limit.value,
             limit_unreadable=limit.unreadable,
         )
 
--- a/packages/chalkyoke/src/chalkyoke/platform/store.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/store.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from chalkyoke.http1.calls import CallAnswer, Caller, CallFailed
-from chalkyoke.http1.messages import find_whole
+from chalkyoke.http1.calls import CallAnswer, CallFailed, HttpClient
+from chalkyoke.http1.messages import find_integer
 from chalkyoke.storage.messages import (
     Changes,
     Conflict,
@@ -70,7 +70,7 @@
 class PlatformStore:
     """Implement :class:`chalkyoke.storage.port.Store` with the platform's metadata store."""
 
-    def __init__(self, caller: Caller) -> None:
+    def __init__(self, caller: HttpClient) -> None:
         self._caller = caller
 
     async def read(self, prefix: str) -> Listing | Unavailable:
@@ -172,7 +172,7 @@
     return (
         0
         if isinstance(answer, Unavailable)
-        else find_whole(answer.headers, EPOCH_HEADER, MAX_EPOCH)
+        else find_integer(answer.headers, EPOCH_HEADER, MAX_EPOCH)
     )
 
 
--- a/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/spread.py
@@ -73,8 +73,8 @@
         self._evidence = EvidenceTracker()
         self._runs = UnansweredRuns()
         self._probes: dict[str, asyncio.Task[None]] = {}
-        metrics.gauge("requests_held_back", lambda: len(self._evidence.held))
-        metrics.gauge("requests_suspected", lambda: len(self._evidence))
+        metrics.register_gauge("requests_held_back", lambda: len(self._evidence.held))
+        metrics.register_gauge("requests_suspected", lambda: len(self._evidence))
 
     # Calls of exchanges.
 
@@ -131,7 +131,7 @@
                 self.unreachable(replica)
             return
         # The next request to it may use this connection.
-        self._connections.give_back(replica.ip, replica.port, opened)
+        self._connections.release(replica.ip, replica.port, opened)
 
     def replicas_changed(self, replicas: Mapping[str, Replica]) -> None:
         """Apply the present list of replicas; a start that is no longer listed has ended."""
--- a/packages/chalkyoke/src/chalkyoke/settings.py
+++ b/packages/chalkyoke/src/chalkyoke/settings.py
@@ -193,7 +193,7 @@
         settings = Settings.model_validate(document)
     except ValidationError as error:
         problems += [
-            _word(item["loc"], item["type"], item["msg"])
+            _describe_error(item["loc"], item["type"], item["msg"])
             for each in [error]
             for item in each.errors()
         ]
@@ -211,14 +211,14 @@
             continue
         model = Settings.model_fields.get(section)
         if model is None:
-            yield f"{name} (environment): unknown section {section!r}{_nearest(section, Settings)}"
+            yield f"{name} (environment): unknown section {section!r}{_hint(section, Settings)}"
             continue
         table = document.setdefault(section, {})
         if isinstance(table, dict):
             table[key] = value.split(",") if key.endswith("_sha256") else value
 
 
-def _word(location: tuple[int | str, ...], kind: str, message: str) -> str:
+def _describe_error(location: tuple[int | str, ...], kind: str, message: str) -> str:
     path = ".".join(str(part) for part in location)
     if kind != "extra_forbidden":
         return f"{path}: {message.removeprefix('Value error, ')}"
@@ -227,9 +227,9 @@
         annotation = model.model_fields[str(part)].annotation
         if isinstance(annotation, type) and issubclass(annotation, BaseModel):
             model = annotation
-    return f"{path}: unknown{_nearest(str(location[-1]), model)}"
+    return f"{path}: unknown{_hint(str(location[-1]), model)}"
 
 
-def _nearest(name: str, model: type[BaseModel]) -> str:
+def _hint(name: str, model: type[BaseModel]) -> str:
     close = difflib.get_close_matches(name, model.model_fields, n=1, cutoff=0.5)
     return f"; did you mean {close[0]!r}?" if close else ""
--- a/packages/chalkyoke/src/chalkyoke/tests/test_linelog.py
+++ b/packages/chalkyoke/src/chalkyoke/tests/test_linelog.py
@@ -2,7 +2,7 @@
 import os
 
 import logbook
-from chalkyoke.linelog import MAX_HELD_BYTES, LineHandler, LineWriter
+from chalkyoke.linelog import MAX_BUFFERED_BYTES, LineHandler, LineWriter
 
 
 class Later:
@@ -31,7 +31,7 @@
         lines.write(line)
         later.run()
     assert lines.dropped > 0
-    assert len(lines._held) <= MAX_HELD_BYTES
+    assert len(lines._buffer) <= MAX_BUFFERED_BYTES
     taken = os.read(reader, 1 << 20)
     later.run()
     taken += os.read(reader, 1 << 20)
--- a/packages/chalkyoke/src/chalkyoke/upstreams/client.py
+++ b/packages/chalkyoke/src/chalkyoke/upstreams/client.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from chalkyoke.exceptions import ChalkyokeError
-from chalkyoke.rests import read_seconds
+from chalkyoke.retry_after import parse_retry_after
 from chalkyoke.scheduling.messages import CacheEvent, LoadReport
 from chalkyoke.upstreams.messages import (
     CallOutcome,
@@ -175,7 +175,9 @@
             text = ""
         response.release()
         return Declined(
-            response.status, text.strip(), read_seconds(response.headers.get("Retry-After", ""))
+            response.status,
+            text.strip(),
+            parse_retry_after(response.headers.get("Retry-After", "")),
         )
 
 
--- a/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from chalkyoke.rests import bounded
+from chalkyoke.retry_after import cap_retry_after
 
 # Service unavailable (RFC 9110): with a time, the upstream wants nothing of its caller for so long.
 SERVICE_UNAVAILABLE = 503
@@ -54,7 +54,7 @@
     @property
     def rest_s(self) -> float:
         """For how long the upstream wants nothing of this process, in seconds."""
-        return bounded(self.retry_after_s) if self.status == SERVICE_UNAVAILABLE else 0.0
+        return cap_retry_after(self.retry_after_s) if self.status == SERVICE_UNAVAILABLE else 0.0
 
 
 CallOutcome = Opened | NotConnected | NotPermitted | NoAnswer | Declined
