--- a/packages/chalkyoke/src/chalkyoke/entry/dispatcher.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/dispatcher.py
@@ -185,7 +185,9 @@
     def _record_first_byte(self, run: Run, response: aiohttp.ClientResponse) -> None:
         run.start_answer(AnswerHead(200, response.headers.get("Content-Type", "")))
         self._events.add(EventKind.FIRST_BYTE, run.id)
-        self._metrics.time("first_byte", self._now() - run.arrived, tier=run.request.tier)
+        self._metrics.record_duration(
+            "first_byte", self._now() - run.arrived, tier=run.request.tier
+        )
 
     async def _relay_error(self, run: Run, response: aiohttp.ClientResponse) -> None:
         """Relay an engine's 4xx response as the complete answer to a request that it rejects."""
