--- a/packages/chalkyoke/src/chalkyoke/links/tests/test_keepalive.py
+++ b/packages/chalkyoke/src/chalkyoke/links/tests/test_keepalive.py
@@ -58,7 +58,7 @@
         await beats(caller, 2.0)
         before = len(taken)
         assert before == 8
-        net.silence()
+        net.silence_connections()
         await beats(caller, SILENT_S + 3 * BEAT_S)
         assert len(taken) > before
         assert caller.counters.silent == 1
@@ -77,7 +77,7 @@
         taken = []
         caller, net = await linked(lambda c, m: taken.append(m))
         await beats(caller, 2.0)
-        net.give_up(TimeoutError(errno.ETIMEDOUT, "timed out"))
+        net.fail_connections(TimeoutError(errno.ETIMEDOUT, "timed out"))
         before = len(taken)
         await beats(caller, 2.0)
         assert len(taken) > before + 4
@@ -92,7 +92,7 @@
         await asyncio.sleep(20.0)
         await beats(caller, 4.0)
         assert caller.counters.silent == 0 and caller.counters.dropped == 0
-        assert net.opened == 1
+        assert net.opened_count == 1
 
     virtual.run(main)
 
--- a/packages/chalkyoke/src/chalkyoke/membership/tests/test_large_domain.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/tests/test_large_domain.py
@@ -56,30 +56,30 @@
     }
     for count, most in bounds.items():
         fleet = settled(count)
-        assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
-        fleet.heard.clear()
-        fleet.sent.clear()
+        assert all(fleet.live_hosts(viewer) == everyone(fleet) for viewer in fleet.views)
+        fleet.received_by_host.clear()
+        fleet.sent_by_host.clear()
         fleet.run(20)
         few = set(monitors(fleet) + monitors(fleet, "b"))
         for host in everyone(fleet) - few:
-            assert (fleet.heard[host] + fleet.sent[host]) / 20 <= most
+            assert (fleet.received_by_host[host] + fleet.sent_by_host[host]) / 20 <= most
 
 
 def test_catalog_versions_are_not_broadcast_by_every_member():
     fleet = settled()
-    fleet.messages = 0
+    fleet.message_count = 0
     for version in range(2, 12):
         for view in fleet.views.values():
             view.update_self(hosts_version=version)
         fleet.run(0.5)
     all_to_all_messages = 10 * 2 * SIZE * (SIZE - 1)
-    assert fleet.messages < all_to_all_messages / 10
+    assert fleet.message_count < all_to_all_messages / 10
 
 
 def test_simultaneous_start_converges_within_two_seconds():
     fleet = Fleet(sizes())
     fleet.run(2)
-    assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
+    assert all(fleet.live_hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
 def test_simultaneous_start_of_five_domains_converges_in_time_for_quotas():
@@ -89,23 +89,23 @@
     """
     fleet = Fleet({domain: [f"{domain}{n}" for n in range(39)] for domain in "abcde"})
     fleet.run(1.25)
-    seen = sorted(len(fleet.hosts(viewer)) for viewer in fleet.views)
+    seen = sorted(len(fleet.live_hosts(viewer)) for viewer in fleet.views)
     assert seen[len(seen) // 10] >= 0.9 * len(fleet.views)
     fleet.run(1.25)
-    assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
+    assert all(fleet.live_hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
 def test_simultaneous_start_opens_few_links():
     """The first message to a host opens a link, with a handshake of four messages."""
     fleet = Fleet(sizes())
     linked_pairs = set()
-    carry = fleet.carry
+    carry = fleet.deliver
 
     def record_and_carry(sender, sends):
         linked_pairs.update((sender.record.host, each.address) for each in sends)
         carry(sender, sends)
 
-    fleet.carry = record_and_carry
+    fleet.deliver = record_and_carry
     fleet.run(3)
     few = set(monitors(fleet) + monitors(fleet, "b"))
     by_others = [pair for pair in linked_pairs if pair[0] not in few]
@@ -120,7 +120,7 @@
         fleet.kill(killed)
         fleet.run(FOUND_S)
         for viewer in fleet.views:
-            assert killed not in fleet.hosts(viewer), (killed, viewer)
+            assert killed not in fleet.live_hosts(viewer), (killed, viewer)
 
 
 def test_simultaneous_loss_of_all_monitors_removes_no_other_member():
@@ -132,22 +132,22 @@
         fleet.run(0.25)
         for viewer in fleet.views:
             own = {host for host in fleet.views if host[0] == viewer[0]}
-            assert fleet.hosts(viewer) >= own, viewer
-    assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
+            assert fleet.live_hosts(viewer) >= own, viewer
+    assert all(fleet.live_hosts(viewer) == everyone(fleet) for viewer in fleet.views)
     assert not killed & set(monitors(fleet))
 
 
 def test_partitioned_host_knows_all_others_again_after_healing():
     fleet = settled()
     for host in ("a7", monitors(fleet)[0]):
-        fleet.cut = {host}
+        fleet.blocked = {host}
         fleet.run(12)
-        assert fleet.hosts(host) == {host}
+        assert fleet.live_hosts(host) == {host}
         others = everyone(fleet) - {host}
-        assert all(fleet.hosts(viewer) == others for viewer in others)
-        fleet.cut = set()
+        assert all(fleet.live_hosts(viewer) == others for viewer in others)
+        fleet.blocked = set()
         fleet.run(3)
-        assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
+        assert all(fleet.live_hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
 def test_domain_partitioned_in_two_halves_merges_after_healing():
@@ -155,21 +155,21 @@
     ours = {f"a{n}" for n in range(SIZE // 2)}
     theirs = {f"a{n}" for n in range(SIZE // 2, SIZE)}
     pairs = list(itertools.product(ours, theirs))
-    fleet.cut = set(pairs) | {(other, one) for one, other in pairs}
+    fleet.blocked = set(pairs) | {(other, one) for one, other in pairs}
     fleet.run(12)
-    assert not fleet.hosts("a0") & theirs
-    fleet.cut = set()
+    assert not fleet.live_hosts("a0") & theirs
+    fleet.blocked = set()
     fleet.run(20)
-    assert all(fleet.hosts(viewer) == everyone(fleet) for viewer in fleet.views)
+    assert all(fleet.live_hosts(viewer) == everyone(fleet) for viewer in fleet.views)
 
 
 def test_one_way_link_loss_keeps_members_that_other_monitors_receive():
     fleet = settled()
     first = monitors(fleet)[0]
-    fleet.cut = {("a9", first)}
+    fleet.blocked = {("a9", first)}
     fleet.run(20)
     for viewer in everyone(fleet):
-        assert "a9" in fleet.hosts(viewer), viewer
+        assert "a9" in fleet.live_hosts(viewer), viewer
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/packages/chalkyoke/src/chalkyoke/membership/tests/test_view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/tests/test_view.py
@@ -8,7 +8,7 @@
 from chalkyoke.membership.state import Candidate, Joined, Left
 from chalkyoke.membership.view import MembershipView
 
-from tests.memberfleet import DelayedFleet, Fleet, record
+from tests.memberfleet import DelayedFleet, Fleet, member_record
 
 TWO = {"d1": ["a1", "a2", "a3"], "d2": ["b1", "b2", "b3"]}
 ALL = {"a1", "a2", "a3", "b1", "b2", "b3"}
@@ -17,7 +17,7 @@
 def test_all_processes_of_all_domains_are_seen():
     fleet = Fleet(TWO)
     fleet.run(3)
-    assert all(fleet.hosts(viewer) == ALL for viewer in ALL)
+    assert all(fleet.live_hosts(viewer) == ALL for viewer in ALL)
     owners = {view.pool_owner("p").host for view in fleet.views.values()}
     assert len(owners) == 1
 
@@ -25,23 +25,23 @@
 def test_silent_process_is_removed_from_every_view():
     fleet = Fleet(TWO)
     fleet.run(3)
-    fleet.cut.add("a1")
+    fleet.blocked.add("a1")
     fleet.run(6)
-    assert all(fleet.hosts(viewer) == ALL - {"a1"} for viewer in ALL - {"a1"})
+    assert all(fleet.live_hosts(viewer) == ALL - {"a1"} for viewer in ALL - {"a1"})
 
 
 def test_each_side_of_a_partition_has_an_owner_and_views_merge_after_healing():
     fleet = Fleet(TWO)
     fleet.run(3)
-    fleet.cut = {(a, b) for a in TWO["d1"] for b in TWO["d2"]} | {
+    fleet.blocked = {(a, b) for a in TWO["d1"] for b in TWO["d2"]} | {
         (b, a) for a in TWO["d1"] for b in TWO["d2"]
     }
     fleet.run(6)
-    assert fleet.hosts("a1") == set(TWO["d1"])
+    assert fleet.live_hosts("a1") == set(TWO["d1"])
     assert fleet.views["b1"].pool_owner("p").host in TWO["d2"]
-    fleet.cut = set()
+    fleet.blocked = set()
     fleet.run(4)
-    assert all(fleet.hosts(viewer) == ALL for viewer in ALL)
+    assert all(fleet.live_hosts(viewer) == ALL for viewer in ALL)
 
 
 def test_traffic_between_domains_does_not_grow_with_their_square():
@@ -49,15 +49,15 @@
     for size in (5, 20):
         fleet = Fleet({d: [f"{d}{i}" for i in range(size)] for d in ("x", "y")})
         fleet.run(3)
-        before = fleet.crossing
+        before = fleet.cross_domain_messages
         fleet.run(10)
-        counts.append(fleet.crossing - before)
+        counts.append(fleet.cross_domain_messages - before)
     assert 0 < counts[1] <= 1.25 * counts[0]
 
 
 def test_restarted_host_replaces_its_earlier_incarnation_for_good():
-    view = MembershipView(record("me"))
-    old, new = record("h", incarnation=7), record("h", incarnation=8)
+    view = MembershipView(member_record("me"))
+    old, new = member_record("h", incarnation=7), member_record("h", incarnation=8)
     assert view.receive("h:1", Heartbeat(old, 5), 0.0)[0] == [Joined(old)]
     assert view.receive("h:1", Heartbeat(new, 1), 0.1)[0] == [Left(old), Joined(new)]
     assert view.receive("h:1", Heartbeat(old, 6), 0.2)[0] == []
@@ -65,15 +65,15 @@
 
 
 def test_duplicate_of_an_old_heartbeat_keeps_no_process_alive():
-    view = MembershipView(record("me"))
-    view.receive("h:1", Heartbeat(record("h"), 5), 0.0)
-    view.receive("h:1", Heartbeat(record("h"), 5), 3.0)
+    view = MembershipView(member_record("me"))
+    view.receive("h:1", Heartbeat(member_record("h"), 5), 0.0)
+    view.receive("h:1", Heartbeat(member_record("h"), 5), 3.0)
     assert [type(each) for each in view.tick(3.1)] == [Left]
 
 
 def test_a_leaving_process_owns_no_pool():
-    view = MembershipView(record("me"))
-    view.receive("h:1", Heartbeat(record("h"), 1), 0.0)
+    view = MembershipView(member_record("me"))
+    view.receive("h:1", Heartbeat(member_record("h"), 1), 0.0)
     view.update_self(leaving=True)
     assert view.pool_owner("any").host == "h"
 
@@ -102,10 +102,10 @@
 
 
 def test_short_heartbeat_keeps_a_known_process_alive_and_adds_no_unknown_one():
-    view = MembershipView(record("me"))
+    view = MembershipView(member_record("me"))
     short = ShortHeartbeat("h", 1, "d1", 9)
     assert view.receive("h:1", short, 0.0) == ([], [])
-    view.receive("h:1", Heartbeat(record("h"), 8), 0.0)
+    view.receive("h:1", Heartbeat(member_record("h"), 8), 0.0)
     view.receive("h:1", short, 1.4)
     assert view.tick(2.5) == []
     assert view.receive("h:1", ShortHeartbeat("h", 2, "d1", 99), 2.6) == ([], [])
@@ -113,7 +113,7 @@
 
 
 def test_changed_record_is_sent_in_full_at_once():
-    view = MembershipView(record("me"))
+    view = MembershipView(member_record("me"))
     view.set_candidates([Candidate("h", "h:1", "d1")])
     kinds = [type(view.due_messages(i)[0].message) for i in range(1, 20)]
     assert ShortHeartbeat in kinds
@@ -122,15 +122,15 @@
 
 
 def test_every_change_of_the_view_raises_its_generation():
-    view = MembershipView(record("me"))
+    view = MembershipView(member_record("me"))
     shown, seen = [], []
     digest = Digest("d2", "x/1", 1)
     for step in (
-        lambda: view.receive("h:1", Heartbeat(record("h"), 1), 0.0),
-        lambda: view.receive("h:1", Heartbeat(record("h", ready=False), 2), 0.1),
-        lambda: view.receive("h:1", Heartbeat(record("h", incarnation=2), 1), 0.2),
+        lambda: view.receive("h:1", Heartbeat(member_record("h"), 1), 0.0),
+        lambda: view.receive("h:1", Heartbeat(member_record("h", ready=False), 2), 0.1),
+        lambda: view.receive("h:1", Heartbeat(member_record("h", incarnation=2), 1), 0.2),
         lambda: view.update_self(leaving=True),
-        lambda: view.receive("x:1", Summary(digest, (record("x", "d2"),)), 0.3),
+        lambda: view.receive("x:1", Summary(digest, (member_record("x", "d2"),)), 0.3),
         lambda: view.tick(60.0),
         lambda: view.receive("h:1", ShortHeartbeat("h", 2, "d1", 9), 61.0),
     ):
@@ -142,7 +142,7 @@
 
 
 def newcomer(host, domain="d1"):
-    return MembershipView(record(host, domain, incarnation=77))
+    return MembershipView(member_record(host, domain, incarnation=77))
 
 
 def test_new_member_does_not_report_its_domain_to_other_domains():
@@ -207,22 +207,22 @@
     for count in (8, 24):
         fleet = Fleet(large(count))
         fleet.run(10)
-        fleet.messages = 0
+        fleet.message_count = 0
         fleet.run(10)
-        assert len(fleet.hosts("a0")) == count + 2
-        messages_per_member.append(fleet.messages / count)
+        assert len(fleet.live_hosts("a0")) == count + 2
+        messages_per_member.append(fleet.message_count / count)
     assert messages_per_member[1] <= 1.25 * messages_per_member[0]
 
 
 def test_large_domain_removes_a_silent_member_in_seconds_and_no_other():
     fleet = Fleet(large(24))
     fleet.run(10)
-    fleet.cut.add("a7")
+    fleet.blocked.add("a7")
     fleet.run(3.5)
     for viewer in ("a0", "a23", "b1"):
-        assert "a7" not in fleet.hosts(viewer)
+        assert "a7" not in fleet.live_hosts(viewer)
     fleet.run(20)
-    assert len(fleet.hosts("a0")) == 25
+    assert len(fleet.live_hosts("a0")) == 25
 
 
 def test_change_is_broadcast_at_once_in_a_large_domain():
@@ -239,7 +239,7 @@
     domains = {name: [f"{name}{number}" for number in range(6)] for name in "abcd"}
     fleet = DelayedFleet(domains)
     fleet.run(4.0)
-    assert {len(fleet.hosts(host)) for host in fleet.views} == {24}
+    assert {len(fleet.live_hosts(host)) for host in fleet.views} == {24}
     few = (fleet.views["d0"].record,)
     outdated = Summary(Digest("d", few[0].process, checksum(few)), few)
     for host in ("b1", "b3", "b5"):
@@ -247,7 +247,7 @@
     fleet.run(1.0)
     for _ in range(200):
         fleet.run(0.03)
-        assert {len(fleet.hosts(host)) for host in fleet.views} == {24}
+        assert {len(fleet.live_hosts(host)) for host in fleet.views} == {24}
 
 
 # Guards against incomplete views of other domains after a simultaneous restart of all hosts: their
@@ -257,11 +257,11 @@
     domains = {name: [f"{name}{number}" for number in range(size)] for name in "abc"}
     fleet = DelayedFleet(domains)
     fleet.run(4.0)
-    for each in fleet.listed:
+    for each in fleet.candidates:
         fleet.kill(each.host)
-    for each in fleet.listed:
+    for each in fleet.candidates:
         fleet.start(each.host, incarnation=2)
     fleet.run(3.0)
     for _ in range(40):
         fleet.run(0.05)
-        assert {len(fleet.hosts(host)) for host in fleet.views} == {3 * size}
+        assert {len(fleet.live_hosts(host)) for host in fleet.views} == {3 * size}
--- a/scripts/proofs.py
+++ b/scripts/proofs.py
@@ -31,10 +31,14 @@
 
 def shedding(seed: int) -> Played:
     """Drive one scheduler under random overload, with the naive check."""
-    from tests.overload import overload
+    from tests.overload import run_overload
 
     try:
-        return seed, {str(name): count for name, count in overload(seed, 4000).counts.items()}, ""
+        return (
+            seed,
+            {str(name): count for name, count in run_overload(seed, 4000).counts.items()},
+            "",
+        )
     except BaseException as error:
         return seed, {}, f"{type(error).__name__}: {error}"
 
--- a/tests/memberfleet.py
+++ b/tests/memberfleet.py
@@ -14,7 +14,7 @@
 INTERVAL_S = 0.25
 
 
-def record(host, domain="d1", incarnation=1, **changes):
+def member_record(host, domain="d1", incarnation=1, **changes):
     fields = {"leaving": False, "ready": True, "revision": 1, "hosts_version": 1, **changes}
     return MemberRecord(host, incarnation, f"{host}:1", "", domain, **fields)
 
@@ -31,27 +31,29 @@
 
     def __init__(self, domains, capacities=None):
         self.views = {}
-        self.cut = set()
+        self.blocked = set()
         self.now = 0.0
-        self.messages = 0
-        self.crossing = 0
-        self.heard = Counter()
-        self.sent = Counter()
+        self.message_count = 0
+        self.cross_domain_messages = 0
+        self.received_by_host = Counter()
+        self.sent_by_host = Counter()
         self.capacities = capacities or {}
-        self.listed = [
+        self.candidates = [
             Candidate(host, f"{host}:1", domain, self.capacities.get(host, 1.0))
             for domain, hosts in domains.items()
             for host in hosts
         ]
-        for each in self.listed:
+        for each in self.candidates:
             self.start(each.host)
 
     def start(self, host, incarnation=1, ready=True):
         """Start a host, or start it anew, as a process that knows the list only."""
-        found = next(each for each in self.listed if each.host == host)
-        made = record(host, found.failure_domain, incarnation, ready=ready, capacity=found.capacity)
+        found = next(each for each in self.candidates if each.host == host)
+        made = member_record(
+            host, found.failure_domain, incarnation, ready=ready, capacity=found.capacity
+        )
         self.views[host] = MembershipView(made)
-        self.views[host].set_candidates(self.listed)
+        self.views[host].set_candidates(self.candidates)
 
     def kill(self, host):
         """End a process; its host answers nobody."""
@@ -62,27 +64,31 @@
         while self.now < end:
             self.now += INTERVAL_S
             for host, view in list(self.views.items()):
-                if host not in self.cut:
-                    self.carry(view, view.due_messages(self.now))
+                if host not in self.blocked:
+                    self.deliver(view, view.due_messages(self.now))
             for view in self.views.values():
                 view.tick(self.now)
 
-    def carry(self, sender, sends):
+    def deliver(self, sender, sends):
         for send in sends:
-            self.messages += 1
-            self.sent[sender.record.host] += 1
+            self.message_count += 1
+            self.sent_by_host[sender.record.host] += 1
             target = self.views.get(send.address.split(":")[0])
-            if target is None or not self.reaches(sender.record.host, target.record.host):
+            if target is None or not self.can_reach(sender.record.host, target.record.host):
                 continue
-            self.heard[target.record.host] += 1
-            self.crossing += sender.domain != target.domain
+            self.received_by_host[target.record.host] += 1
+            self.cross_domain_messages += sender.domain != target.domain
             _, answers = target.receive(sender.record.address, send.message, self.now)
-            self.carry(target, answers)
+            self.deliver(target, answers)
 
-    def reaches(self, one, other):
-        return one not in self.cut and other not in self.cut and (one, other) not in self.cut
+    def can_reach(self, one, other):
+        return (
+            one not in self.blocked
+            and other not in self.blocked
+            and (one, other) not in self.blocked
+        )
 
-    def hosts(self, viewer):
+    def live_hosts(self, viewer):
         return {each.host for each in self.views[viewer].live()}
 
 
@@ -108,20 +114,20 @@
             if beats[0][0] > at:
                 _, _, sender, target, message = heapq.heappop(self._on_way)
                 _, answers = self.views[target].receive(f"{sender}:1", message, at)
-                self.carry(self.views[target], answers)
+                self.deliver(self.views[target], answers)
                 continue
             _, host = heapq.heappop(beats)
             self.views[host].tick(at)
-            self.carry(self.views[host], self.views[host].due_messages(at))
+            self.deliver(self.views[host], self.views[host].due_messages(at))
             heapq.heappush(beats, (at + INTERVAL_S, host))
         self.now = end
 
     def _next_beat(self, host):
         return ((math.floor(self.now / INTERVAL_S) + 1) * INTERVAL_S, host)
 
-    def carry(self, sender, sends):
+    def deliver(self, sender, sends):
         for send in sends:
             target = send.address.split(":")[0]
-            if target in self.views and self.reaches(sender.record.host, target):
+            if target in self.views and self.can_reach(sender.record.host, target):
                 each = (self.now + self.delay_s, next(self._numbers), sender.record.host)
                 heapq.heappush(self._on_way, (*each, target, send.message))
--- a/tests/memorynet.py
+++ b/tests/memorynet.py
@@ -112,7 +112,7 @@
 
     def __init__(self, loop):
         self.listeners = {}
-        self.opened = 0
+        self.opened_count = 0
         self._loop = loop
         self._ends = []
         loop.create_server = self._create_server
@@ -126,7 +126,7 @@
         accepted = self.listeners.get((host, port))
         if accepted is None:
             raise ConnectionRefusedError(f"{host}:{port}")
-        self.opened += 1
+        self.opened_count += 1
         here = MemoryTransport(self._loop, factory())
         there = MemoryTransport(self._loop, accepted())
         here.peer, there.peer = there, here
@@ -136,13 +136,13 @@
         await asyncio.sleep(0)
         return here, here._protocol
 
-    def give_up(self, error):
+    def fail_connections(self, error):
         """Let the system give up all open connections, each end for itself."""
         ends, self._ends = self._ends, []
         for end in ends:
             end.fail(error)
 
-    def silence(self):
+    def silence_connections(self):
         """Let all open connections carry nothing any more, not even their end."""
         for end in self._ends:
             end.is_silent = True
--- a/tests/overload.py
+++ b/tests/overload.py
@@ -224,7 +224,7 @@
             assert not (lower and share), f"{shed.request} of {acquire.tier} before {other.tier}"
 
 
-def overload(seed, steps=1500, make=PoolScheduler):
+def run_overload(seed, steps=1500, make=PoolScheduler):
     """Drive one seed and return the counts."""
     run = Overload(seed, make)
     for _ in range(steps):
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from tests.naive import NaiveRefuser, NaiveScheduler
-from tests.overload import overload
+from tests.overload import run_overload
 
 
 def _compare(seed, steps):
-    real, naive = overload(seed, steps), overload(seed, steps, NaiveScheduler)
+    real, naive = run_overload(seed, steps), run_overload(seed, steps, NaiveScheduler)
     for index, (one, other) in enumerate(zip(real.log, naive.log, strict=False)):
         assert one == other, f"decision {index} of seed {seed}"
     assert len(real.log) == len(naive.log)
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -10,12 +10,12 @@
 from chalkyoke.scheduling import refusals
 
 from tests import plants
-from tests.overload import overload
+from tests.overload import run_overload
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_higher_tier_is_shed_before_a_lower_one(seed):
-    run = overload(seed)
+    run = run_overload(seed)
     assert run.counts["granted"] > 100
     assert run.counts[Reason.SHED] > 5
 
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_full_queue_gives_up_the_lowest_tier(seed, monkeypatch):
     monkeypatch.setattr(refusals, "MAX_WAITING_REQUESTS", 12)
-    run = overload(seed)
+    run = run_overload(seed)
     assert len(run.waiting) <= 12
     assert run.counts["granted"] > 100
 
@@ -33,7 +33,7 @@
     plants.room_is_made_beside_only(monkeypatch)
     with pytest.raises((AssertionError, InvariantBroken)):
         for seed in range(8):
-            overload(seed)
+            run_overload(seed)
 
 
 @pytest.mark.parametrize(
@@ -43,5 +43,5 @@
     plant(monkeypatch)
     with pytest.raises((AssertionError, InvariantBroken)) as red:
         for seed in range(8):
-            overload(seed)
+            run_overload(seed)
     print(f"{plant.__name__}: seed {seed}: {red.value}")
