--- a/conftest.py
+++ b/conftest.py
@@ -12,7 +12,7 @@
 from hypothesis import HealthCheck, settings
 
 KNOWN_RED = Path(__file__).parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 settings.register_profile(
     "same-verdict",
@@ -24,19 +24,19 @@
 settings.load_profile("same-verdict")
 
 
-def known_red():
+def read_known_red():
     """Read the known red tests: reason by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text(encoding="utf-8").splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
-        raise pytest.UsageError(f"{KNOWN_RED.name} has more than {MOST_KNOWN_RED} lines")
+    if len(lines) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"{KNOWN_RED.name} has more than {MAX_KNOWN_RED} lines")
     return {name: reason.strip() for name, _, reason in (line.partition(": ") for line in lines)}
 
 
 def pytest_collection_modifyitems(items):
     """Let the known red tests fail, and no others."""
-    reasons = known_red()
+    reasons = read_known_red()
     for item in items:
         reason = reasons.get(item.nodeid)
         if reason is not None:
@@ -45,7 +45,7 @@
 
 def pytest_terminal_summary(terminalreporter):
     """Print the known red tests, and all that one of them that failed has to say."""
-    for name, reason in known_red().items():
+    for name, reason in read_known_red().items():
         terminalreporter.write_line(f"known red: {name}: {reason}")
     for report in terminalreporter.stats.get("xfailed", ()):
         terminalreporter.write_sep("_", f"known red, failed: {report.nodeid}")
--- a/tests/catalogfleet.py
+++ b/tests/catalogfleet.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True)
-class Copy:
+class StoreSnapshot:
     """What a store held at a moment."""
 
     items: dict
@@ -95,76 +95,76 @@
 
     def __init__(self):
         self.epoch = 1
-        self.away = False
-        self._went_away = asyncio.Event()
+        self.offline = False
+        self._offline_event = asyncio.Event()
         self.revision = 0
         self.items = {}
         self.history = []
         self.acknowledged = []
-        self.answer_s = STORE_ANSWER_S
-        self.refused = set()
-        self.silent = set()
-        self.calls = 0
-        self._changed = asyncio.Event()
-        self._silenced = asyncio.Event()
+        self.answer_delay_s = STORE_ANSWER_S
+        self.refused_hosts = set()
+        self.silent_hosts = set()
+        self.call_count = 0
+        self._change_event = asyncio.Event()
+        self._silence_event = asyncio.Event()
 
     def put(self, key, value):
         self.revision += 1
         self.items[key] = item = Item(key, value, self.revision)
-        self._note(item)
+        self._record_change(item)
 
     def remove(self, key):
         self.revision += 1
         del self.items[key]
-        self._note(Removed(key, self.revision))
+        self._record_change(Removed(key, self.revision))
 
-    def _note(self, change):
+    def _record_change(self, change):
         self.history.append(change)
         self.acknowledged.append((asyncio.get_running_loop().time(), change))
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
-    def copy(self):
-        return Copy(dict(self.items), list(self.history), self.revision)
+    def snapshot(self):
+        return StoreSnapshot(dict(self.items), list(self.history), self.revision)
 
-    def go_away(self):
+    def go_offline(self):
         """Break all calls in progress off, and turn all away until the store is back."""
-        self.away = True
-        self._went_away.set()
-        self._went_away = asyncio.Event()
+        self.offline = True
+        self._offline_event.set()
+        self._offline_event = asyncio.Event()
 
-    def restore(self, copy):
+    def restore(self, snapshot):
         """Come back from a copy: what was written since is gone, its revisions are free again."""
-        self.items, self.history = dict(copy.items), list(copy.history)
-        self.revision = copy.revision
+        self.items, self.history = dict(snapshot.items), list(snapshot.history)
+        self.revision = snapshot.revision
         self.epoch += 1
-        self.away = False
+        self.offline = False
 
     def silence_connections(self):
         """Let all calls in progress go without an answer for good; new ones are answered."""
-        self._silenced.set()
-        self._silenced = asyncio.Event()
+        self._silence_event.set()
+        self._silence_event = asyncio.Event()
 
     async def call(self, host, work):
         """Answer one call of a host, unless its connection goes silent."""
-        self.calls += 1
-        if self.away:
-            await asyncio.sleep(self.answer_s)
+        self.call_count += 1
+        if self.offline:
+            await asyncio.sleep(self.answer_delay_s)
             return Unavailable("reset", may_have_been_applied=False)
-        if host in self.refused:
-            await asyncio.sleep(self.answer_s)
+        if host in self.refused_hosts:
+            await asyncio.sleep(self.answer_delay_s)
             return Unavailable("503", may_have_been_applied=False)
-        if host in self.silent:
+        if host in self.silent_hosts:
             await asyncio.Event().wait()
-        silenced = asyncio.ensure_future(self._silenced.wait())
-        went_away = asyncio.ensure_future(self._went_away.wait())
+        silenced = asyncio.ensure_future(self._silence_event.wait())
+        offline = asyncio.ensure_future(self._offline_event.wait())
         answering = asyncio.ensure_future(work())
-        tasks = (silenced, went_away, answering)
+        tasks = (silenced, offline, answering)
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             if answering.done():
                 return answering.result()
-            if not went_away.done():
+            if not offline.done():
                 await asyncio.Event().wait()
             return Unavailable("reset", may_have_been_applied=True)
         finally:
@@ -172,17 +172,17 @@
                 each.cancel()
 
     async def read(self, prefix):
-        await asyncio.sleep(self.answer_s)
+        await asyncio.sleep(self.answer_delay_s)
         found = [item for key, item in self.items.items() if key.startswith(prefix)]
         return Listing(tuple(found), self.revision, self.epoch)
 
     async def watch(self, prefix, since, wait_s):
-        await asyncio.sleep(self.answer_s)
+        await asyncio.sleep(self.answer_delay_s)
         if since > self.revision:
             return HistoryLost()
         if since == self.revision:
             try:
-                await asyncio.wait_for(self._changed.wait(), wait_s)
+                await asyncio.wait_for(self._change_event.wait(), wait_s)
             except TimeoutError:
                 return Changes((), since, self.epoch)
         found = {
@@ -201,15 +201,19 @@
         self._host = host
 
     async def read(self, prefix):
-        return await self._within(platform_store.CALL_TIMEOUT_S, lambda: self._store.read(prefix))
+        return await self._call_with_timeout(
+            platform_store.CALL_TIMEOUT_S, lambda: self._store.read(prefix)
+        )
 
     async def watch(self, prefix, since, wait_s, answer_s):
-        limit_s = wait_s + answer_s
-        return await self._within(limit_s, lambda: self._store.watch(prefix, since, wait_s))
+        timeout_s = wait_s + answer_s
+        return await self._call_with_timeout(
+            timeout_s, lambda: self._store.watch(prefix, since, wait_s)
+        )
 
-    async def _within(self, limit_s, work):
+    async def _call_with_timeout(self, timeout_s, work):
         try:
-            return await asyncio.wait_for(self._store.call(self._host, work), limit_s)
+            return await asyncio.wait_for(self._store.call(self._host, work), timeout_s)
         except TimeoutError:
             return Unavailable("timed out", may_have_been_applied=True)
 
@@ -223,27 +227,29 @@
         self.sent_bytes = 0
         self.bytes_by_kind = Counter()
         self.dropped = 0
-        self.most_unsent_s = 0.0
+        self.max_queued_s = 0.0
         self._codec = FrameCodec(())
-        self._free_up = {}
-        self._free_down = {}
+        self._uplink_free_at = {}
+        self._downlink_free_at = {}
 
     def send(self, source, target, message):
         loop = asyncio.get_running_loop()
         now = loop.time()
         size = len(self._codec.encode(Stamp(1, 1), message)) + 60
-        waiting_s = max(0.0, self._free_up.get(source, 0.0) - now)
-        self.most_unsent_s = max(self.most_unsent_s, waiting_s)
+        waiting_s = max(0.0, self._uplink_free_at.get(source, 0.0) - now)
+        self.max_queued_s = max(self.max_queued_s, waiting_s)
         if waiting_s * self.bytes_per_s > MAX_UNSENT_BYTES:
             self.dropped += 1
             return
         self.sent_bytes += size
         self.bytes_by_kind[type(message).__name__] += size
-        up = now + waiting_s + size / self.bytes_per_s
-        self._free_up[source] = up
-        down = max(up, self._free_down.get(target, 0.0)) + size / self.bytes_per_s
-        self._free_down[target] = down
-        loop.call_at(down + LINK_DELAY_S, self._deliver, source, target, message)
+        sent_at = now + waiting_s + size / self.bytes_per_s
+        self._uplink_free_at[source] = sent_at
+        received_at = (
+            max(sent_at, self._downlink_free_at.get(target, 0.0)) + size / self.bytes_per_s
+        )
+        self._downlink_free_at[target] = received_at
+        loop.call_at(received_at + LINK_DELAY_S, self._deliver, source, target, message)
 
     def _deliver(self, source, target, message):
         node = self.nodes.get(target)
@@ -271,7 +277,7 @@
         record = MemberRecord(host, 1, self.address, "", domain, False, True, 0, 0)
         self.view = MembershipView(record, DEFAULT_INTERVAL_S)
         self.state = CatalogState(documents.read_catalog, documents.read_record)
-        self.keeper = CatalogSynchronizer(
+        self.synchronizer = CatalogSynchronizer(
             self.state,
             StoreClient(fleet.store, host),
             KEYS,
@@ -286,33 +292,33 @@
 
     def receive(self, address, message):
         if not isinstance(message, MEMBERSHIP_MESSAGES):
-            self.keeper.receive(address, message)
+            self.synchronizer.receive(address, message)
             return
         _, sends = self.view.receive(address, message, self._now())
         for send in sends:
             self.links.send(send.address, send.message)
         if isinstance(message, Heartbeat):
-            self.keeper.receive_heartbeat(address, message.record)
+            self.synchronizer.receive_heartbeat(address, message.record)
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while True:
             for send in self.view.due_messages(self._now()):
                 self.links.send(send.address, send.message)
             await asyncio.sleep(DEFAULT_INTERVAL_S)
 
-    async def tick(self):
+    async def tick_view(self):
         while True:
             self.view.tick(self._now())
             await asyncio.sleep(TICK_S)
 
-    def knows(self, change):
+    def has_applied(self, change):
         """Tell whether this node goes by a change or by a newer one."""
         if change.key == KEYS.document:
-            return self.state.catalog.version >= version_of(change)
+            return self.state.catalog.version >= read_version(change)
         return self.state.replicas_revision >= change.revision
 
 
-def version_of(change):
+def read_version(change):
     """Read the version at the head of a configuration."""
     return int(change.value[:40].split(b",")[0].split(b":")[1])
 
@@ -358,11 +364,11 @@
         self._loops = []
         for node in self.nodes:
             node.view.set_candidates(listed)
-            for loop in (node.keeper.run(), node.beat(), node.tick()):
+            for loop in (node.synchronizer.run(), node.send_heartbeats(), node.tick_view()):
                 self._loops.append(asyncio.ensure_future(loop))
-        self._loops.append(asyncio.ensure_future(self._sample()))
+        self._loops.append(asyncio.ensure_future(self._sample_lag()))
 
-    async def _sample(self):
+    async def _sample_lag(self):
         """Note for each node how old the oldest change is that it does not know."""
         done = {node.host: 0 for node in self.nodes}
         while True:
@@ -371,7 +377,7 @@
                 known = done[node.host]
                 while known < len(self.store.acknowledged):
                     at, change = self.store.acknowledged[known]
-                    if not node.knows(change):
+                    if not node.has_applied(change):
                         if now - at > self.lag.worst_s and now > 5.0:
                             self.lag = Lag(now - at, node.host, change.key, at)
                         break
@@ -383,7 +389,7 @@
         self.version += 1
         self.store.put(KEYS.document, configuration(self.version, self.routes, marked))
 
-    def drain(self, number):
+    def drain_replica(self, number):
         self.store.put(f"{KEYS.records[0]}i-{number:04d}", replica(number, "draining"))
 
     def watchers(self):
@@ -391,6 +397,6 @@
         return {node.host for node in self.nodes if node.view.holds_duty(WATCH_DUTY, 2)}
 
 
-def play(make):
+def play(coroutine_function):
     """Play a coroutine function in virtual time."""
-    return virtual.run(make)
+    return virtual.run(coroutine_function)
--- a/tests/gatewayfleet.py
+++ b/tests/gatewayfleet.py
@@ -30,20 +30,20 @@
 # How long a fleet takes until all know each other, in seconds.
 SETTLED_S = 3.0
 # How long a check may play, in virtual seconds: one that waits in vain would go on for ever.
-MOST_PLAYED_S = 120.0
+MAX_PLAY_S = 120.0
 
 
 class _StoreClient(catalogfleet.StoreClient):
     """One host's way to the store, writes and leases with it."""
 
     async def write(self, key, value, *, lease=0, expected=None):
-        if self._store.away:
+        if self._store.offline:
             return Unavailable("reset", may_have_been_applied=False)
         self._store.put(key, value)
         return Written(self._store.revision, self._store.epoch)
 
     async def grant_lease(self, ttl_s):
-        if self._store.away:
+        if self._store.offline:
             return Unavailable("reset", may_have_been_applied=False)
         return LeaseGranted(1, ttl_s, self._store.epoch)
 
@@ -65,7 +65,7 @@
 
 
 @dataclass
-class Got:
+class CallerAnswer:
     """What a caller got.
 
     :ivar whole: whether the answer ended as it should.
@@ -103,7 +103,7 @@
         self.net = MemoryNet(loop)
         self.store = catalogfleet.Store()
         self.store.put("op/config", json.dumps(default_configuration()).encode())
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         for number in range(self.replicas):
             domain = self.domains[number * len(self.domains) // self.replicas]
             self.models.append(await self.add_replica(f"m{number}", "model", domain, True))
@@ -162,7 +162,9 @@
             parts.keys,
         )
 
-    async def ask(self, node, path, body=b"{}", *, method="POST", key=KEY, until_whole=False):
+    async def send_request(
+        self, node, path, body=b"{}", *, method="POST", key=KEY, until_whole=False
+    ):
         """Send one request as a caller, on a connection of its own.
 
         :param until_whole: leave as soon as the answer is whole; else once the node has closed,
@@ -170,7 +172,7 @@
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        request = f"q{next(self._numbers)}"
+        request = f"q{next(self._request_numbers)}"
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {request}\r\n"
             f"X-Deadline-Ms: {DEADLINE_MS}\r\nX-Credential: {key}\r\n"
@@ -179,14 +181,14 @@
         try:
             reader, writer = await asyncio.open_connection(_ip(node), 80)
         except ConnectionRefusedError:
-            return Got(0, {}, b"", False, 0.0, request, node, began)
+            return CallerAnswer(0, {}, b"", False, 0.0, request, node, began)
         writer.write(head.encode() + body)
         try:
-            answer = await _read_whole(reader) if until_whole else await reader.read()
+            answer = await _read_complete_answer(reader) if until_whole else await reader.read()
         except ConnectionResetError:
             answer = b""
         writer.close()
-        got = _read(answer, loop.time() - began)
+        got = _parse_answer(answer, loop.time() - began)
         got.request, got.node, got.asked_at = request, node, began
         return got
 
@@ -195,35 +197,35 @@
     return f"10.1.0.{node + 1}"
 
 
-async def _read_whole(reader):
+async def _read_complete_answer(reader):
     answer = b""
-    while not _read(answer, 0.0).whole and (more := await reader.read(65_536)):
+    while not _parse_answer(answer, 0.0).whole and (more := await reader.read(65_536)):
         answer += more
     return answer
 
 
-def _read(answer, took_s):
+def _parse_answer(answer, took_s):
     head, _, body = answer.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     if len(lines) < 2:
-        return Got(0, {}, b"", False, took_s)
+        return CallerAnswer(0, {}, b"", False, took_s)
     pairs = (line.partition(":") for line in lines[1:])
     headers = {name.lower(): value.strip() for name, _, value in pairs}
     if "content-length" in headers:
         whole = len(body) == int(headers["content-length"])
     else:
         whole = body.endswith(b"0\r\n\r\n")
-    return Got(int(lines[0].split(" ")[1]), headers, body, whole, took_s)
+    return CallerAnswer(int(lines[0].split(" ")[1]), headers, body, whole, took_s)
 
 
 def play(check, **fleet):
     """Run a check on a started fleet, in virtual time and without log lines."""
 
     async def main():
-        played = GatewayFleet(**fleet)
-        await played.start()
-        async with asyncio.timeout(MOST_PLAYED_S):
-            await check(played)
+        fleet_under_test = GatewayFleet(**fleet)
+        await fleet_under_test.start()
+        async with asyncio.timeout(MAX_PLAY_S):
+            await check(fleet_under_test)
 
     # The nodes spread equal choices by it: the same play each time.
     random.seed(0)
--- a/tests/limits.py
+++ b/tests/limits.py
@@ -8,10 +8,10 @@
 
 from chalkyoke_fakes.soak.limits import most_allowed, worst_window
 
-__all__ = ["most_allowed", "over_limits"]
+__all__ = ["most_allowed", "worst_windows"]
 
 
-def told_at(got):
+def first_limit_times(got):
     """Find when each node had first passed on an answer that names a limit, by start of a replica.
 
     :return: by replica and node, on the loop's clock.
@@ -24,13 +24,13 @@
     return told
 
 
-def over_limits(got, replicas, since=-math.inf):
+def worst_windows(got, replicas, since=-math.inf):
     """Count what reached each replica that has named a limit in its worst window.
 
     :param since: when the limit last changed, on the loop's clock.
     :return: by replica, the most requests in a window.
     """
-    told = told_at(got)
+    told = first_limit_times(got)
     asked = {each.request: each for each in got}
     found = {}
     for replica in replicas:
--- a/tests/memberfleet.py
+++ b/tests/memberfleet.py
@@ -48,11 +48,11 @@
 
     def start(self, host, incarnation=1, ready=True):
         """Start a host, or start it anew, as a process that knows the list only."""
-        found = next(each for each in self.candidates if each.host == host)
-        made = member_record(
-            host, found.failure_domain, incarnation, ready=ready, capacity=found.capacity
+        candidate = next(each for each in self.candidates if each.host == host)
+        record = member_record(
+            host, candidate.failure_domain, incarnation, ready=ready, capacity=candidate.capacity
         )
-        self.views[host] = MembershipView(made)
+        self.views[host] = MembershipView(record)
         self.views[host].set_candidates(self.candidates)
 
     def kill(self, host):
@@ -101,33 +101,35 @@
     delay_s = 0.02
 
     def __init__(self, domains, capacities=None):
-        self._on_way = []
-        self._numbers = itertools.count()
+        self._in_flight = []
+        self._sequence = itertools.count()
         super().__init__(domains, capacities)
 
     def run(self, seconds):
         end = self.now + seconds
-        beats = [self._next_beat(host) for host in self.views]
-        heapq.heapify(beats)
-        while (at := min(beats[0][0], self._on_way[0][0] if self._on_way else math.inf)) <= end:
+        heartbeats = [self._next_heartbeat(host) for host in self.views]
+        heapq.heapify(heartbeats)
+        while (
+            at := min(heartbeats[0][0], self._in_flight[0][0] if self._in_flight else math.inf)
+        ) <= end:
             self.now = at
-            if beats[0][0] > at:
-                _, _, sender, target, message = heapq.heappop(self._on_way)
+            if heartbeats[0][0] > at:
+                _, _, sender, target, message = heapq.heappop(self._in_flight)
                 _, answers = self.views[target].receive(f"{sender}:1", message, at)
                 self.deliver(self.views[target], answers)
                 continue
-            _, host = heapq.heappop(beats)
+            _, host = heapq.heappop(heartbeats)
             self.views[host].tick(at)
             self.deliver(self.views[host], self.views[host].due_messages(at))
-            heapq.heappush(beats, (at + INTERVAL_S, host))
+            heapq.heappush(heartbeats, (at + INTERVAL_S, host))
         self.now = end
 
-    def _next_beat(self, host):
+    def _next_heartbeat(self, host):
         return ((math.floor(self.now / INTERVAL_S) + 1) * INTERVAL_S, host)
 
     def deliver(self, sender, sends):
         for send in sends:
             target = send.address.split(":")[0]
             if target in self.views and self.can_reach(sender.record.host, target):
-                each = (self.now + self.delay_s, next(self._numbers), sender.record.host)
-                heapq.heappush(self._on_way, (*each, target, send.message))
+                each = (self.now + self.delay_s, next(self._sequence), sender.record.host)
+                heapq.heappush(self._in_flight, (*each, target, send.message))
--- a/tests/memorynet.py
+++ b/tests/memorynet.py
@@ -16,7 +16,7 @@
         self._loop = loop
         self._protocol = protocol
         self._closed = False
-        self._held = None
+        self._paused_data = None
         self.peer = None
         self.is_silent = False
 
@@ -25,58 +25,58 @@
 
     def write(self, data):
         if not self._closed and not self.is_silent:
-            self._loop.call_soon(self.peer.take, bytes(data))
+            self._loop.call_soon(self.peer.receive_data, bytes(data))
 
-    def take(self, data):
+    def receive_data(self, data):
         if self._closed or self.is_silent:
             return
-        if self._held is not None:
-            self._held.append(data)
+        if self._paused_data is not None:
+            self._paused_data.append(data)
         elif data:
             self._protocol.data_received(data)
         elif not self._protocol.eof_received():
             self.close()
 
     def close(self):
-        self._end(None)
+        self._close_both_ends(None)
 
     def abort(self):
-        self._end(ConnectionResetError("reset by peer"))
+        self._close_both_ends(ConnectionResetError("reset by peer"))
 
-    def _end(self, told):
+    def _close_both_ends(self, error):
         if self._closed:
             return
         self._closed = True
         self._loop.call_soon(self._protocol.connection_lost, None)
         if not self.is_silent:
-            self._loop.call_soon(self.peer.ended, told)
+            self._loop.call_soon(self.peer.receive_close, error)
 
-    def ended(self, error):
+    def receive_close(self, error):
         if error is None:
-            self.take(b"")
+            self.receive_data(b"")
         elif not self._closed and not self.is_silent:
             self._closed = True
             self._protocol.connection_lost(error)
 
-    def fail(self, error):
+    def lose_connection(self, error):
         """Lose the connection as the system does when it gives it up."""
         if not self._closed:
             self._closed = True
             self._protocol.connection_lost(error)
 
     def pause_reading(self):
-        self._held = []
+        self._paused_data = []
 
     def resume_reading(self):
-        held, self._held = self._held or [], None
-        for data in held:
-            self.take(data)
+        paused_data, self._paused_data = self._paused_data or [], None
+        for data in paused_data:
+            self.receive_data(data)
 
     def is_closing(self):
         return self._closed
 
     def is_reading(self):
-        return self._held is None
+        return self._paused_data is None
 
     def get_write_buffer_size(self):
         return 0
@@ -114,7 +114,7 @@
         self.listeners = {}
         self.opened_count = 0
         self._loop = loop
-        self._ends = []
+        self._transports = []
         loop.create_server = self._create_server
         loop.create_connection = self._create_connection
 
@@ -123,27 +123,27 @@
         return _Listener(self, (host, port))
 
     async def _create_connection(self, factory, host, port, **_):
-        accepted = self.listeners.get((host, port))
-        if accepted is None:
+        protocol_factory = self.listeners.get((host, port))
+        if protocol_factory is None:
             raise ConnectionRefusedError(f"{host}:{port}")
         self.opened_count += 1
-        here = MemoryTransport(self._loop, factory())
-        there = MemoryTransport(self._loop, accepted())
-        here.peer, there.peer = there, here
-        self._ends += [here, there]
-        here.start()
-        there.start()
+        client_side = MemoryTransport(self._loop, factory())
+        server_side = MemoryTransport(self._loop, protocol_factory())
+        client_side.peer, server_side.peer = server_side, client_side
+        self._transports += [client_side, server_side]
+        client_side.start()
+        server_side.start()
         await asyncio.sleep(0)
-        return here, here._protocol
+        return client_side, client_side._protocol
 
     def fail_connections(self, error):
         """Let the system give up all open connections, each end for itself."""
-        ends, self._ends = self._ends, []
-        for end in ends:
-            end.fail(error)
+        transports, self._transports = self._transports, []
+        for transport in transports:
+            transport.lose_connection(error)
 
     def silence_connections(self):
         """Let all open connections carry nothing any more, not even their end."""
-        for end in self._ends:
-            end.is_silent = True
-        self._ends.clear()
+        for transport in self._transports:
+            transport.is_silent = True
+        self._transports.clear()
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -57,18 +57,18 @@
         self.believed[name] = min(self.capacity[name], max(0.1 * self.capacity[name], believed))
 
 
-def shares(self, one, other):
+def share_upstreams(self, first, other):
     routes = {each.name: each.upstreams for each in self._pool.spec.routes}
-    return bool(routes[one] & routes[other])
+    return bool(routes[first] & routes[other])
 
 
-def fair_teams(self, rank):
+def teams_in_fair_order(self, rank):
     """List (team, route) of a tier in the order of their shares."""
     keys = {(item.team, item.route) for item in self._pool.waiting.values() if item.rank == rank}
     return sorted(keys, key=lambda key: (self._pool.queues[rank].virtual_time(key[0]), *key))
 
 
-def in_order(self, rank, team, route):
+def requests_in_order(self, rank, team, route):
     mine = [
         item
         for item in self._pool.waiting.values()
@@ -80,9 +80,9 @@
 class NaiveScheduler(PoolScheduler):
     """Events and learning are inherited; every decision is worked out again from plain lists."""
 
-    _shares = shares
-    _fair_teams = fair_teams
-    _in_order = in_order
+    _share_upstreams = share_upstreams
+    _teams_in_fair_order = teams_in_fair_order
+    _requests_in_order = requests_in_order
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
@@ -93,7 +93,7 @@
         for spec in self.spec.upstreams:
             self._pool.prefixes.add_upstream(spec.id, spec.cache_blocks)
 
-    def _usable(self, item, now):
+    def _usable_upstreams(self, item, now):
         route = next(each for each in self.spec.routes if each.name == item.route)
         names = sorted(name for name in route.upstreams if name in self._pool.upstreams)
         return [
@@ -110,15 +110,15 @@
         outs, held = [], {}
         for late in (False, True):
             for rank in sorted({item.rank for item in self._pool.waiting.values()}):
-                self._decide_naively(rank, late, held, now, outs)
+                self._decide_tier(rank, late, held, now, outs)
         return outs
 
-    def _decide_naively(self, rank, late, held, now, outs):
-        blocked, full, looked = set(), set(), 0
-        while looked < granting.MAX_EXAMINED_REQUESTS:
+    def _decide_tier(self, rank, late, held, now, outs):
+        blocked, full, examined_count = set(), set(), 0
+        while examined_count < granting.MAX_EXAMINED_REQUESTS:
             granted = False
-            for team, route in self._fair_teams(rank):
-                if (team, route) in blocked or route in full or self._over_limit(team):
+            for team, route in self._teams_in_fair_order(rank):
+                if (team, route) in blocked or route in full or self._is_over_limit(team):
                     continue
                 names = next(each for each in self.spec.routes if each.name == route).upstreams
                 if not any(
@@ -128,11 +128,11 @@
                 ):
                     full.add(route)
                     continue
-                for item in self._in_order(rank, team, route)[:4]:
+                for item in self._requests_in_order(rank, team, route)[:4]:
                     if item.late != late:
                         break
-                    looked += 1
-                    if self._try_naively(item, held, now, outs):
+                    examined_count += 1
+                    if self._try_grant(item, held, now, outs):
                         granted = True
                         break
                 if granted:
@@ -141,14 +141,14 @@
             if not granted:
                 return
 
-    def _over_limit(self, team):
+    def _is_over_limit(self, team):
         limit = next((each.max_running for each in self.spec.teams if each.name == team), 0)
         return bool(limit) and sum(r.team == team for r in self._pool.running.values()) >= limit
 
-    def _try_naively(self, item, held, now, outs):
+    def _try_grant(self, item, held, now, outs):
         depths = self._pool.prefixes.matches(item.blocks)
         free, busy = [], []
-        for upstream in self._usable(item, now):
+        for upstream in self._usable_upstreams(item, now):
             cached = depths.get(upstream.spec.id, 0)
             left = max(1, item.prompt_tokens - cached * BLOCK_TOKENS)
             harm = upstream.running and upstream.speed.prefill_time(left) > upstream.finish_slack_s(
@@ -163,30 +163,30 @@
             return False
         best, upstream, cached = min(found, key=lambda each: each[0].finish_s)
         limit = best.finish_s * (1.0 - placement.HOLD_MARGIN_SHARE) - placement.HOLD_MARGIN_S
-        waits = []
+        busy_waits = []
         for index, (other, other_cached) in enumerate(busy):
             ends = sorted(each.expected_finish for each in other.running.values())
             ahead = held.get(other.spec.id, 0)
             wait = max(0.0, ends[ahead] - now) if ahead < len(ends) else float("inf")
-            waits.append((wait, index, other, other_cached))
-        better = []
-        for wait, _, other, other_cached in sorted(waits, key=lambda each: each[:2])[:8]:
+            busy_waits.append((wait, index, other, other_cached))
+        better_busy = []
+        for wait, _, other, other_cached in sorted(busy_waits, key=lambda each: each[:2])[:8]:
             finish = wait + predict(item, other, other_cached, other.spec.slots, now).finish_s
             if finish < limit:
-                better.append((finish, other.spec.id))
-        if better:
-            name = min(better, key=lambda each: each[0])[1]
+                better_busy.append((finish, other.spec.id))
+        if better_busy:
+            name = min(better_busy, key=lambda each: each[0])[1]
             held[name] = held.get(name, 0) + 1
             self.counters.held += 1
             return False
-        if not self._worth_starting(item, best, now):
+        if not self._is_worth_starting(item, best, now):
             return False
         outs.append(
             self._granter.grant_request(item, placement.Placement(upstream, best, cached), now)
         )
         return True
 
-    def _worth_starting(self, item, best, now):
+    def _is_worth_starting(self, item, best, now):
         left = item.deadline - now
         if best.cautious_s <= left:
             return True
@@ -202,9 +202,9 @@
 class NaiveRefuser(Refuser):
     """What is given up, worked out from plain lists."""
 
-    _shares = shares
-    _fair_teams = fair_teams
-    _in_order = in_order
+    _share_upstreams = share_upstreams
+    _teams_in_fair_order = teams_in_fair_order
+    _requests_in_order = requests_in_order
 
     def shed_late(self, now):
         slots = {}
@@ -215,10 +215,10 @@
                 slots[name] = sorted(ends + [now] * free)
         late = [
             (item, missed)
-            for item in self._play_order()
-            if (missed := self._missed(item, slots, now)) is not None
+            for item in self._all_requests_in_order()
+            if (missed := self._play_forward(item, slots, now)) is not None
         ]
-        allowed = self._lowest_first(late)
+        allowed = self._allowed_to_shed(late)
         outs = [
             self.shed(item, Reason.SHED, self.retry_after_s(missed)) for item, missed in allowed
         ]
@@ -227,10 +227,12 @@
             self._pool.queues[item.rank].set_late(item, item in gone)
         return outs
 
-    def _play_order(self):
+    def _all_requests_in_order(self):
         weights = {team.name: team.weight for team in self._pool.spec.teams}
         for rank in sorted({item.rank for item in self._pool.waiting.values()}):
-            queues = {key: self._in_order(rank, *key) for key in self._fair_teams(rank)}
+            queues = {
+                key: self._requests_in_order(rank, *key) for key in self._teams_in_fair_order(rank)
+            }
             virtual = {team: self._pool.queues[rank].virtual_time(team) for team, _ in queues}
             while queues:
                 key = min(queues, key=lambda each: (virtual[each[0]], each))
@@ -240,7 +242,7 @@
                 yield item
                 virtual[key[0]] += item.work / weights.get(key[0], 1.0)
 
-    def _missed(self, item, slots, now):
+    def _play_forward(self, item, slots, now):
         """Play one request forward; give by how much it is late, or take its slot."""
         route = next(each for each in self._pool.spec.routes if each.name == item.route)
         names = [n for n in sorted(route.upstreams) if slots.get(n)]
@@ -262,13 +264,13 @@
         start, upstream = slots[name][0], self._pool.upstreams[name]
         missed = start + guess.cautious_s - item.deadline
         soon = predict(item, upstream, 0, upstream.occupied(now) + 1, now).optimistic_s
-        lucky = start <= now and upstream.has_slot(now) and now + soon <= item.deadline
-        if missed <= 0 or lucky:
+        starts_now = start <= now and upstream.has_slot(now) and now + soon <= item.deadline
+        if missed <= 0 or starts_now:
             slots[name] = sorted([*slots[name][1:], start + guess.finish_s])
             return None
         return missed
 
-    def _lowest_first(self, late):
+    def _allowed_to_shed(self, late):
         staying = [
             item for item in self._pool.waiting.values() if item not in [each for each, _ in late]
         ]
@@ -277,7 +279,7 @@
             below = [
                 other
                 for other in staying
-                if other.rank > item.rank and self._shares(other.route, item.route)
+                if other.rank > item.rank and self._share_upstreams(other.route, item.route)
             ]
             if below:
                 staying.append(item)
--- a/tests/overload.py
+++ b/tests/overload.py
@@ -57,44 +57,44 @@
 class Overload:
     """Drive one scheduler, and know on its own what waits and what runs."""
 
-    def __init__(self, seed, make=PoolScheduler):
+    def __init__(self, seed, scheduler_class=PoolScheduler):
         self.random = random.Random(seed)
         self.now = 0.0
         self.leaving = {}
-        self.scheduler = make(make_spec(), self.random.random, 0.0)
+        self.scheduler = scheduler_class(make_spec(), self.random.random, 0.0)
         self.waiting = {}
         self.running = {}
         self.counts = Counter()
-        self.log = []
-        self.number = 0
+        self.decisions = []
+        self.last_number = 0
 
     def step(self):
         self.now += self.random.expovariate(40)
         actions = (
-            [self.arrive] * 6
-            + [self.finish] * 4
+            [self.add_requests] * 6
+            + [self.finish_request] * 4
             + [
-                self.tick,
-                self.tick,
-                self.withdraw,
-                self.progress,
-                self.report,
-                self.change_list,
-                self.lose_entry,
-                self.fail,
-                self.adopt,
+                self.tick_scheduler,
+                self.tick_scheduler,
+                self.withdraw_request,
+                self.send_progress,
+                self.report_load,
+                self.toggle_leaving,
+                self.remove_entry,
+                self.fail_request,
+                self.adopt_request,
             ]
         )
         self.random.choice(actions)()
 
     # Events.
 
-    def arrive(self):
-        self.number += 1
+    def add_requests(self):
+        self.last_number += 1
         burst = self.random.choice([1, 1, 1, 6])
         for _ in range(burst):
-            self.number += 1
-            name = f"r{self.number}"
+            self.last_number += 1
+            name = f"r{self.last_number}"
             acquire = Acquire(
                 name,
                 1,
@@ -104,23 +104,23 @@
                 f"m{self.random.randrange(5)}",
                 self.random.choice([20, 200, 2000]),
                 self.random.choice([10, 50, 200]),
-                self.blocks(),
+                self.random_blocks(),
                 self.random.choice([0.3, 2, 6, 20]),
                 0.0,
             )
             self.waiting[name] = acquire
             entry = f"entry{self.random.randrange(3)}"
-            self.take(self.scheduler.acquire(entry, "d1", acquire, self.now))
+            self.apply_actions(self.scheduler.acquire(entry, "d1", acquire, self.now))
             if self.random.random() < 0.1:
                 if name not in self.running:
                     self.waiting[name] = acquire
-                self.take(self.scheduler.acquire(entry, "d1", acquire, self.now))
+                self.apply_actions(self.scheduler.acquire(entry, "d1", acquire, self.now))
 
-    def blocks(self):
+    def random_blocks(self):
         start = 100 * self.random.randrange(4)
         return tuple(range(start, start + self.random.randrange(8)))
 
-    def finish(self, outcome="delivered"):
+    def finish_request(self, outcome="delivered"):
         if not self.running:
             return
         name = self.random.choice(list(self.running))
@@ -128,45 +128,47 @@
         usage = Usage(
             100, self.random.choice([-1, 0, 100]), self.random.randrange(1, 100), 0.1, 1.0
         )
-        self.take(self.scheduler.release("d1", Release(name, 1, "pool", outcome, usage), self.now))
+        self.apply_actions(
+            self.scheduler.release("d1", Release(name, 1, "pool", outcome, usage), self.now)
+        )
 
-    def fail(self):
-        self.finish(self.random.choice(["failed", "unreachable", "cancelled", "unused"]))
+    def fail_request(self):
+        self.finish_request(self.random.choice(["failed", "unreachable", "cancelled", "unused"]))
 
-    def tick(self):
-        self.take(self.scheduler.tick(self.now))
+    def tick_scheduler(self):
+        self.apply_actions(self.scheduler.tick(self.now))
 
-    def withdraw(self):
+    def withdraw_request(self):
         if self.waiting:
             name = self.random.choice(list(self.waiting))
             self.waiting.pop(name)
             self.scheduler.withdraw(Withdraw(name, "pool"))
 
-    def progress(self):
+    def send_progress(self):
         items = tuple(
             ProgressItem(name, self.random.randrange(20), 0.1, self.random.random() * 3)
             for name in self.running
         )
         for entry in range(3):
-            self.take(
+            self.apply_actions(
                 self.scheduler.apply_progress(f"entry{entry}", Progress("pool", items), self.now)
             )
 
-    def report(self):
+    def report_load(self):
         upstream = f"u{self.random.randrange(4)}"
         running = self.random.randrange(3)
         report = LoadReport(upstream, running, 0, 0.5, upstream in self.leaving)
-        self.take(self.scheduler.apply_load_report(report, self.now))
+        self.apply_actions(self.scheduler.apply_load_report(report, self.now))
 
-    def change_list(self):
+    def toggle_leaving(self):
         name = f"u{self.random.randrange(4)}"
         if name in self.leaving:
             del self.leaving[name]
         elif len(self.leaving) < 2:
             self.leaving[name] = self.now
-        self.take(self.scheduler.configure(make_spec(frozenset(self.leaving)), self.now))
+        self.apply_actions(self.scheduler.configure(make_spec(frozenset(self.leaving)), self.now))
 
-    def lose_entry(self):
+    def remove_entry(self):
         if self.random.random() < 0.2:
             entry = f"entry{self.random.randrange(3)}"
             gone = {item.request for item in self.scheduler.waiting_items() if item.entry == entry}
@@ -174,22 +176,31 @@
                 self.waiting.pop(name)
             for name in [n for n, r in self.scheduler._pool.running.items() if r.entry == entry]:
                 self.running.pop(name, None)
-            self.take(self.scheduler.remove_entry(entry, self.now))
+            self.apply_actions(self.scheduler.remove_entry(entry, self.now))
 
-    def adopt(self):
-        self.number += 1
+    def adopt_request(self):
+        self.last_number += 1
         item = RunningItem(
-            f"r{self.number}", 1, f"u{self.random.randrange(4)}", "t1", "m1", "all", 50, 50, 3, 0.4
+            f"r{self.last_number}",
+            1,
+            f"u{self.random.randrange(4)}",
+            "t1",
+            "m1",
+            "all",
+            50,
+            50,
+            3,
+            0.4,
         )
         self.running[item.request] = (item.upstream, 1)
-        self.take(self.scheduler.adopt("entry0", Adopt("pool", (item,)), self.now))
+        self.apply_actions(self.scheduler.adopt("entry0", Adopt("pool", (item,)), self.now))
 
     # The naive check.
 
-    def take(self, outs):
+    def apply_actions(self, outs):
         for out in outs:
             action = out.action
-            self.log.append(
+            self.decisions.append(
                 (
                     round(self.now, 6),
                     type(action).__name__,
@@ -217,16 +228,18 @@
         acquire = self.waiting.pop(shed.request)
         if shed.reason is not Reason.SHED:
             return
-        with_it = {out.action.request for out in outs}
+        shed_together = {out.action.request for out in outs}
         for other in self.waiting.values():
-            lower = other.tier > acquire.tier and other.request not in with_it
-            share = ROUTES[other.route] & ROUTES[acquire.route]
-            assert not (lower and share), f"{shed.request} of {acquire.tier} before {other.tier}"
+            lower = other.tier > acquire.tier and other.request not in shed_together
+            shared_upstreams = ROUTES[other.route] & ROUTES[acquire.route]
+            assert not (lower and shared_upstreams), (
+                f"{shed.request} of {acquire.tier} before {other.tier}"
+            )
 
 
-def run_overload(seed, steps=1500, make=PoolScheduler):
+def run_overload(seed, steps=1500, scheduler_class=PoolScheduler):
     """Drive one seed and return the counts."""
-    run = Overload(seed, make)
+    run = Overload(seed, scheduler_class)
     for _ in range(steps):
         run.step()
     return run
--- a/tests/plants.py
+++ b/tests/planted_faults.py
@@ -41,52 +41,52 @@
     """A token whose caller was told "not run" is admitted as a new one."""
     admit = Runs.admit
 
-    def forgetful(runs, token, text, request, now):
+    def admit_refused_again(runs, token, text, request, now):
         run = runs._runs.get(token.sequence)
         if run is not None and run.state is TokenState.REFUSED:
             del runs._runs[token.sequence]
             del runs.ledger._records[token.sequence]
         return admit(runs, token, text, request, now)
 
-    monkeypatch.setattr(Runs, "admit", forgetful)
+    monkeypatch.setattr(Runs, "admit", admit_refused_again)
 
 
-def restarted_host_runs_old_tokens(monkeypatch):
+def restarted_host_accepts_old_tokens(monkeypatch):
     """A restarted process takes the tokens of the one before it for its own."""
     monkeypatch.setattr(
         TokenLedger, "is_issued_here", lambda ledger, token: token.host == ledger.host
     )
-    monkeypatch.setattr(TokenLedger, "issue", _issue_from_far)
+    monkeypatch.setattr(TokenLedger, "issue", _issue_with_sequence_offset)
 
 
-def _issue_from_far(ledger, now, issue=TokenLedger.issue):
+def _issue_with_sequence_offset(ledger, now, issue=TokenLedger.issue):
     ledger._next = max(ledger._next, 1000 * ledger.incarnation)
     return issue(ledger, now)
 
 
-def end_of_stream_counts_as_whole(monkeypatch):
+def truncated_stream_counts_as_whole(monkeypatch):
     """A stream that ends is taken for whole, with or without its final event."""
     relay_events = Dispatcher._relay_events
 
-    async def trusting(dispatcher, run, response, splitter, most):
+    async def relay_and_mark_done(dispatcher, run, response, splitter, most):
         await relay_events(dispatcher, run, response, splitter, most)
         splitter.done = True
 
-    monkeypatch.setattr(Dispatcher, "_relay_events", trusting)
+    monkeypatch.setattr(Dispatcher, "_relay_events", relay_and_mark_done)
 
 
-def partial_events_are_passed_on(monkeypatch):
+def partial_events_are_forwarded(monkeypatch):
     """Bytes go to the caller as they come, cut events included."""
     feed = EventSplitter.feed
 
-    def careless(splitter, data):
+    def feed_and_return_input(splitter, data):
         feed(splitter, data)
         return data
 
-    monkeypatch.setattr(EventSplitter, "feed", careless)
+    monkeypatch.setattr(EventSplitter, "feed", feed_and_return_input)
 
 
-def leaving_is_not_heard(monkeypatch):
+def leaving_state_is_ignored(monkeypatch):
     """Neither the scheduler nor the entry looks at who leaves."""
     monkeypatch.setattr(Upstream, "leaving", property(lambda upstream: False))
     monkeypatch.setattr(FleetView, "may_dispatch", lambda fleet, upstream: True)
@@ -95,23 +95,23 @@
 def drain_does_not_wait(monkeypatch):
     """A planned stop ends at once."""
 
-    async def at_once(service):
+    async def return_at_once(service):
         return None
 
-    monkeypatch.setattr(EntryService, "drain", at_once)
+    monkeypatch.setattr(EntryService, "drain", return_at_once)
 
 
-def running_is_not_told(monkeypatch):
+def running_requests_are_not_reported(monkeypatch):
     """A new scheduler is not told what runs under its predecessor."""
     monkeypatch.setattr(Acquirer, "report_running", lambda acquirer, pool, process: None)
 
 
-def shed_by_arrival(monkeypatch):
+def late_requests_are_shed_in_any_tier(monkeypatch):
     """Whatever is late is given up, whichever tier it has."""
     monkeypatch.setattr(refusals, "may_shed", lambda late, waiting, overlaps: late)
 
 
-def room_is_made_beside_only(monkeypatch):
+def full_queue_ignores_indirect_overlaps(monkeypatch):
     """A full queue gives up the lowest tier beside the arrival, whoever waits beside that."""
 
     def make_room(refuser, item, now):
@@ -123,7 +123,7 @@
     monkeypatch.setattr(refusals.Refuser, "make_room", make_room)
 
 
-def lower_revision_is_taken(monkeypatch):
+def lower_revision_is_applied(monkeypatch):
     """A node takes whatever configuration it is told."""
 
     def apply_root(state, root, fetched):
--- a/tests/rests.py
+++ b/tests/rests.py
@@ -6,10 +6,10 @@
 
 from chalkyoke_fakes.soak.checkers import MOST_IN_REST, REST_BEGINS_S
 
-__all__ = ["MOST_IN_REST", "most_in_rest"]
+__all__ = ["MOST_IN_REST", "max_requests_in_rest"]
 
 
-def most_in_rest(turned_away, rest_s):
+def max_requests_in_rest(turned_away, rest_s):
     """Count the requests that came in a time of rest; the most over all of these.
 
     :param turned_away: for each pair of an upstream and a node, when the upstream answered that it
--- a/tests/shiftedload.py
+++ b/tests/shiftedload.py
@@ -39,11 +39,17 @@
 )
 
 STEP_S = 0.02
-TOKEN_S, SETUP_S, READ_PER_S, CHUNK, STRIDE = 0.00612, 0.064, 32_400.0, 2048, 4
-SPEEDS = (0.6, 1.7, 1.7)
-SLOTS = 4
+TOKEN_S, SETUP_S, READ_TOKENS_PER_S, PREFILL_CHUNK_TOKENS, TOKENS_PER_EVENT = (
+    0.00612,
+    0.064,
+    32_400.0,
+    2048,
+    4,
+)
+TIME_FACTORS = (0.6, 1.7, 1.7)
+SLOTS_PER_ENGINE = 4
 LATE_WORTH = 0.3
-COMES_BACK_SHARE = 0.3
+RETURN_SHARE = 0.3
 
 
 @dataclass(frozen=True)
@@ -51,11 +57,11 @@
     """One kind of request, as the sheet has it; ``cv`` are coefficients of variation."""
 
     name: str
-    rate: float
+    rate_per_s: float
     prompt: tuple[float, float, int]
     output: tuple[float, float, int]
-    goal: float
-    deadline: float
+    goal_s: float
+    deadline_s: float
     worth: float
     tier: int
 
@@ -73,10 +79,10 @@
 
     id: str
     kind: Kind
-    at: float
+    arrived_at: float
     prompt: int
     output: int
-    given: int
+    estimated_output: int
 
 
 @dataclass
@@ -85,9 +91,9 @@
 
     demand: Demand
     attempt: int
-    began: float
-    expected_first: float
-    read_left: float
+    started_at: float
+    expected_first_s: float
+    read_left_s: float
     tokens: float = 0.0
     first_at: float = 0.0
 
@@ -96,26 +102,26 @@
 class Engine:
     """Reads prompts in pieces between tokens, and gives one token to each stream at a step."""
 
-    speed: float
+    time_factor: float
     runs: dict[str, Run] = field(default_factory=dict)
 
-    def work(self, now):
+    def advance(self, now):
         """Work for one step of time.
 
         :return: runs whose first token has come, and those that are done.
         """
-        reading = [each for each in self.runs.values() if each.read_left > 0]
-        step_s = self.speed * (TOKEN_S + 0.00002 * len(self.runs))
+        reading = [each for each in self.runs.values() if each.read_left_s > 0]
+        step_s = self.time_factor * (TOKEN_S + 0.00002 * len(self.runs))
         left_s = STEP_S
         if reading:
             # A piece of a prompt goes between two tokens: most of the time is spent on reading.
-            piece_s = self.speed * CHUNK / READ_PER_S
+            piece_s = self.time_factor * PREFILL_CHUNK_TOKENS / READ_TOKENS_PER_S
             share = piece_s / (piece_s + step_s)
-            reading[0].read_left -= STEP_S * share
+            reading[0].read_left_s -= STEP_S * share
             left_s -= STEP_S * share
         firsts, done = [], []
         for run in list(self.runs.values()):
-            if run.read_left > 0:
+            if run.read_left_s > 0:
                 continue
             if not run.first_at:
                 run.first_at = now + STEP_S
@@ -143,7 +149,7 @@
     late: int = 0
     cut: int = 0
     refused: int = 0
-    held_s: float = 0.0
+    waited_s: float = 0.0
 
     @property
     def earned(self):
@@ -163,24 +169,24 @@
     def __init__(self, seed, bursts=(), load=1.0, engines=70, features=GATEWAY_FEATURES):
         self.rng = random.Random(seed)
         self.bursts, self.load = bursts, load * engines / 70
-        self.engines = {f"e{n:02}": Engine(SPEEDS[n % 3]) for n in range(engines)}
-        ups = tuple(self.upstream(name) for name in self.engines)
+        self.engines = {f"e{n:02}": Engine(TIME_FACTORS[n % 3]) for n in range(engines)}
+        upstreams = tuple(self.upstream(name) for name in self.engines)
         names = frozenset(self.engines)
         spec = PoolSpec(
             "p",
-            ups,
+            upstreams,
             tuple(TierSpec(str(each.tier), each.tier) for each in KINDS),
             (TeamSpec("t"),),
             tuple(RouteSpec(each.name, names) for each in KINDS),
         )
-        chance = random.Random(seed + 1)
-        self.scheduler = PoolScheduler(spec, chance.random, 0.0, features=features)
+        scheduler_rng = random.Random(seed + 1)
+        self.scheduler = PoolScheduler(spec, scheduler_rng.random, 0.0, features=features)
         self.scores = {each.name: Score() for each in KINDS}
         self.largest = {each.name: Score() for each in KINDS}
         self.demands = {}
-        self.tries = {}
-        self.arrivals = []
-        self.numbers = itertools.count()
+        self.attempts = {}
+        self.events = []
+        self.sequence = itertools.count()
         self.now = 0.0
 
     def upstream(self, name):
@@ -188,19 +194,19 @@
             name,
             f"{name}:1",
             "z",
-            SLOTS,
+            SLOTS_PER_ENGINE,
             35_000.0,
             1 / 0.0055,
             1.1,
             cache_blocks=0,
             setup_s=0.05,
             attention_s_per_pair=1.2e-9,
-            prefill_chunk_tokens=CHUNK,
-            tokens_per_event=STRIDE,
+            prefill_chunk_tokens=PREFILL_CHUNK_TOKENS,
+            tokens_per_event=TOKENS_PER_EVENT,
         )
 
-    def rate(self, kind, now):
-        rate = kind.rate * self.load
+    def arrival_rate(self, kind, now):
+        rate = kind.rate_per_s * self.load
         for since, until, times, name in self.bursts:
             if since <= now < until and name in ("", kind.name):
                 rate *= times
@@ -208,41 +214,41 @@
 
     def play(self, seconds):
         """Let requests come for some seconds, and wait until the last one has ended."""
-        self.closes = seconds
+        self.arrivals_end_at = seconds
         for kind in KINDS:
-            self.arrive_next(kind, 0.0)
-        while self.now < seconds + CHAT.deadline:
+            self.schedule_arrival(kind, 0.0)
+        while self.now < seconds + CHAT.deadline_s:
             until = self.now + STEP_S
-            while self.arrivals and self.arrivals[0][0] < until:
-                at, _, what, argument = heapq.heappop(self.arrivals)
+            while self.events and self.events[0][0] < until:
+                at, _, what, argument = heapq.heappop(self.events)
                 what(argument, at)
             self.now = until
-            self.work()
+            self.advance_engines()
             if int(self.now / STEP_S) % 2 == 0:
-                self.take(self.scheduler.tick(self.now))
+                self.apply_actions(self.scheduler.tick(self.now))
             if int(self.now / STEP_S) % 50 == 0:
-                self.progress()
+                self.send_progress()
         return self
 
     # Callers.
 
-    def arrive_next(self, kind, at):
-        then = at + self.rng.expovariate(self.rate(kind, at))
-        if then < self.closes:
-            heapq.heappush(self.arrivals, (then, next(self.numbers), self.arrive, kind))
+    def schedule_arrival(self, kind, at):
+        next_at = at + self.rng.expovariate(self.arrival_rate(kind, at))
+        if next_at < self.arrivals_end_at:
+            heapq.heappush(self.events, (next_at, next(self.sequence), self.arrive, kind))
 
     def arrive(self, kind, at):
-        self.arrive_next(kind, at)
+        self.schedule_arrival(kind, at)
         output = lognormal(self.rng, *kind.output)
-        given = max(1, int(output * self.rng.lognormvariate(0.0, 0.5)))
+        estimated_output = max(1, int(output * self.rng.lognormvariate(0.0, 0.5)))
         prompt = lognormal(self.rng, *kind.prompt)
-        demand = Demand(f"d{next(self.numbers)}", kind, at, prompt, output, given)
+        demand = Demand(f"d{next(self.sequence)}", kind, at, prompt, output, estimated_output)
         self.demands[demand.id] = demand
-        for score in self.scored(demand):
+        for score in self.scores_of(demand):
             score.asked += 1
-        self.ask(demand, at)
+        self.send_acquire(demand, at)
 
-    def scored(self, demand):
+    def scores_of(self, demand):
         """Give the scores that count a demand: of its kind, and of its kind's largest tenth."""
         yield self.scores[demand.kind.name]
         mean, cv, _ = demand.kind.output
@@ -250,11 +256,11 @@
         if demand.output > mean * math.exp(-sigma * sigma / 2 + 1.2816 * sigma):
             yield self.largest[demand.kind.name]
 
-    def ask(self, demand, at):
+    def send_acquire(self, demand, at):
         kind = demand.kind
-        ends = demand.at + kind.deadline
-        attempt = self.tries[demand.id] = self.tries.get(demand.id, 0) + 1
-        patience = max(2.0, 4 * kind.goal, 8 * GAP_S)
+        deadline_at = demand.arrived_at + kind.deadline_s
+        attempt = self.attempts[demand.id] = self.attempts.get(demand.id, 0) + 1
+        max_wait_s = max(2.0, 4 * kind.goal_s, 8 * GAP_S)
         message = Acquire(
             request=demand.id,
             attempt=attempt,
@@ -265,72 +271,72 @@
             prompt_tokens=demand.prompt,
             max_output=kind.output[2],
             blocks=(),
-            budget_s=min(ends - at, patience),
+            budget_s=min(deadline_at - at, max_wait_s),
             waited_s=0.0,
-            goal_s=kind.goal,
-            likely_output=demand.given,
+            goal_s=kind.goal_s,
+            likely_output=demand.estimated_output,
             gap_goal_s=GAP_S,
-            whole_s=ends - at,
+            whole_s=deadline_at - at,
             fingerprint=int(demand.id[1:]) + 1,
-            comes_back_s=(ends - at) * COMES_BACK_SHARE,
+            comes_back_s=(deadline_at - at) * RETURN_SHARE,
         )
-        self.take(self.scheduler.acquire("n", "z", message, at))
+        self.apply_actions(self.scheduler.acquire("n", "z", message, at))
 
-    def take(self, outs):
+    def apply_actions(self, outs):
         for out in outs:
             demand = self.demands[out.action.request]
             if isinstance(out.action, Grant):
-                self.start(demand, out.action)
+                self.start_run(demand, out.action)
             elif isinstance(out.action, Shed):
-                self.refused(demand, out.action)
+                self.retry_or_refuse(demand, out.action)
 
-    def refused(self, demand, shed):
-        left = demand.at + demand.kind.deadline - self.now
+    def retry_or_refuse(self, demand, shed):
+        left = demand.arrived_at + demand.kind.deadline_s - self.now
         pause = min(shed.retry_after_s or 0.5, left / 3)
-        if self.tries[demand.id] < 2 and left > 0.1:
+        if self.attempts[demand.id] < 2 and left > 0.1:
             at = self.now + pause
-            heapq.heappush(self.arrivals, (at, next(self.numbers), self.ask, demand))
+            heapq.heappush(self.events, (at, next(self.sequence), self.send_acquire, demand))
             return
-        for score in self.scored(demand):
+        for score in self.scores_of(demand):
             score.refused += 1
-            score.held_s += self.now - demand.at
+            score.waited_s += self.now - demand.arrived_at
 
     # Engines.
 
-    def start(self, demand, grant):
+    def start_run(self, demand, grant):
         engine = self.engines[grant.upstream]
-        read_s = SETUP_S + demand.prompt / READ_PER_S
+        read_s = SETUP_S + demand.prompt / READ_TOKENS_PER_S
         engine.runs[demand.id] = Run(
-            demand, grant.attempt, self.now, grant.expected_first_s, read_s * engine.speed
+            demand, grant.attempt, self.now, grant.expected_first_s, read_s * engine.time_factor
         )
 
-    def work(self):
+    def advance_engines(self):
         for name, engine in self.engines.items():
             if not engine.runs:
                 continue
-            firsts, done = engine.work(self.now)
+            firsts, done = engine.advance(self.now)
             for run in firsts:
-                first_s = run.first_at - run.began
+                first_s = run.first_at - run.started_at
                 self.scheduler.apply_first_output(
                     FirstOutput(run.demand.id, "p", first_s), self.now
                 )
             for run in done:
-                self.end(run, ReleaseOutcome.DELIVERED)
+                self.finish_run(run, ReleaseOutcome.DELIVERED)
             for run in list(engine.runs.values()):
-                if self.now > run.demand.at + run.demand.kind.deadline:
+                if self.now > run.demand.arrived_at + run.demand.kind.deadline_s:
                     del self.engines[name].runs[run.demand.id]
-                    self.end(run, ReleaseOutcome.CANCELLED)
+                    self.finish_run(run, ReleaseOutcome.CANCELLED)
 
-    def end(self, run, outcome):
+    def finish_run(self, run, outcome):
         demand = run.demand
         usage = Usage(
             demand.prompt,
             int(run.tokens),
-            first_s=run.first_at - run.began if run.first_at else -1.0,
-            total_s=self.now - run.began,
+            first_s=run.first_at - run.started_at if run.first_at else -1.0,
+            total_s=self.now - run.started_at,
         )
-        in_time = run.first_at and run.first_at <= demand.at + demand.kind.goal
-        for score in self.scored(demand):
+        in_time = run.first_at and run.first_at <= demand.arrived_at + demand.kind.goal_s
+        for score in self.scores_of(demand):
             if outcome is not ReleaseOutcome.DELIVERED:
                 score.cut += 1
             elif in_time:
@@ -338,20 +344,20 @@
             else:
                 score.late += 1
         message = Release(demand.id, run.attempt, "p", outcome, usage)
-        self.take(self.scheduler.release("z", message, self.now))
+        self.apply_actions(self.scheduler.release("z", message, self.now))
 
-    def progress(self):
+    def send_progress(self):
         items = tuple(
             ProgressItem(
                 run.demand.id,
                 int(run.tokens),
-                run.first_at - run.began if run.first_at else -1.0,
-                self.now - run.began,
+                run.first_at - run.started_at if run.first_at else -1.0,
+                self.now - run.started_at,
             )
             for engine in self.engines.values()
             for run in engine.runs.values()
         )
-        self.take(self.scheduler.apply_progress("n", Progress("p", items), self.now))
+        self.apply_actions(self.scheduler.apply_progress("n", Progress("p", items), self.now))
 
     # What came of it.
 
@@ -359,9 +365,10 @@
     def earned(self):
         """The part of the worth that was asked for."""
         worth = {each.name: each.worth for each in KINDS}
-        owed = sum(worth[name] * score.asked for name, score in self.scores.items())
+        total_worth = sum(worth[name] * score.asked for name, score in self.scores.items())
         return (
-            sum(worth[name] * each.earned * each.asked for name, each in self.scores.items()) / owed
+            sum(worth[name] * each.earned * each.asked for name, each in self.scores.items())
+            / total_worth
         )
 
     @property
--- a/tests/test_catalog_spread.py
+++ b/tests/test_catalog_spread.py
@@ -16,14 +16,14 @@
 from tests.catalogfleet import Fleet, play
 
 # Operators allow 2 s for a leaving replica and for a configuration at the strictest.
-MOST_LAG_S = 2.0
+MAX_LAG_S = 2.0
 # Operators forgive what a disturbed connection costs for 3 s at the strictest.
-MOST_LAG_AFTER_SILENCE_S = 3.0
+MAX_LAG_AFTER_SILENCE_S = 3.0
 SETTLED_S = 6.0
 SIZES = {"a": 22, "b": 2, "c": 2}
 
 
-def played(disturb, after_s=8.0, **options):
+def play_scenario(disturb, after_s=8.0, **options):
     async def main():
         fleet = Fleet(SIZES, **options)
         fleet.start()
@@ -35,51 +35,51 @@
     return play(main)
 
 
-def test_many_small_changes_are_known_everywhere_in_time():
+def test_frequent_small_changes_reach_all_nodes_in_time():
     async def disturb(fleet):
         for number in range(15):
             fleet.configure({number})
-            fleet.drain(number)
+            fleet.drain_replica(number)
             await asyncio.sleep(0.15)
-            fleet.drain(number + 20)
+            fleet.drain_replica(number + 20)
             await asyncio.sleep(0.18)
 
-    fleet = played(disturb)
-    assert fleet.lag.worst_s < MOST_LAG_S, fleet.lag
+    fleet = play_scenario(disturb)
+    assert fleet.lag.worst_s < MAX_LAG_S, fleet.lag
 
 
-def test_a_change_after_all_connections_to_the_store_went_silent_is_known_in_time():
+def test_a_change_reaches_all_nodes_in_time_after_all_store_connections_went_silent():
     async def disturb(fleet):
         fleet.store.silence_connections()
         await asyncio.sleep(0.1)
-        fleet.drain(1)
+        fleet.drain_replica(1)
         fleet.configure({1})
 
-    fleet = played(disturb, after_s=14.0)
-    assert fleet.lag.worst_s < MOST_LAG_AFTER_SILENCE_S, fleet.lag
+    fleet = play_scenario(disturb, after_s=14.0)
+    assert fleet.lag.worst_s < MAX_LAG_AFTER_SILENCE_S, fleet.lag
 
 
-def test_a_domain_whose_watchers_meet_silence_at_the_store_is_followed_by_others():
+def test_other_domains_forward_changes_to_a_domain_whose_watchers_get_no_answer():
     async def disturb(fleet):
-        fleet.store.silent = {host for host in fleet.watchers() if host.startswith("a-")}
+        fleet.store.silent_hosts = {host for host in fleet.watchers() if host.startswith("a-")}
         fleet.store.silence_connections()
         await asyncio.sleep(6.0)
-        fleet.drain(1)
+        fleet.drain_replica(1)
         fleet.configure({1})
 
-    fleet = played(disturb)
+    fleet = play_scenario(disturb)
     assert fleet.lag.worst_s < 0.5, fleet.lag
 
 
-def test_a_domain_without_any_other_is_followed_by_those_whom_the_store_answers():
+def test_in_a_single_domain_other_nodes_watch_when_the_store_refuses_the_watchers():
     async def main():
         fleet = Fleet({"a": 22})
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        fleet.store.refused = fleet.watchers()
+        fleet.store.refused_hosts = fleet.watchers()
         fleet.store.silence_connections()
         await asyncio.sleep(4.0)
-        fleet.drain(1)
+        fleet.drain_replica(1)
         await asyncio.sleep(6.0)
         return fleet
 
@@ -87,37 +87,37 @@
     assert fleet.lag.worst_s < 0.5, fleet.lag
 
 
-def test_a_store_that_answers_slowly_delays_news_by_little_more_than_its_answers():
+def test_a_slow_store_delays_changes_by_little_more_than_its_answer_time():
     async def disturb(fleet):
-        fleet.store.answer_s = 0.25
+        fleet.store.answer_delay_s = 0.25
         for number in range(15):
             fleet.configure({number})
-            fleet.drain(number)
+            fleet.drain_replica(number)
             await asyncio.sleep(0.33)
 
-    fleet = played(disturb)
+    fleet = play_scenario(disturb)
     assert fleet.lag.worst_s < 1.0, fleet.lag
 
 
-def test_a_store_that_is_away_from_all_is_asked_by_few():
+def test_only_few_nodes_call_a_store_that_refuses_all():
     async def disturb(fleet):
-        fleet.calls_before = fleet.store.calls
-        fleet.store.refused = {node.host for node in fleet.nodes}
+        fleet.calls_before = fleet.store.call_count
+        fleet.store.refused_hosts = {node.host for node in fleet.nodes}
         fleet.store.silence_connections()
         await asyncio.sleep(4.5)
-        fleet.calls_meanwhile = fleet.store.calls - fleet.calls_before
-        fleet.store.refused = set()
+        fleet.calls_while_refused = fleet.store.call_count - fleet.calls_before
+        fleet.store.refused_hosts = set()
         await asyncio.sleep(1.2)
-        fleet.drain(1)
+        fleet.drain_replica(1)
 
-    fleet = played(disturb)
-    assert fleet.calls_meanwhile < 150, fleet.calls_meanwhile
+    fleet = play_scenario(disturb)
+    assert fleet.calls_while_refused < 150, fleet.calls_while_refused
     assert fleet.lag.worst_s < 0.5, fleet.lag
 
 
-def test_a_fleet_at_rest_sends_heartbeats_and_nothing_else():
+def test_an_idle_fleet_sends_only_heartbeats():
     async def disturb(fleet):
         fleet.network.bytes_by_kind.clear()
 
-    fleet = played(disturb)
+    fleet = play_scenario(disturb)
     assert set(fleet.network.bytes_by_kind) == {"Heartbeat", "ShortHeartbeat"}
--- a/tests/test_children.py
+++ b/tests/test_children.py
@@ -30,7 +30,7 @@
     return stat.rsplit(")", 1)[1].split()[0] != "Z"
 
 
-def test_children_end_when_their_starter_is_killed(tmp_path):
+def test_child_processes_end_when_their_parent_is_killed(tmp_path):
     starter = subprocess.Popen(
         [sys.executable, "-c", STARTER, str(tmp_path / "log")], stdout=subprocess.PIPE
     )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -32,7 +32,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from tests import plants
+from tests import planted_faults
 
 TIERS = [{"name": f"t{i}", "rank": i} for i in range(3)]
 
@@ -101,7 +101,7 @@
     return store
 
 
-def test_a_swap_whose_answer_is_lost_is_settled_and_accepted_once():
+def test_a_swap_whose_answer_is_lost_is_read_back_and_accepted_once():
     store = seeded()
     change = Change("c1", "op", 1, team("b"))
     # root, four reads of chunks and writes come first; then the swap's answer is lost
@@ -113,7 +113,7 @@
     assert [each.change_id for each in store.roots[-1].history].count("c1") == 1
 
 
-def test_the_loser_of_a_race_is_told_the_fields_that_clash():
+def test_a_conflict_names_the_fields_of_the_concurrent_change():
     store = seeded()
     assert isinstance(
         drive(publish_change(Change("c1", "one", 1, team("a", 5)), 0), store), Accepted
@@ -125,7 +125,7 @@
     assert len(store.roots) == 2
 
 
-def test_changes_of_other_fields_do_not_clash():
+def test_concurrent_changes_of_other_fields_do_not_conflict():
     store = seeded()
     assert isinstance(
         drive(publish_change(Change("c1", "one", 1, team("b", 5)), 0), store), Accepted
@@ -135,14 +135,14 @@
     assert outcome.revision == 3
 
 
-def test_a_store_that_is_away_changes_nothing_and_says_so():
+def test_an_unavailable_store_leads_to_no_change_and_a_not_reached_outcome():
     store = seeded()
     outcome = drive(publish_change(Change("c1", "op", 1, team("b")), 0), store, ["away"] * 500)
     assert isinstance(outcome, NotReached)
     assert len(store.roots) == 1
 
 
-def test_a_change_that_does_not_fit_names_its_field():
+def test_an_invalid_change_names_its_field():
     store = seeded()
     specs = read_document({"team": [{"name": "b", "tiers": ["nowhere"]}]}).unwrap()
     outcome = drive(publish_change(Change("c1", "op", 1, specs), 0), store)
@@ -293,7 +293,7 @@
 def _report_loss_as_refusal(monkeypatch):
     """A swap whose answer is lost is reported as not done, without reading back."""
 
-    def hasty(change, now_ms):
+    def publish_without_reading_back(change, now_ms):
         machine = publisher.publish_change(change, now_ms)
         call = next(machine)
         while True:
@@ -305,26 +305,26 @@
             except StopIteration as stop:
                 return stop.value
 
-    monkeypatch.setitem(globals(), "publish_change", hasty)
+    monkeypatch.setitem(globals(), "publish_change", publish_without_reading_back)
 
 
 def _swap_without_compare(monkeypatch):
     """The store writes whatever the expected version is."""
     put = FakeStore.put
 
-    def blind(store, call):
+    def put_without_compare(store, call):
         held = store.values.get(call.key)
         return put(store, Put(call.key, call.value, held.version if held else 0))
 
-    monkeypatch.setattr(FakeStore, "put", blind)
+    monkeypatch.setattr(FakeStore, "put", put_without_compare)
 
 
 @pytest.mark.parametrize(
     "plant",
-    [plants.lower_revision_is_taken, _report_loss_as_refusal, _swap_without_compare],
+    [planted_faults.lower_revision_is_applied, _report_loss_as_refusal, _swap_without_compare],
     ids=lambda each: each.__name__,
 )
-def test_a_planted_fault_turns_the_configuration_proof_red(plant, monkeypatch):
+def test_the_configuration_checks_detect_planted_faults(plant, monkeypatch):
     plant(monkeypatch)
     with pytest.raises((AssertionError, InvariantBroken)) as red:
         run_machine(examples=200)
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -27,28 +27,28 @@
     asyncio.run(main())
 
 
-def engines(fleet):
+def engine_replicas(fleet):
     return [each for each in fleet.replicas.values() if each.engine]
 
 
-def plain(fleet):
+def plain_replicas(fleet):
     return [each for each in fleet.replicas.values() if not each.engine]
 
 
-def test_requests_go_whole_and_unaltered_to_one_replica_and_back():
+def test_requests_and_answers_pass_unaltered_to_and_from_one_replica():
     async def check(fleet):
         for name in fleet.nodes:
             got = await fleet.ask(name, "/chat/x?y=%20z", body=b"\x00\xff")
             assert (got.status, got.body, got.whole) == (200, WHOLE_STREAM, True)
         assert sum(fleet.runs().values()) == 3
-        seen = next(each.seen[0] for each in engines(fleet) if each.seen)
+        seen = next(each.seen[0] for each in engine_replicas(fleet) if each.seen)
         assert (seen.method, seen.target, seen.body) == ("POST", "/chat/x?y=%20z", b"\x00\xff")
         assert seen.headers["x-tenant"] == "clerks" and "x-credential" not in seen.headers
         assert 0 < int(seen.headers["x-deadline-ms"]) <= 8000
 
         got = await fleet.ask("n1", "/book/1", X_Tenant="forged", X_Expect_Instance="forged")
         assert got.status == 200 and got.headers["x-server-stamp"]
-        seen = next(each.seen[-1] for each in plain(fleet) if each.seen)
+        seen = next(each.seen[-1] for each in plain_replicas(fleet) if each.seen)
         assert seen.headers["x-tenant"] == "clerks"
 
         for path, key, status in (
@@ -61,19 +61,19 @@
     with_fleet(check)
 
 
-def test_what_may_not_be_repeated_runs_once_and_what_may_is_sent_again():
+def test_only_repeatable_requests_are_sent_again():
     async def check(fleet):
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.lose_answers = 1
         got = await fleet.ask("n1", "/book/1", request_id="once")
         assert got.status == 502
         assert fleet.runs()["once"] == 1
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.lose_answers = 0
             replica.faults.fail = 1
         got = await fleet.ask("n1", "/find/1", method="GET", body=b"", request_id="twice")
         assert got.status == 500 and fleet.runs()["twice"] == 2
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.fail = 0
             replica.faults.shed = 1
         got = await fleet.ask("n1", "/book/1", request_id="declined")
@@ -82,24 +82,24 @@
     with_fleet(check)
 
 
-def test_a_broken_stream_goes_on_elsewhere_where_it_may_and_is_visibly_broken_where_not():
+def test_a_broken_stream_is_resumed_elsewhere_if_resumable_and_else_visibly_truncated():
     async def check(fleet):
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.break_streams = 1
         got = await fleet.ask("n1", "/chat/1", request_id="chat")
         assert not got.whole and WHOLE_STREAM.startswith(got.body) and got.body
         assert fleet.runs()["chat"] == 1
-        broken = next(each for each in engines(fleet) if each.faults.break_streams == 0)
+        broken = next(each for each in engine_replicas(fleet) if each.faults.break_streams == 0)
         broken.faults.break_streams = 1
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.break_after = 3
         got = await fleet.ask("n2", "/explain/1", request_id="explain")
         assert fleet.runs()["explain"] == 2
-        seen = [each for replica in engines(fleet) for each in replica.seen]
+        seen = [each for replica in engine_replicas(fleet) for each in replica.seen]
         sends = [each for each in seen if each.headers["x-request-id"] == "explain"]
         assert sorted(each.headers.get("last-event-id", "") for each in sends) == ["", "2"]
         assert WHOLE_STREAM.startswith(got.body)
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.break_streams = 0
         got = await fleet.ask("n2", "/explain/1", Last_Event_Id="4")
         assert got.whole and got.body == WHOLE_STREAM[WHOLE_STREAM.index(b"id: 5") :]
@@ -107,9 +107,9 @@
     with_fleet(check)
 
 
-def test_answers_that_nobody_asked_for_reach_nobody():
+def test_unsolicited_answers_are_dropped():
     async def check(fleet):
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.extra_answers = 20
         for number in range(30):
             got = await fleet.ask("n1", "/book/1", request_id=f"e{number}")
@@ -118,7 +118,7 @@
     with_fleet(check, ("a",))
 
 
-def test_another_replica_at_a_known_address_does_not_run_what_was_not_meant_for_it():
+def test_a_different_replica_at_a_known_address_runs_no_requests_meant_for_the_former():
     async def check(fleet):
         old = fleet.replicas["s0"]
         await old.crash()
@@ -132,7 +132,7 @@
     with_fleet(check)
 
 
-def test_a_replica_that_leaves_gets_nothing_once_its_node_knows():
+def test_a_leaving_replica_gets_no_requests_once_the_nodes_know():
     async def check(fleet):
         leaving = fleet.replicas["s0"]
         await leaving.declare("draining")
@@ -149,7 +149,7 @@
     with_fleet(check)
 
 
-def test_a_crashed_replica_costs_no_request_that_was_not_on_it():
+def test_a_crashed_replica_fails_no_later_request():
     async def check(fleet):
         await fleet.replicas["m0"].crash()
         await fleet.replicas["s0"].crash()
@@ -160,7 +160,7 @@
     with_fleet(check)
 
 
-def test_a_configuration_is_in_force_everywhere_and_stays_without_the_store():
+def test_a_configuration_takes_effect_on_all_nodes_and_survives_a_store_outage():
     async def check(fleet):
         changed = default_configuration(5)
         changed["routes"][2]["path-prefix"] = "/moved/"
@@ -188,7 +188,7 @@
     with_fleet(check)
 
 
-def test_a_history_that_was_forgotten_hides_no_change():
+def test_a_lost_store_history_hides_no_change():
     async def check(fleet):
         await fleet.store.forget_history()
         changed = default_configuration(9)
@@ -203,7 +203,7 @@
     with_fleet(check)
 
 
-def test_the_loss_or_freeze_of_a_scheduler_stops_nobody():
+def test_the_loss_or_freeze_of_a_scheduler_interrupts_no_requests():
     async def check(fleet):
         await asyncio.gather(*(fleet.ask(name, "/chat/1") for name in fleet.nodes))
         for name in fleet.nodes:
@@ -220,9 +220,9 @@
     with_fleet(check)
 
 
-def test_a_planned_stop_cuts_off_nothing_and_calls_for_no_more_at_once():
+def test_a_planned_stop_finishes_running_streams_and_reports_not_ready_at_once():
     async def check(fleet):
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.event_s = 0.15
         tasks = [asyncio.create_task(fleet.ask("n1", "/chat/1")) for _ in range(4)]
         await fleet.until(lambda: sum(fleet.runs().values()) == 4, "four streams to run")
@@ -241,14 +241,14 @@
     with_fleet(check)
 
 
-def test_a_caller_that_leaves_is_felt_by_the_replica():
+def test_a_caller_that_disconnects_cancels_its_request_at_the_replica():
     async def check(fleet):
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.event_s = 0.1
         task = asyncio.create_task(fleet.ask("n1", "/chat/1"))
         await fleet.until(lambda: sum(fleet.runs().values()) == 1, "a stream to run")
         task.cancel()
-        seen = [each for replica in engines(fleet) for each in replica.seen]
+        seen = [each for replica in engine_replicas(fleet) for each in replica.seen]
         await fleet.until(lambda: seen[0].left, "a replica to notice")
 
         def left():
@@ -262,7 +262,7 @@
     with_fleet(check, ("a",))
 
 
-def test_the_pages_tell_readiness_and_metrics_and_the_log_has_each_request():
+def test_metrics_are_served_and_the_log_has_each_request():
     async def check(fleet):
         await fleet.ask("n1", "/book/1", request_id="told")
         async with fleet.session.get(f"http://{fleet.nodes['n1'].metrics}/metrics") as page:
@@ -283,7 +283,7 @@
     with_fleet(check, ("a",))
 
 
-def test_settings_that_are_wrong_or_change_are_told():
+def test_invalid_settings_are_reported_at_reload_and_start():
     async def check(fleet):
         node = fleet.nodes["n1"]
         node.settings.write_text("[node]\n")
@@ -321,7 +321,7 @@
     with_fleet(check, ("a",))
 
 
-def test_the_callers_connection_is_kept_between_requests():
+def test_a_callers_connection_is_reused_between_requests():
     async def check(fleet):
         connector = aiohttp.TCPConnector(limit=1)
         async with aiohttp.ClientSession(connector=connector) as session:
@@ -335,7 +335,7 @@
     with_fleet(check, ("a",))
 
 
-def test_a_node_that_was_frozen_serves_in_the_first_second_after_it_wakes():
+def test_a_frozen_node_serves_in_the_first_second_after_it_resumes():
     async def check(fleet):
         await asyncio.sleep(1.0)
         node = fleet.nodes["n1"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,8 +13,8 @@
 import asyncio
 
 from tests.gatewayfleet import play
-from tests.limits import most_allowed, over_limits
-from tests.test_leaving_and_rest import PATHS, keep_asking, of_path, served_share
+from tests.limits import most_allowed, worst_windows
+from tests.test_leaving_and_rest import PATHS, replicas_of_path, run_callers, served_share
 
 PLAYED_S = 12.0
 LIMIT_PER_S = 3.8
@@ -25,7 +25,7 @@
         replica.faults.limit_per_s = limit_per_s
 
 
-def worst_of(path, count, limit_per_s, **fleet):
+def play_limits(path, count, limit_per_s, **fleet):
     """Play callers before replicas of which some name a limit.
 
     :return: the most requests that one of these got in a window, how many are allowed, and the
@@ -34,29 +34,29 @@
     found = []
 
     async def check(fleet):
-        limited = of_path(fleet, path)[:count]
+        limited = replicas_of_path(fleet, path)[:count]
         set_limits(limited, limit_per_s)
-        got = await keep_asking(fleet, path, PLAYED_S)
-        found.append((max(over_limits(got, limited).values()), served_share(got)))
+        got = await run_callers(fleet, path, PLAYED_S)
+        found.append((max(worst_windows(got, limited).values()), served_share(got)))
 
     play(check, **fleet)
     return found[0]
 
 
-def test_a_limit_holds_over_all_nodes_and_callers_are_served_by_the_others():
-    found = {path: worst_of(path, 2, LIMIT_PER_S) for path in PATHS}
+def test_a_limit_holds_across_all_nodes_and_other_replicas_serve_the_callers():
+    found = {path: play_limits(path, 2, LIMIT_PER_S) for path in PATHS}
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
-def test_a_limit_of_a_fraction_of_a_request_holds():
-    found = {path: worst_of(path, 2, 0.4) for path in ("/chat/1", "/find/1")}
+def test_a_limit_below_one_request_per_second_holds():
+    found = {path: play_limits(path, 2, 0.4) for path in ("/chat/1", "/find/1")}
     assert all(most <= most_allowed(0.4) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
-def test_limits_hold_where_all_replicas_name_one():
-    found = {path: worst_of(path, 6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
+def test_limits_hold_when_all_replicas_announce_one():
+    found = {path: play_limits(path, 6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
 
 
@@ -70,50 +70,50 @@
     found = []
 
     async def check(fleet):
-        limited = of_path(fleet, path)[:2]
+        limited = replicas_of_path(fleet, path)[:2]
         set_limits(limited, before)
-        got = await keep_asking(fleet, path, 6.0)
+        got = await run_callers(fleet, path, 6.0)
         changed_at = asyncio.get_running_loop().time()
         set_limits(limited, after)
-        got += await keep_asking(fleet, path, seconds)
-        found.append((max(over_limits(got, limited, changed_at).values()), served_share(got)))
+        got += await run_callers(fleet, path, seconds)
+        found.append((max(worst_windows(got, limited, changed_at).values()), served_share(got)))
 
     play(check)
     return found[0]
 
 
-def test_a_lower_limit_is_in_force_as_the_first_one_was():
+def test_a_lowered_limit_takes_effect_as_soon_as_a_first_one():
     found = {path: play_change(path, 7.6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
-def test_a_limit_is_over_when_answers_name_none_any_more():
+def test_a_limit_ends_when_answers_no_longer_announce_one():
     # A service that all callers share evenly without a limit: a sixth of some 50 to 60 a second.
     most, served = play_change("/find/1", LIMIT_PER_S, -1.0, seconds=16.0)
     assert most > 2 * most_allowed(LIMIT_PER_S)
     assert served >= 0.99
 
 
-def test_a_limit_of_nothing_is_asked_about_now_and_then():
+def test_a_replica_with_a_limit_of_zero_is_probed_until_the_limit_ends():
     found = {path: play_change(path, 0.0, -1.0, seconds=20.0) for path in ("/find/1", "/book/1")}
     assert all(most > 2 * most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
 
 
-def test_a_limit_holds_while_nodes_are_killed_and_start_again():
+def test_a_limit_holds_while_nodes_are_killed_and_restarted():
     most = {}
 
     def check_of(path):
         async def check(fleet):
-            limited = of_path(fleet, path)[:2]
+            limited = replicas_of_path(fleet, path)[:2]
             set_limits(limited, LIMIT_PER_S)
-            asking = asyncio.ensure_future(keep_asking(fleet, path, 2 * PLAYED_S))
+            callers = asyncio.ensure_future(run_callers(fleet, path, 2 * PLAYED_S))
             for number in (0, 3, 1, 4, 2, 5):
                 await asyncio.sleep(2.5)
                 await fleet.kill_node(number)
                 await asyncio.sleep(1.0)
                 fleet.start_node(number, first_start=False)
-            most[path] = max(over_limits(await asking, limited).values())
+            most[path] = max(worst_windows(await callers, limited).values())
 
         return check
 
@@ -122,25 +122,25 @@
     assert all(count <= most_allowed(LIMIT_PER_S) for count in most.values()), most
 
 
-def test_a_limit_holds_over_24_nodes():
+def test_a_limit_holds_across_24_nodes():
     domains = tuple("abcd"[number // 6] for number in range(24))
     found = {
-        path: worst_of(path, 2, LIMIT_PER_S, domains=domains) for path in ("/chat/1", "/find/1")
+        path: play_limits(path, 2, LIMIT_PER_S, domains=domains) for path in ("/chat/1", "/find/1")
     }
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
-def test_one_node_with_all_callers_uses_the_limits_of_all_replicas():
+def test_a_single_node_with_all_callers_uses_the_full_limits():
     used = {}
 
     def check_of(path):
         async def check(fleet):
-            replicas = of_path(fleet, path)
+            replicas = replicas_of_path(fleet, path)
             set_limits(replicas, LIMIT_PER_S)
-            await keep_asking(fleet, path, 3.0, nodes=(0,))
+            await run_callers(fleet, path, 3.0, nodes=(0,))
             before = sum(len(each.seen) for each in replicas)
-            await keep_asking(fleet, path, PLAYED_S, nodes=(0,))
+            await run_callers(fleet, path, PLAYED_S, nodes=(0,))
             sent = sum(len(each.seen) for each in replicas) - before
             used[path] = sent / (len(replicas) * LIMIT_PER_S * PLAYED_S)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -55,7 +55,7 @@
     with_fleet(check)
 
 
-def test_the_time_line_shows_one_request_over_all_processes():
+def test_the_timeline_shows_one_request_across_all_processes():
     async def check(fleet, caller):
         token = await caller.take_token(fleet.nodes["n1"].address)
         for host in ("n1", "n2"):
@@ -95,7 +95,7 @@
     with_fleet(check)
 
 
-def test_roles_are_kept_apart_and_every_error_is_a_problem_document():
+def test_roles_are_separate_and_every_error_is_a_problem_document():
     async def check(fleet, caller):
         address = fleet.nodes["n1"].administration
         for path, method, status in (
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -15,7 +15,7 @@
     r"|kv-(watch|txn|range|key|lease|keep)|path-prefix|api-keys|servers/|op/config",
     re.IGNORECASE,
 )
-MOST_LINES = 600
+MAX_ADAPTER_LINES = 600
 
 
 def sources():
@@ -25,7 +25,7 @@
             yield path
 
 
-def test_the_platforms_names_stand_nowhere_else():
+def test_platform_names_occur_only_in_the_adapter():
     found = [
         f"{path.relative_to(SOURCES)}: {match.group(0)}"
         for path in sources()
@@ -45,4 +45,4 @@
 
 def test_the_adapter_stays_small():
     lines = sum(len(path.read_text().splitlines()) for path in ADAPTER.glob("*.py"))
-    assert lines < MOST_LINES
+    assert lines < MAX_ADAPTER_LINES
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -112,7 +112,7 @@
     with_fleet(check)
 
 
-def test_a_killed_issuer_is_told_as_unknown_and_its_requests_never_run_again():
+def test_requests_of_a_killed_issuer_are_reported_as_unknown_and_never_run_again():
     async def check(fleet, caller):
         token = await caller.take_token(fleet.nodes["n1"].address)
         unspent = await caller.take_token(fleet.nodes["n1"].address)
@@ -143,7 +143,7 @@
         return False
 
 
-def test_a_frozen_issuer_that_wakes_up_has_run_its_request_once():
+def test_a_frozen_issuer_that_resumes_has_run_its_request_once():
     async def check(fleet, caller):
         token = await caller.take_token(fleet.nodes["n1"].address)
         await fleet.set_faults(fleet.upstreams["p1"], latency_s=0.5)
@@ -190,7 +190,7 @@
     with_fleet(check)
 
 
-def test_a_purchase_whose_answer_is_lost_runs_once_and_is_told_as_unknown():
+def test_a_purchase_whose_answer_is_lost_runs_once_and_is_reported_as_unknown():
     async def check(fleet, caller):
         address = fleet.nodes["n2"].address
         token = await caller.take_token(address)
@@ -205,7 +205,7 @@
     with_fleet(check)
 
 
-def test_a_cut_stream_is_resumed_at_the_same_engine_or_told_as_not_whole():
+def test_a_cut_stream_is_resumed_at_the_same_engine_or_reported_as_incomplete():
     async def check(fleet, caller):
         address = fleet.nodes["n1"].address
         for name in ("e0", "e1"):
@@ -223,7 +223,7 @@
     with_fleet(check)
 
 
-def test_a_planned_stop_cuts_off_nothing():
+def test_a_planned_stop_interrupts_no_request():
     async def check(fleet, caller):
         node = fleet.nodes["n1"]
         unspent = await caller.take_token(node.address)
@@ -271,7 +271,7 @@
     with_fleet(check)
 
 
-def test_a_node_without_store_and_peers_says_that_it_is_not_ready_until_one_is_back():
+def test_a_node_without_store_and_peers_reports_not_ready_until_one_is_back():
     async def check(fleet, caller):
         await fleet.set_faults(fleet.store, outage=True)
         for node in fleet.nodes.values():
@@ -297,7 +297,7 @@
     with_fleet(check)
 
 
-def test_a_swap_whose_answer_is_lost_is_accepted_once_and_a_racer_is_told_its_fields():
+def test_a_swap_whose_answer_is_lost_is_accepted_once_and_a_conflict_names_its_fields():
     async def check(fleet, caller):
         heavier = {"team": [{**RESOURCES["team"][0], "weight": 3}]}
         # the team's new chunk is written first, then the root
@@ -314,7 +314,7 @@
     with_fleet(check)
 
 
-def test_an_upstream_that_leaves_gets_no_new_work_by_list_or_by_its_own_answer():
+def test_an_upstream_that_leaves_by_host_list_or_by_its_own_answer_gets_no_new_work():
     async def check(fleet, caller):
         address = fleet.nodes["n1"].address
         await fleet.change_host(id="e0", state="leaving")
@@ -333,7 +333,7 @@
     with_fleet(check)
 
 
-def test_a_dead_engine_is_passed_over_where_no_byte_was_sent():
+def test_a_dead_engine_is_skipped_when_no_byte_was_sent():
     async def check(fleet, caller):
         fleet.upstreams["e0"].send(signal.SIGKILL)
         fleet.upstreams["e0"].popen.wait()
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -8,7 +8,7 @@
 import pytest
 from chalkyoke.exceptions import InvariantBroken
 
-from tests import plants
+from tests import planted_faults
 from tests.world import play
 
 SEEDS = range(6)
@@ -18,13 +18,13 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_kills_cuts_holds_and_planned_stops(seed):
+def test_guarantees_hold_under_kills_partitions_freezes_and_planned_stops(seed):
     steps = play(seed)
     assert steps["whole"] > 40
     assert steps["forwarded"] > 20
 
 
-def test_without_faults_every_request_is_answered_whole():
+def test_without_faults_every_answer_is_complete():
     steps = play(1, chaos=0.0, seconds=40)
     assert steps["whole"] > 100
 
@@ -32,18 +32,18 @@
 @pytest.mark.parametrize(
     "plant",
     [
-        plants.dispatch_again_after_no_answer,
-        plants.refused_token_runs_again,
-        plants.restarted_host_runs_old_tokens,
-        plants.end_of_stream_counts_as_whole,
-        plants.partial_events_are_passed_on,
-        plants.leaving_is_not_heard,
-        plants.drain_does_not_wait,
-        plants.running_is_not_told,
+        planted_faults.dispatch_again_after_no_answer,
+        planted_faults.refused_token_runs_again,
+        planted_faults.restarted_host_accepts_old_tokens,
+        planted_faults.truncated_stream_counts_as_whole,
+        planted_faults.partial_events_are_forwarded,
+        planted_faults.leaving_state_is_ignored,
+        planted_faults.drain_does_not_wait,
+        planted_faults.running_requests_are_not_reported,
     ],
     ids=lambda plant: plant.__name__,
 )
-def test_a_planted_fault_turns_the_proof_red(plant, monkeypatch):
+def test_the_checks_detect_planted_faults(plant, monkeypatch):
     plant(monkeypatch)
     with pytest.raises(BROKEN) as red:
         for seed in PLANT_SEEDS:
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -23,10 +23,10 @@
 from tests import virtual
 
 LINK_S = 0.001
-FEW = 8
+MAX_FULL_MESH_DOMAIN = 8
 MONITORS = 3
 CRASHING = b"crashing----"
-KNOWN_S = 3.0
+SPREAD_S = 3.0
 
 
 class View:
@@ -41,7 +41,7 @@
         direct, relays = [], []
         for domain in self._fleet.domains:
             first = domain[:MONITORS]
-            if len(domain) <= FEW or self._number in first:
+            if len(domain) <= MAX_FULL_MESH_DOMAIN or self._number in first:
                 direct += [each for each in domain if each != self._number]
             else:
                 relays += first
@@ -150,7 +150,7 @@
         virtual.run(main)
 
 
-async def usual_work(fleet, seconds, per_s, tries=4, served=None):
+async def run_unique_requests(fleet, seconds, per_s, tries=4, served=None):
     """Let callers ask; what breaks is sent again, up to four times over both of its attempts."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
@@ -177,9 +177,9 @@
 
 
 @pytest.mark.parametrize("nodes, domains, replicas", [(9, 3, 5), (80, 4, 18), (300, 7, 60)])
-def test_all_know_at_once_and_what_an_end_costs(nodes, domains, replicas):
+def test_all_nodes_hold_a_request_back_at_once_with_bounded_messages(nodes, domains, replicas):
     async def check(fleet):
-        usual = asyncio.ensure_future(usual_work(fleet, 8.0, per_s=20))
+        usual = asyncio.ensure_future(run_unique_requests(fleet, 8.0, per_s=20))
         loop = asyncio.get_running_loop()
         sends, third = [], None
         for _ in range(27):
@@ -192,20 +192,20 @@
                 if len(sends) == 3:
                     third = loop.time()
                     await asyncio.sleep(0.02)
-                    knowing = sum(node.is_held(lambda: CRASHING) for node in fleet.nodes)
-                    assert knowing == nodes
+                    holding_nodes = sum(node.is_held(lambda: CRASHING) for node in fleet.nodes)
+                    assert holding_nodes == nodes
             await asyncio.sleep(0.2)
-        told = fleet.messages["ReplicaEnded"]
+        end_reports = fleet.messages["ReplicaEnded"]
         await usual
-        assert len([at for at in sends if at > third + KNOWN_S]) == 0
+        assert len([at for at in sends if at > third + SPREAD_S]) == 0
         assert fleet.held() == {CRASHING}
         # Each node with a run there tells all others: up to seven times the fleet for an end.
-        assert told <= 3 * 7 * 1.2 * nodes + 100
+        assert end_reports <= 3 * 7 * 1.2 * nodes + 100
 
     play(check, nodes, domains, replicas)
 
 
-def test_two_sides_of_a_cut_agree_soon_after_it_heals():
+def test_both_sides_of_a_partition_agree_soon_after_it_heals():
     async def check(fleet):
         loop = asyncio.get_running_loop()
         fleet.cut = set(fleet.domains[0])
@@ -221,12 +221,12 @@
         while not all(node.is_held(lambda: CRASHING) for node in fleet.nodes):
             fleet.tick()
             await asyncio.sleep(1.0)
-            assert loop.time() < healed + KNOWN_S
+            assert loop.time() < healed + SPREAD_S
 
     play(check, 80, 4, 18)
 
 
-async def end_a_rack(fleet):
+async def end_half_at_once(fleet):
     """Half of the replicas at one moment, twice."""
     for _ in range(2):
         for replica in list(fleet.replicas)[: len(fleet.replicas) // 2]:
@@ -241,7 +241,7 @@
         await asyncio.sleep(0.2)
 
 
-async def end_again_and_again(fleet):
+async def end_bad_release(fleet):
     """A bad release: a third of the replicas end some 5 s after each start, for 10 s."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
@@ -251,7 +251,7 @@
         fleet.end(fleet.replicas[fleet.random.randrange(bad)])
 
 
-async def end_in_a_storm(fleet):
+async def end_at_random(fleet):
     """Any replica, four a second for 10 s."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
@@ -260,11 +260,11 @@
         fleet.end(fleet.random.choice(fleet.replicas))
 
 
-def innocents_held(ending, seed, replicas=6):
+def count_innocents_held(ending, seed, replicas=6):
     found = []
 
     async def check(fleet):
-        work = asyncio.ensure_future(usual_work(fleet, 10.0, per_s=15))
+        work = asyncio.ensure_future(run_unique_requests(fleet, 10.0, per_s=15))
         await asyncio.sleep(1.0)
         await ending(fleet)
         await work
@@ -274,19 +274,19 @@
     return found[0]
 
 
-@pytest.mark.parametrize("ending", [end_a_rack, end_in_turn, end_again_and_again])
-def test_replicas_that_end_by_themselves_hold_nobody_back(ending):
-    assert [innocents_held(ending, seed) for seed in range(10)] == [0] * 10
+@pytest.mark.parametrize("ending", [end_half_at_once, end_in_turn, end_bad_release])
+def test_replicas_that_crash_on_their_own_hold_no_request_back(ending):
+    assert [count_innocents_held(ending, seed) for seed in range(10)] == [0] * 10
 
 
-def test_a_storm_of_ends_in_a_pool_of_twenty_holds_nobody_back():
-    assert [innocents_held(end_in_a_storm, seed, 20) for seed in range(20)] == [0] * 20
+def test_frequent_crashes_in_a_pool_of_twenty_hold_no_request_back():
+    assert [count_innocents_held(end_at_random, seed, 20) for seed in range(20)] == [0] * 20
 
 
-CRASHING_TOO = b"d" * 12
+SECOND_CRASHING = b"d" * 12
 
 
-async def popular_work(fleet, seconds, kinds=4, per_s=20):
+async def run_popular_requests(fleet, seconds, kinds=4, per_s=20):
     """Let callers ask for the same few things again and again; what breaks is sent once more."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
@@ -308,7 +308,7 @@
     await asyncio.gather(*asked)
 
 
-async def keep_crashing(fleet, request, seconds):
+async def send_crashing_repeatedly(fleet, request, seconds):
     """Send a request that ends each replica 50 ms after it began; give how often it was sent."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
@@ -325,18 +325,20 @@
 
 
 # Guards against popular requests that are held back since they run under most ends of others.
-def test_popular_requests_are_not_held_back_for_two_that_end_replicas():
+def test_popular_requests_are_not_held_back_for_two_that_crash_replicas():
     found = []
 
     async def check(fleet):
-        work = asyncio.ensure_future(popular_work(fleet, 14.0))
+        work = asyncio.ensure_future(run_popular_requests(fleet, 14.0))
         await asyncio.sleep(2.0)
-        crashing = (keep_crashing(fleet, each, 9.0) for each in (CRASHING, CRASHING_TOO))
+        crashing = (
+            send_crashing_repeatedly(fleet, each, 9.0) for each in (CRASHING, SECOND_CRASHING)
+        )
         sends = await asyncio.gather(*crashing)
         await work
         found.append((fleet.held(), max(sends)))
 
     for seed in range(20):
         play(check, 3, 3, 3, seed=seed)
-    assert all(held == {CRASHING, CRASHING_TOO} for held, _ in found), found
+    assert all(held == {CRASHING, SECOND_CRASHING} for held, _ in found), found
     assert max(sends for _, sends in found) <= 5
--- a/tests/test_resting_upstreams.py
+++ b/tests/test_resting_upstreams.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections import defaultdict
 
-from tests.rests import MOST_IN_REST, most_in_rest
+from tests.rests import MOST_IN_REST, max_requests_in_rest
 from tests.virtual import run
 from tests.world import World
 
@@ -27,15 +27,15 @@
     await asyncio.gather(*calls, return_exceptions=True)
 
 
-def rests_of(upstreams):
+def max_requests_during_rest(upstreams):
     turned_away = defaultdict(list)
     for upstream in upstreams:
-        for process, at in upstream.turned_away:
+        for process, at in upstream.declined_at:
             turned_away[upstream.id, process].append(at)
-    return most_in_rest(turned_away, REST_S)
+    return max_requests_in_rest(turned_away, REST_S)
 
 
-def test_an_upstream_that_wants_rest_is_left_alone_by_the_process_that_it_told():
+def test_a_process_pauses_requests_to_an_upstream_that_asked_it_for_rest():
     async def main():
         world = World(1, chaos=0.0)
         await asyncio.sleep(2.0)
@@ -46,5 +46,5 @@
         return resting
 
     resting = run(main)
-    assert any(each.turned_away for each in resting)
-    assert rests_of(resting) <= MOST_IN_REST
+    assert any(each.declined_at for each in resting)
+    assert max_requests_during_rest(resting) <= MOST_IN_REST
--- a/tests/test_restored_spread.py
+++ b/tests/test_restored_spread.py
@@ -19,17 +19,17 @@
     80: dict.fromkeys("abcde", 16),
 }
 SETTLED_S = 8.0
-LOST_CHANGES = 12
-CHANGE_S = 0.25
-AWAY_S = 0.5
+LOST_CHANGE_PAIRS = 12
+CHANGE_INTERVAL_S = 0.25
+OUTAGE_S = 0.5
 # How soon after the store's return all nodes in touch go by it, in seconds.
-AGREED_S = 1.0
-LOOK_S = 0.02
+CONVERGED_S = 1.0
+POLL_S = 0.02
 # A node that is turned away by the store, or falls behind twice, has some beats more.
-BY_PEERS_S = 2.0
+CONVERGED_BY_PEERS_S = 2.0
 
 
-def agree(fleet):
+def all_nodes_agree(fleet):
     """Tell whether all nodes know the same state of the store, and believe the same."""
     store = fleet.store
     states = [node.state for node in fleet.nodes]
@@ -47,32 +47,32 @@
 async def seconds_until_agreed(fleet, most_s=20.0):
     loop = asyncio.get_running_loop()
     began = loop.time()
-    while not agree(fleet) and loop.time() - began < most_s:
-        await asyncio.sleep(LOOK_S)
+    while not all_nodes_agree(fleet) and loop.time() - began < most_s:
+        await asyncio.sleep(POLL_S)
     return loop.time() - began
 
 
-async def lose_seconds(fleet, before_return=lambda: None):
+async def lose_recent_changes(fleet, before_return=lambda: None):
     """Write for some seconds, and let the store come back from a copy that lacks them."""
     store = fleet.store
-    copy = store.copy()
-    for number in range(LOST_CHANGES):
+    snapshot = store.snapshot()
+    for number in range(LOST_CHANGE_PAIRS):
         fleet.configure({number})
-        fleet.drain(number)
-        await asyncio.sleep(CHANGE_S)
-    store.go_away()
-    await asyncio.sleep(AWAY_S)
+        fleet.drain_replica(number)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+    store.go_offline()
+    await asyncio.sleep(OUTAGE_S)
     before_return()
     fleet.network.bytes_by_kind.clear()
-    store.restore(copy)
+    store.restore(snapshot)
 
 
-def played(nodes, story):
+def play_scenario(nodes, scenario):
     async def main():
         fleet = Fleet(SIZES[nodes], replicas=4 * nodes)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        return await story(fleet)
+        return await scenario(fleet)
 
     return play(main)
 
@@ -80,41 +80,41 @@
 # Guards against nodes that go by what a restored store has lost, and against whole listings to all.
 @pytest.mark.parametrize("nodes", SIZES)
 def test_all_nodes_agree_soon_after_a_restore(nodes):
-    async def story(fleet):
-        await lose_seconds(fleet)
+    async def scenario(fleet):
+        await lose_recent_changes(fleet)
         restored_s = await seconds_until_agreed(fleet)
-        for number in range(LOST_CHANGES):
-            fleet.drain(number)
+        for number in range(LOST_CHANGE_PAIRS):
+            fleet.drain_replica(number)
         again_s = await seconds_until_agreed(fleet)
         return restored_s, again_s, set(fleet.network.bytes_by_kind)
 
-    restored_s, again_s, kinds = played(nodes, story)
-    assert restored_s < AGREED_S and again_s < AGREED_S, (restored_s, again_s)
+    restored_s, again_s, kinds = play_scenario(nodes, scenario)
+    assert restored_s < CONVERGED_S and again_s < CONVERGED_S, (restored_s, again_s)
     assert "ReplicasSnapshot" not in kinds
 
 
 # Guards against nodes that can't compare two listings of which one is of a later epoch.
-def test_nodes_that_the_store_turns_away_learn_of_a_restore_from_others():
-    async def story(fleet):
-        away = {node.host for node in fleet.nodes if node.view.domain == "a"}
+def test_nodes_that_the_store_refuses_learn_of_a_restore_from_peers():
+    async def scenario(fleet):
+        refused_hosts = {node.host for node in fleet.nodes if node.view.domain == "a"}
 
-        def turn_away():
-            fleet.store.refused = away
+        def refuse_domain():
+            fleet.store.refused_hosts = refused_hosts
 
-        await lose_seconds(fleet, turn_away)
+        await lose_recent_changes(fleet, refuse_domain)
         return await seconds_until_agreed(fleet)
 
-    assert played(24, story) < BY_PEERS_S
+    assert play_scenario(24, scenario) < CONVERGED_BY_PEERS_S
 
 
 # Guards against a second restore that is taken for the first one.
 def test_two_restores_in_a_row_are_both_followed():
-    async def story(fleet):
-        await lose_seconds(fleet)
+    async def scenario(fleet):
+        await lose_recent_changes(fleet)
         await asyncio.sleep(0.1)
-        await lose_seconds(fleet)
+        await lose_recent_changes(fleet)
         return await seconds_until_agreed(fleet), {node.state.epoch for node in fleet.nodes}
 
-    agreed_s, epochs = played(24, story)
-    assert agreed_s < BY_PEERS_S
+    agreed_s, epochs = play_scenario(24, scenario)
+    assert agreed_s < CONVERGED_BY_PEERS_S
     assert epochs == {3}
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -12,32 +12,32 @@
 from chalkyoke_fakes.platformfleet import default_configuration
 
 from tests.gatewayfleet import play
-from tests.test_leaving_and_rest import keep_asking, of_path, served_share
+from tests.test_leaving_and_rest import replicas_of_path, run_callers, served_share
 
 PATHS = ("/chat/1", "/find/1")
 # How many revisions the copy lacks, and how long before the return it was made, in seconds.
 LOST_REVISIONS = 40
-COPY_AGE_S = 3.0
-AWAY_S = 0.5
+SNAPSHOT_AGE_S = 3.0
+OUTAGE_S = 0.5
 # How long after it said that it leaves a replica may still get requests, in seconds.
-LEFT_ALONE_S = 2.0
+LEAVING_GRACE_S = 2.0
 # How soon after the store's return all nodes go by it again, in seconds.
-AGREED_S = 1.0
+CONVERGED_S = 1.0
 PLAYED_S = 5.0
 # How long the platform lists a silent replica, in seconds: three heartbeats.
-LAPSES_S = 3.6
+RECORD_TIMEOUT_S = 3.6
 
 
 def now():
     return asyncio.get_running_loop().time()
 
 
-def later_sends(replica, since):
+def count_late_sends(replica, since):
     """Count what reached a replica too long after it had said that it leaves."""
-    return sum(each.at > since + LEFT_ALONE_S for each in replica.seen)
+    return sum(each.at > since + LEAVING_GRACE_S for each in replica.seen)
 
 
-def first_after(replica, since):
+def seconds_until_first_request(replica, since):
     """Give how long after a moment a replica got its first request; nothing where it got none."""
     later = [each.at for each in replica.seen if each.at > since]
     return later[0] - since if later else None
@@ -65,109 +65,113 @@
     :param in_lost_seconds: done just before the store goes away.
     """
     store, operator = fleet.store, Operator(fleet.store)
-    copy = store.copy()
+    snapshot = store.snapshot()
     for _ in range(LOST_REVISIONS):
         operator.configure()
-        await asyncio.sleep(COPY_AGE_S / LOST_REVISIONS)
+        await asyncio.sleep(SNAPSHOT_AGE_S / LOST_REVISIONS)
     if in_lost_seconds is not None:
         await in_lost_seconds()
         await asyncio.sleep(0.5)
-    store.go_away()
-    await asyncio.sleep(AWAY_S)
-    store.restore(copy)
+    store.go_offline()
+    await asyncio.sleep(OUTAGE_S)
+    store.restore(snapshot)
     operator.write_again()
     return operator
 
 
-async def asking(fleet, path, story):
+async def run_scenario_with_callers(fleet, path, scenario):
     """Let callers ask while a story goes on, and for some seconds after it."""
-    callers = asyncio.ensure_future(keep_asking(fleet, path, COPY_AGE_S + AWAY_S + PLAYED_S + 6.0))
+    callers = asyncio.ensure_future(
+        run_callers(fleet, path, SNAPSHOT_AGE_S + OUTAGE_S + PLAYED_S + 6.0)
+    )
     await asyncio.sleep(1.0)
-    found = await story()
-    return found, await callers
+    result = await scenario()
+    return result, await callers
 
 
-def play_path(path, story):
+def play_scenario_on_path(path, scenario):
     """Play a story beside callers.
 
     :return: what the story gives, and the share of callers that were served.
     """
-    found = []
+    result = []
 
     async def check(fleet):
-        result, got = await asking(fleet, path, lambda: story(fleet, of_path(fleet, path)))
-        found.append((result, served_share(got)))
+        result, got = await run_scenario_with_callers(
+            fleet, path, lambda: scenario(fleet, replicas_of_path(fleet, path))
+        )
+        result.append((result, served_share(got)))
 
     play(check)
-    return found[0]
+    return result[0]
 
 
-def assert_left_alone(path, story):
+def assert_gets_no_requests(path, scenario):
     """Assert that a replica got nothing too late, and that callers were served by the others."""
-    late, served = play_path(path, story)
+    late, served = play_scenario_on_path(path, scenario)
     assert late == 0, late
     assert served > 0.99, served
 
 
-def assert_gets_work(path, story):
+def assert_gets_requests(path, scenario):
     """Assert that a replica soon got its first request, and that callers were served."""
-    first, served = play_path(path, story)
-    assert first is not None and first < AGREED_S, first
+    first, served = play_scenario_on_path(path, scenario)
+    assert first is not None and first < CONVERGED_S, first
     assert served > 0.99, served
 
 
 # Guards against sends to a replica that said it leaves after the store's revisions went back.
-def test_a_replica_that_leaves_after_a_restore_is_left_alone():
-    async def story(fleet, replicas):
+def test_a_replica_that_leaves_after_a_restore_gets_no_requests():
+    async def scenario(fleet, replicas):
         operator = await restore(fleet)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         await replicas[0].declare("draining")
         since = now()
         for _ in range(int(PLAYED_S)):
             await asyncio.sleep(1.0)
             operator.configure()
-        return later_sends(replicas[0], since)
+        return count_late_sends(replicas[0], since)
 
-    found = {path: play_path(path, story) for path in PATHS}
-    assert all(late == 0 and served > 0.99 for late, served in found.values()), found
+    result = {path: play_scenario_on_path(path, scenario) for path in PATHS}
+    assert all(late == 0 and served > 0.99 for late, served in result.values()), result
 
 
 # Guards against sends to a replica whose record went after the store's revisions went back.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_whose_record_goes_after_a_restore_is_left_alone(path):
-    async def story(fleet, replicas):
+def test_a_replica_whose_record_is_removed_after_a_restore_gets_no_requests(path):
+    async def scenario(fleet, replicas):
         await restore(fleet)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         fleet.store.remove(f"servers/{replicas[0].id}")
         since = now()
         await asyncio.sleep(PLAYED_S)
-        return later_sends(replicas[0], since)
+        return count_late_sends(replicas[0], since)
 
-    assert_left_alone(path, story)
+    assert_gets_no_requests(path, scenario)
 
 
 # Guards against work for a replica that left in the seconds that the store has lost, whose record
 # in the copy says that it is ready.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_left_in_the_lost_seconds_stays_left_alone(path):
-    async def story(fleet, replicas):
+def test_a_replica_that_left_in_the_lost_seconds_gets_no_requests(path):
+    async def scenario(fleet, replicas):
         async def leave():
             await replicas[0].declare("draining")
             leave.at = now()
 
         await restore(fleet, leave)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         await replicas[0].declare("draining")
         await asyncio.sleep(PLAYED_S)
-        return later_sends(replicas[0], leave.at)
+        return count_late_sends(replicas[0], leave.at)
 
-    assert_left_alone(path, story)
+    assert_gets_no_requests(path, scenario)
 
 
 # Guards against work for a replica that was gone, which the copy lists until it lapses again.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_went_in_the_lost_seconds_stays_gone(path):
-    async def story(fleet, replicas):
+def test_a_replica_removed_in_the_lost_seconds_gets_no_requests(path):
+    async def scenario(fleet, replicas):
         key = f"servers/{replicas[0].id}"
 
         async def go():
@@ -175,99 +179,99 @@
             go.at = now()
 
         await restore(fleet, go)
-        await asyncio.sleep(LAPSES_S)
+        await asyncio.sleep(RECORD_TIMEOUT_S)
         fleet.store.remove(key)
-        await asyncio.sleep(PLAYED_S - LAPSES_S)
-        return later_sends(replicas[0], go.at)
+        await asyncio.sleep(PLAYED_S - RECORD_TIMEOUT_S)
+        return count_late_sends(replicas[0], go.at)
 
-    assert_left_alone(path, story)
+    assert_gets_no_requests(path, scenario)
 
 
 # Guards against new replicas that get no work after the store's revisions went back.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_comes_after_a_restore_gets_work(path):
-    async def story(fleet, replicas):
+def test_a_replica_that_registers_after_a_restore_gets_requests(path):
+    async def scenario(fleet, replicas):
         await restore(fleet)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         service = replicas[0].service
         new = await fleet.add_replica("new", service, "a", service == "model")
         since = now()
         await asyncio.sleep(PLAYED_S)
         return new.seen[0].at - since if new.seen else None
 
-    assert_gets_work(path, story)
+    assert_gets_requests(path, scenario)
 
 
 # Guards against a new start under a known id that gets no work after the revisions went back.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_starts_anew_after_a_restore_gets_work(path):
-    async def story(fleet, replicas):
+def test_a_replica_that_restarts_after_a_restore_gets_requests(path):
+    async def scenario(fleet, replicas):
         async def leave():
             await replicas[0].declare("draining")
 
         await restore(fleet, leave)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         replicas[0].born += 1000
         await replicas[0].declare("ready")
         since = now()
         await asyncio.sleep(PLAYED_S)
-        return first_after(replicas[0], since)
+        return seconds_until_first_request(replicas[0], since)
 
-    assert_gets_work(path, story)
+    assert_gets_requests(path, scenario)
 
 
 # Guards against a live replica, listed in the copy only, that never gets work again.
-def test_a_replica_that_lapsed_and_lives_gets_work_again():
-    async def story(fleet, replicas):
+def test_a_live_replica_whose_record_expired_gets_requests_again():
+    async def scenario(fleet, replicas):
         async def lapse():
             fleet.store.remove(f"servers/{replicas[0].id}")
 
         await restore(fleet, lapse)
         since = now()
         await asyncio.sleep(2 * PLAYED_S)
-        return first_after(replicas[0], since)
+        return seconds_until_first_request(replicas[0], since)
 
-    first, _ = play_path("/find/1", story)
-    assert first is not None and LAPSES_S < first < 2 * LAPSES_S, first
+    first, _ = play_scenario_on_path("/find/1", scenario)
+    assert first is not None and RECORD_TIMEOUT_S < first < 2 * RECORD_TIMEOUT_S, first
 
 
 # Guards against nodes that start after a restore and are told what the others still believed.
-def test_nodes_that_start_amid_a_restore_go_by_it():
-    async def story(fleet, replicas):
+def test_nodes_that_start_during_a_restore_follow_the_restored_store():
+    async def scenario(fleet, replicas):
         await restore(fleet)
         for node in (1, 4):
             await fleet.kill_node(node)
             fleet.start_node(node, first_start=False)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         await replicas[0].declare("draining")
         since = now()
         await asyncio.sleep(PLAYED_S)
         states = [node.catalog.state for node in fleet.nodes]
-        return later_sends(replicas[0], since), {
+        return count_late_sends(replicas[0], since), {
             (each.epoch, each.replicas_revision) for each in states
         }
 
-    (late, positions), _ = play_path("/find/1", story)
+    (late, positions), _ = play_scenario_on_path("/find/1", scenario)
     assert late == 0, late
     assert len(positions) == 1, positions
 
 
 # Guards against a node that starts after a restore and knows of a leaving replica by the copy only.
-def test_a_node_that_starts_after_a_restore_is_told_who_left_in_the_lost_seconds():
-    async def story(fleet, replicas):
+def test_a_node_that_starts_after_a_restore_learns_who_left_in_the_lost_seconds():
+    async def scenario(fleet, replicas):
         async def leave():
             await replicas[0].declare("draining")
             leave.at = now()
 
         await restore(fleet, leave)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         for node in (1, 4):
             await fleet.kill_node(node)
             fleet.start_node(node, first_start=False)
         await asyncio.sleep(PLAYED_S)
-        return later_sends(replicas[0], leave.at)
+        return count_late_sends(replicas[0], leave.at)
 
-    late, _ = play_path("/find/1", story)
+    late, _ = play_scenario_on_path("/find/1", scenario)
     assert late == 0, late
 
 
@@ -276,8 +280,8 @@
 
 
 # Guards against a trial that begins anew, and an answer that is never given again, after a restore.
-def test_an_order_of_the_lost_seconds_goes_on_and_is_answered_again():
-    async def story(fleet, replicas):
+def test_a_rollout_order_of_the_lost_seconds_continues_and_its_status_is_rewritten():
+    async def scenario(fleet, replicas):
         for each in replicas[:3]:
             each.version = "v2"
             await each.declare("ready")
@@ -294,11 +298,11 @@
 
         await restore(fleet, order)
         assert STATUS_KEY not in fleet.store.items
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         kept = shares() == order.shares
         fleet.store.put(ORDER_KEY, ORDER)
         await asyncio.sleep(2.0)
         return kept and shares() == order.shares, STATUS_KEY in fleet.store.items
 
-    found, _ = play_path("/chat/1", story)
-    assert found == (True, True)
+    result, _ = play_scenario_on_path("/chat/1", scenario)
+    assert result == (True, True)
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -34,7 +34,7 @@
     return True
 
 
-def test_a_roll_from_the_version_in_production_breaks_no_promise_of_safety():
+def test_a_rolling_upgrade_from_the_version_in_production_breaks_no_safety_guarantee():
     with tempfile.TemporaryDirectory(prefix="chalkyoke-old-") as folder:
         if not unpack(folder):
             assert list((ROOT / "tests/versions").glob("*.json"))
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -14,23 +14,23 @@
 
 from chalkyoke_fakes.platformfleet import PlatformFleet
 
-SHARE, SLACK = 0.3, 60
+CANARY_SHARE, CANARY_SLACK_REQUESTS = 0.3, 60
 OVER_S = 6.0
-ENDS = ("completed", "rolled_back")
+END_STATES = ("completed", "rolled_back")
 
 
 def with_fleet(check):
     async def main():
         with tempfile.TemporaryDirectory(prefix="chalkyoke-test-") as folder:
             fleet = PlatformFleet(Path(folder))
-            fleet.limits |= {"canary_share": SHARE, "canary_slack": SLACK}
+            fleet.limits |= {"canary_share": CANARY_SHARE, "canary_slack": CANARY_SLACK_REQUESTS}
             async with fleet:
                 await check(fleet)
 
     asyncio.run(main())
 
 
-def decisions(fleet):
+def read_decisions(fleet):
     """Give what the leader logged of its decisions, to tell why an order ended as it did."""
     logs = "".join(path.read_text() for path in sorted(fleet.folder.glob("*.log")))
     return "\n".join(line for line in logs.splitlines() if '"event":"decided"' in line)
@@ -57,7 +57,7 @@
             await asyncio.sleep(0.03)
 
 
-async def order(fleet, fail_each=0):
+async def order_version_two(fleet, fail_each=0):
     """Order version 2 of the seat service, and start its replicas."""
     await fleet.order_rollout("seats", "v2", OVER_S)
     new = [
@@ -69,11 +69,11 @@
     return new
 
 
-def runs(replicas):
+def count_runs(replicas):
     return sum(each.runs.total() for each in replicas)
 
 
-def runs_within(replicas, since, until):
+def count_runs_within(replicas, since, until):
     return sum(since <= seen.at <= until for each in replicas for seen in each.seen)
 
 
@@ -84,14 +84,17 @@
         await asyncio.sleep(0.5)
         old = [each for each in fleet.replicas.values() if each.service == "seats"]
         ordered = time.monotonic()
-        new = await order(fleet)
+        new = await order_version_two(fleet)
         await fleet.until(lambda: fleet.rollout_state("seats") == "running", "an answer")
-        await fleet.until(lambda: fleet.rollout_state("seats") in ENDS, "the end")
-        assert fleet.rollout_state("seats") == "completed", decisions(fleet)
+        await fleet.until(lambda: fleet.rollout_state("seats") in END_STATES, "the end")
+        assert fleet.rollout_state("seats") == "completed", read_decisions(fleet)
         # The bound holds until the deadline; a good version gets everything from there on.
         window = (ordered, ordered + OVER_S)
-        exposed = runs_within(new, *window)
-        assert exposed <= SHARE * (runs_within(old, *window) + exposed) + SLACK
+        exposed = count_runs_within(new, *window)
+        assert (
+            exposed
+            <= CANARY_SHARE * (count_runs_within(old, *window) + exposed) + CANARY_SLACK_REQUESTS
+        )
         for replica in old:
             await replica.crash()
             await fleet.store.remove(f"servers/{replica.id}")
@@ -104,26 +107,26 @@
     with_fleet(check)
 
 
-def test_a_bad_version_is_rolled_back_and_left():
+def test_a_bad_version_is_rolled_back_and_gets_no_more_requests():
     async def check(fleet):
         callers = Callers(fleet)
         asking = asyncio.create_task(callers.run())
         await asyncio.sleep(0.5)
-        new = await order(fleet, fail_each=2)
+        new = await order_version_two(fleet, fail_each=2)
         await fleet.until(lambda: fleet.rollout_state("seats") == "rolled_back", "the end")
-        assert runs(new) <= SLACK + SHARE * len(callers.statuses)
+        assert count_runs(new) <= CANARY_SLACK_REQUESTS + CANARY_SHARE * len(callers.statuses)
         await asyncio.sleep(0.3)
-        left, ended = runs(new), len(callers.statuses)
+        left, ended = count_runs(new), len(callers.statuses)
         await fleet.until(lambda: len(callers.statuses) > ended + 100, "more answers")
         callers.stopped = True
         await asking
-        assert runs(new) == left
+        assert count_runs(new) == left
         assert set(callers.statuses[ended:]) == {200}
 
     with_fleet(check)
 
 
-def test_orders_that_make_no_sense_change_nothing():
+def test_invalid_orders_change_nothing():
     async def check(fleet):
         await fleet.store.put("op/rollout/seats", b'{"to-version": ')
         await fleet.order_rollout("nobody", "v2", OVER_S)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -32,7 +32,7 @@
     assert read.fault == "" and read.broken == {}
 
 
-def test_only_what_both_versions_played_is_paired() -> None:
+def test_only_seeds_that_both_versions_ran_are_paired() -> None:
     before = {("s", "d", 1): report(0.5), ("s", "d", 2): report(0.5)}
     after = {("s", "d", 2): report(0.6), ("s", "d", 3): report(0.9)}
     assert list(compare.matched(before, after)) == [("s", "d", 2)]
@@ -47,11 +47,11 @@
     assert not steady.noise
 
 
-def test_a_single_pair_proves_nothing() -> None:
+def test_a_single_pair_counts_as_noise() -> None:
     assert compare.difference("worth", [(0.1, 0.9)]).noise
 
 
-def test_tables_name_days_parts_and_the_weakest_windows() -> None:
+def test_tables_list_days_parts_and_the_weakest_windows() -> None:
     pairs = compare.matched(
         {("s", "d", seed): report(0.5, 0.4) for seed in (1, 2)},
         {("s", "d", seed): report(0.6, 0.3) for seed in (1, 2)},
--- a/tests/test_shared_address.py
+++ b/tests/test_shared_address.py
@@ -11,25 +11,31 @@
 import pytest
 
 from tests.gatewayfleet import play
-from tests.test_leaving_and_rest import KNOWN_S, PATHS, keep_asking, of_path, served_share
+from tests.test_leaving_and_rest import (
+    PATHS,
+    WARM_UP_S,
+    replicas_of_path,
+    run_callers,
+    served_share,
+)
 
 PLAYED_S = 4.0
 
 
-def write_ghost(fleet, replica):
+def write_stale_record(fleet, replica):
     record = json.loads(fleet.store.items[f"servers/{replica.id}"].value)
     fleet.store.put("servers/ghost", json.dumps({**record, "born": 1}).encode())
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_callers_are_served_beside_a_record_of_a_replica_that_is_gone(path):
+def test_callers_are_served_despite_a_stale_record_for_the_same_address(path):
     async def check(fleet):
-        replicas = of_path(fleet, path)
-        await keep_asking(fleet, path, KNOWN_S)
-        write_ghost(fleet, replicas[0])
+        replicas = replicas_of_path(fleet, path)
+        await run_callers(fleet, path, WARM_UP_S)
+        write_stale_record(fleet, replicas[0])
         await asyncio.sleep(0.3)
         before = len(replicas[0].seen)
-        got = await keep_asking(fleet, path, PLAYED_S)
+        got = await run_callers(fleet, path, PLAYED_S)
         assert served_share(got) >= 0.99
         # The one that is there takes its part of the work.
         assert len(replicas[0].seen) - before > len(got) / 20 or path in ("/chat/1", "/explain/1")
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -9,7 +9,7 @@
 from chalkyoke.outcomes import Reason
 from chalkyoke.scheduling import refusals
 
-from tests import plants
+from tests import planted_faults
 from tests.overload import run_overload
 
 
@@ -21,25 +21,27 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_full_queue_gives_up_the_lowest_tier(seed, monkeypatch):
+def test_a_full_queue_sheds_the_lowest_tier(seed, monkeypatch):
     monkeypatch.setattr(refusals, "MAX_WAITING_REQUESTS", 12)
     run = run_overload(seed)
     assert len(run.waiting) <= 12
     assert run.counts["granted"] > 100
 
 
-def test_a_full_queue_that_looks_beside_the_arrival_only_is_found(monkeypatch):
+def test_the_check_finds_a_full_queue_that_ignores_indirect_overlaps(monkeypatch):
     monkeypatch.setattr(refusals, "MAX_WAITING_REQUESTS", 12)
-    plants.room_is_made_beside_only(monkeypatch)
+    planted_faults.full_queue_ignores_indirect_overlaps(monkeypatch)
     with pytest.raises((AssertionError, InvariantBroken)):
         for seed in range(8):
             run_overload(seed)
 
 
 @pytest.mark.parametrize(
-    "plant", [plants.shed_by_arrival, plants.leaving_is_not_heard], ids=lambda each: each.__name__
+    "plant",
+    [planted_faults.late_requests_are_shed_in_any_tier, planted_faults.leaving_state_is_ignored],
+    ids=lambda each: each.__name__,
 )
-def test_a_planted_fault_turns_the_overload_proof_red(plant, monkeypatch):
+def test_the_overload_check_detects_planted_faults(plant, monkeypatch):
     plant(monkeypatch)
     with pytest.raises((AssertionError, InvariantBroken)) as red:
         for seed in range(8):
--- a/tests/test_shifted_load.py
+++ b/tests/test_shifted_load.py
@@ -6,7 +6,7 @@
 from tests.shiftedload import ShiftedLoad
 
 
-def cut(features, seeds, load):
+def count_cut_off_streams(features, seeds, load):
     """Count the streams that are cut at their deadline."""
     total = 0
     for seed in seeds:
@@ -15,7 +15,9 @@
     return total
 
 
-def test_short_work_leaves_fast_engines_to_streams_that_would_be_cut_elsewhere():
+def test_short_requests_leave_fast_engines_to_streams_that_miss_their_deadline_elsewhere():
     """Off by default: it delays first outputs, which costs more where goals are tight."""
     sparing = msgspec.structs.replace(GATEWAY_FEATURES, spare=True)
-    assert cut(sparing, (1, 2), 0.8) <= 0.6 * cut(GATEWAY_FEATURES, (1, 2), 0.8)
+    assert count_cut_off_streams(sparing, (1, 2), 0.8) <= 0.6 * count_cut_off_streams(
+        GATEWAY_FEATURES, (1, 2), 0.8
+    )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -42,7 +42,7 @@
     return Ran(request, replica, "seats", "t", at)
 
 
-def sound():
+def sound_run():
     """A run in which all is well, with something for each checker to look at."""
     seen = Observations(stream=STREAM)
     seen.asked = [
@@ -65,15 +65,15 @@
     seen.ran.append(ran("a", 1.3))
 
 
-def run_what_was_refused(seen):
+def run_a_refused_request(seen):
     seen.ran.append(ran("e"))
 
 
-def hand_out_another_answer(seen):
+def return_the_answer_of_another_request(seen):
     seen.asked[0] = asked("a", body=b"s1 did x")
 
 
-def end_a_cut_stream_as_whole(seen):
+def end_a_truncated_stream_as_complete(seen):
     seen.asked[3] = asked("d", Kind.STREAM, body=STREAM[:30])
 
 
@@ -81,11 +81,11 @@
     seen.asked[3] = asked("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
 
 
-def run_what_nobody_asked(seen):
+def run_an_unknown_request(seen):
     seen.ran.append(ran("smuggled"))
 
 
-def go_back_to_an_older_version(seen):
+def revert_to_an_older_version(seen):
     seen.versions["n1/1"].append(2)
 
 
@@ -94,11 +94,11 @@
     seen.ran.append(ran("late", 33.5))
 
 
-def hold_past_the_deadline(seen):
+def answer_after_the_deadline(seen):
     seen.asked.append(asked("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
 
 
-def pass_more_than_the_quota(seen):
+def exceed_the_quota(seen):
     for number in range(6):
         seen.asked.append(asked(f"q{number}"))
         seen.ran.append(ran(f"q{number}"))
@@ -109,24 +109,24 @@
         seen.ran.append(ran("b", 1.2 + number / 10))
 
 
-def never_come_back(seen):
+def never_recover(seen):
     seen.recovered_s = None
 
 
-def send_to_one_that_said_it_leaves(seen):
+def send_to_a_replica_that_announced_leaving(seen):
     seen.asked.append(replace(asked("told", began=50.0, ended=50.2), leaving="s1"))
     seen.asked.append(asked("late", began=52.3, ended=52.5))
     seen.ran.append(ran("late", 52.4))
 
 
-def send_to_one_that_rests(seen):
+def send_to_a_resting_replica(seen):
     for number in range(4):
         at = 60.0 + number * 0.7
         seen.asked.append(asked(f"y{number}", began=at, ended=at, status=503))
         seen.turned_away.append(TurnedAway(f"y{number}", "s1", at, 3.0))
 
 
-def send_on_a_request_that_ends_replicas(seen):
+def keep_sending_a_crashing_request(seen):
     for number in range(7):
         at = 40.0 + number * (1.0 if number < 3 else 2.0)
         seen.asked.append(asked(f"x{number}", Kind.STREAM, began=at, status=502))
@@ -134,7 +134,7 @@
     seen.ran.append(Ran("x6", "m1", "model", "t", 55.0, b"crashing-1"))
 
 
-def send_more_than_a_limit(seen):
+def exceed_a_limit(seen):
     seen.limited.append(Limited("s1", 70.0, 80.0, 0.5))
     seen.asked.append(replace(asked("named", began=70.0, ended=70.1), limited="s1"))
     for number in range(9):
@@ -143,59 +143,59 @@
         seen.ran.append(ran(f"z{number}", at))
 
 
-def send_to_one_that_left_before_a_restore(seen):
+def send_to_a_replica_that_left_before_a_restore(seen):
     seen.faults.append(Span(Fault.STORE_RESTORED, "store", 29.0, 32.0))
     seen.restored.append(31.0)
     seen.asked.append(asked("hidden", began=34.2, ended=34.4))
     seen.ran.append(ran("hidden", 34.3))
 
 
-PLANTS = [
+PLANTED_FAULTS = [
     (run_twice, checkers.runs_once),
-    (run_what_was_refused, checkers.not_run_is_true),
-    (hand_out_another_answer, checkers.answers_are_whole_and_own),
-    (end_a_cut_stream_as_whole, checkers.answers_are_whole_and_own),
+    (run_a_refused_request, checkers.not_run_is_true),
+    (return_the_answer_of_another_request, checkers.answers_are_whole_and_own),
+    (end_a_truncated_stream_as_complete, checkers.answers_are_whole_and_own),
     (join_two_runs_in_one_stream, checkers.answers_are_whole_and_own),
-    (run_what_nobody_asked, checkers.runs_were_asked_for),
-    (go_back_to_an_older_version, checkers.versions_rise),
+    (run_an_unknown_request, checkers.runs_were_asked_for),
+    (revert_to_an_older_version, checkers.versions_rise),
     (send_to_a_leaving_replica, checkers.leaving_replicas_get_nothing),
-    (send_to_one_that_left_before_a_restore, checkers.restores_hide_no_leaving),
-    (hold_past_the_deadline, checkers.deadlines_hold),
-    (pass_more_than_the_quota, checkers.quotas_hold),
+    (send_to_a_replica_that_left_before_a_restore, checkers.restores_hide_no_leaving),
+    (answer_after_the_deadline, checkers.deadlines_hold),
+    (exceed_the_quota, checkers.quotas_hold),
     (repeat_too_often, checkers.retries_are_few),
-    (send_on_a_request_that_ends_replicas, checkers.crashing_requests_are_held_back),
-    (send_to_one_that_said_it_leaves, checkers.leaving_answers_are_heard),
-    (send_to_one_that_rests, checkers.rests_are_kept),
-    (send_more_than_a_limit, checkers.limits_are_kept),
-    (never_come_back, checkers.service_comes_back),
+    (keep_sending_a_crashing_request, checkers.crashing_requests_are_held_back),
+    (send_to_a_replica_that_announced_leaving, checkers.leaving_answers_are_heard),
+    (send_to_a_resting_replica, checkers.rests_are_kept),
+    (exceed_a_limit, checkers.limits_are_kept),
+    (never_recover, checkers.service_comes_back),
 ]
 
 
 def test_a_sound_run_breaks_nothing():
-    assert checkers.check(sound()) == []
+    assert checkers.check(sound_run()) == []
 
 
-@pytest.mark.parametrize(("plant", "checker"), PLANTS, ids=lambda each: each.__name__)
-def test_a_planted_fault_turns_its_checker_red(plant, checker):
-    seen = sound()
+@pytest.mark.parametrize(("plant", "checker"), PLANTED_FAULTS, ids=lambda each: each.__name__)
+def test_each_checker_detects_its_planted_fault(plant, checker):
+    seen = sound_run()
     plant(seen)
     assert checker(seen)
 
 
 def test_each_checker_has_a_planted_fault():
-    assert {checker for _, checker in PLANTS} == set(checkers.CHECKERS)
+    assert {checker for _, checker in PLANTED_FAULTS} == set(checkers.CHECKERS)
 
 
-def test_what_was_out_of_touch_is_not_blamed_for_a_drain():
-    seen = sound()
+def test_a_disconnected_node_is_not_blamed_for_a_drain():
+    seen = sound_run()
     send_to_a_leaving_replica(seen)
     seen.faults.append(Span(Fault.STORE_DOWN, "store", 28.0, 29.0))
     assert checkers.leaving_replicas_get_nothing(seen) == []
 
 
-def test_a_leaving_that_is_written_again_counts_from_then():
-    seen = sound()
-    send_to_one_that_left_before_a_restore(seen)
+def test_a_leaving_record_that_is_written_again_counts_from_then():
+    seen = sound_run()
+    send_to_a_replica_that_left_before_a_restore(seen)
     seen.restored[-1] = 31.5
     assert checkers.restores_hide_no_leaving(seen) == []
     seen.restored.clear()
@@ -204,36 +204,36 @@
     assert checkers.restores_hide_no_leaving(seen) == []
 
 
-def test_a_node_that_started_since_or_a_replica_that_did_is_not_blamed():
-    seen = sound()
-    send_to_one_that_said_it_leaves(seen)
+def test_a_restarted_node_or_replica_is_not_blamed():
+    seen = sound_run()
+    send_to_a_replica_that_announced_leaving(seen)
     seen.ends["s1"] = [51.0]
     assert checkers.leaving_answers_are_heard(seen) == []
     seen.ends.clear()
     seen.faults.append(Span(Fault.NODE_KILL, "n1", 51.0, 51.5))
     assert checkers.leaving_answers_are_heard(seen) == []
-    send_to_one_that_rests(seen)
+    send_to_a_resting_replica(seen)
     seen.faults.append(Span(Fault.LINKS_SILENT, "n1", 61.0, 61.5))
     assert checkers.rests_are_kept(seen) == []
 
 
-def test_a_node_that_was_struck_is_not_blamed_for_a_limit():
-    seen = sound()
-    send_more_than_a_limit(seen)
+def test_a_node_under_a_fault_is_not_blamed_for_a_limit():
+    seen = sound_run()
+    exceed_a_limit(seen)
     seen.faults.append(Span(Fault.LINKS_SILENT, "n1", 72.0, 78.0))
     assert not checkers.limits_are_kept(seen)
     seen.faults[-1] = Span(Fault.LINKS_SILENT, "n2", 72.0, 78.0)
     assert checkers.limits_are_kept(seen)
 
 
-def test_who_was_out_of_touch_is_not_blamed_for_a_request_that_ends_replicas():
-    seen = sound()
-    send_on_a_request_that_ends_replicas(seen)
+def test_a_disconnected_node_is_not_blamed_for_a_request_that_crashes_replicas():
+    seen = sound_run()
+    keep_sending_a_crashing_request(seen)
     seen.faults.append(Span(Fault.NODE_FREEZE, "n1", 41.0, 42.0))
     assert checkers.crashing_requests_are_held_back(seen) == []
 
 
-def test_a_plan_hangs_on_its_seed_alone_and_its_series_overlap():
+def test_a_plan_depends_only_on_its_seed_and_its_faults_overlap():
     places = (["n1", "n2"], ["m1", "s1"])
     steps = draw(5, 60.0, *places)
     assert steps == draw(5, 60.0, *places) != draw(6, 60.0, *places)
@@ -268,16 +268,16 @@
     return await asyncio.open_connection(ip, int(port))
 
 
-async def says_nothing(reader):
+async def assert_no_data(reader):
     with pytest.raises(TimeoutError):
         await asyncio.wait_for(reader.read(100), 0.2)
 
 
-def test_a_relay_passes_holds_back_and_resets():
+def test_a_relay_forwards_withholds_and_resets():
     async def check(relay, reader, writer):
         relay.faults.silent_to_caller = True
         writer.write(b"two")
-        await says_nothing(reader)
+        await assert_no_data(reader)
         relay.heal()
         assert await reader.read(100) == b"TWO"
         relay.faults.refuse = True
@@ -292,11 +292,11 @@
     through_a_relay(check)
 
 
-def test_a_relay_lets_open_connections_go_dead_while_new_ones_work():
+def test_a_relay_silences_open_connections_while_new_ones_work():
     async def check(relay, reader, writer):
         relay.silence()
         writer.write(b"two")
-        await says_nothing(reader)
+        await assert_no_data(reader)
         other, its_writer = await connect(relay)
         its_writer.write(b"three")
         assert await other.read(100) == b"THREE"
@@ -305,7 +305,7 @@
     through_a_relay(check)
 
 
-def test_a_short_run_over_real_processes_breaks_no_promise_of_safety():
+def test_a_short_run_over_real_processes_breaks_no_safety_guarantee():
     """What hangs on the clock is left to ``make soak``: this machine may be busy."""
     outcome = asyncio.run(play(7, SHORT))
     assert checkers.check(outcome.seen, checkers.SAFETY) == [], outcome.summary()
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -30,8 +30,8 @@
     for path in sorted((ROOT / "tests/versions").glob("*.json"))
 }
 # The version from which on a node tells its kinds when a link is opened is later than these.
-SILENT_VERSION = "05e79d1"
-LATER_SILENT_VERSION = "8aa77b9"
+VERSION_WITHOUT_KINDS = "05e79d1"
+LATER_VERSION_WITHOUT_KINDS = "8aa77b9"
 HANDSHAKE = (Challenge, Hello, Received, Welcome)
 KINDS = {str(each.__struct_config__.tag): each for each in (*LINK_MESSAGES, *HANDSHAKE)}
 CASES = [(version, kind) for version, each in RECORDED.items() for kind in each["messages"]]
@@ -42,63 +42,65 @@
     return RECORDED[version]["messages"][kind]
 
 
-def frame_of(codec, data):
+def decode_frame(codec, data):
     (frame,) = FrameReader().feed(data)
     return frame, codec.decode(frame)[1]
 
 
-def type_of(word):
+def build_type(description):
     """Make the type that a version's record words."""
-    if isinstance(word, str):
+    if isinstance(description, str):
         simple = (str, int, float, bool, bytes, type(None))
-        return {each.__name__: each for each in simple}[word]
-    if word and isinstance(word[0], list):
-        return struct_of("nested", word)
-    name, *parts = word
+        return {each.__name__: each for each in simple}[description]
+    if description and isinstance(description[0], list):
+        return build_struct("nested", description)
+    name, *parts = description
     if name == "enum":
         return enum.Enum("Recorded", {part: part for part in parts})
     if name in ("Union", "UnionType"):
-        made = type_of(parts[0])
+        made = build_type(parts[0])
         for part in parts[1:]:
-            made = made | type_of(part)
+            made = made | build_type(part)
         return made
     assert name in ("tuple", "Annotated"), name
     if name == "Annotated":
-        return type_of(parts[0])
+        return build_type(parts[0])
     if parts[-1] == "ellipsis" or parts[-1] == "Ellipsis":
-        return tuple[type_of(parts[0]), ...]
-    return tuple[tuple(type_of(part) for part in parts)]
+        return tuple[build_type(parts[0]), ...]
+    return tuple[tuple(build_type(part) for part in parts)]
 
 
-def struct_of(name, schema, tag=None):
+def build_struct(name, schema, tag=None):
     fields = [
-        (field, type_of(word)) if required else (field, type_of(word) | None, None)
-        for field, word, required in schema
+        (field, build_type(description))
+        if required
+        else (field, build_type(description) | None, None)
+        for field, description, required in schema
     ]
     return msgspec.defstruct(name, fields, array_like=True, tag=tag)
 
 
 @pytest.mark.parametrize(("version", "kind"), CASES)
-def test_what_a_landed_version_says_is_understood(version, kind):
-    told = bytes.fromhex(recorded(version, kind)["frame"])
+def test_messages_of_a_landed_version_are_decoded(version, kind):
+    recorded_frame = bytes.fromhex(recorded(version, kind)["frame"])
     codec = FrameCodec(tuple(KINDS.values()))
-    frame, message = frame_of(codec, told)
+    frame, message = decode_frame(codec, recorded_frame)
     # Said again and read as the landed version reads it, all that it said is there, in its place.
-    said_again, _ = frame_of(codec, codec.encode(STAMP, message))
-    landed = struct_of(kind, recorded(version, kind)["schema"], tag=kind)
-    read = msgspec.convert(said_again[2:], landed, builtin_types=(bytes,))
+    encoded_again, _ = decode_frame(codec, codec.encode(STAMP, message))
+    landed = build_struct(kind, recorded(version, kind)["schema"], tag=kind)
+    read = msgspec.convert(encoded_again[2:], landed, builtin_types=(bytes,))
     assert msgspec.msgpack.encode(read) == msgspec.msgpack.encode(frame[2:])
 
 
 @pytest.mark.parametrize(("version", "kind"), CASES)
-def test_what_is_said_today_is_understood_by_a_landed_version(version, kind):
+def test_present_messages_are_decoded_by_a_landed_version(version, kind):
     today = KINDS[kind]
-    before = struct_of(kind, recorded(version, kind)["schema"], tag=kind)
+    before = build_struct(kind, recorded(version, kind)["schema"], tag=kind)
     codec = FrameCodec((today,))
     data = codec.encode(STAMP, record_version.build_message(today, 7))
     (frame,) = FrameReader().feed(data)
-    understood = msgspec.convert(frame[2:], before, builtin_types=(bytes,))
-    assert understood is not None
+    decoded = msgspec.convert(frame[2:], before, builtin_types=(bytes,))
+    assert decoded is not None
 
 
 @pytest.mark.parametrize(("version", "kind"), CASES)
@@ -119,14 +121,15 @@
     return (
         len(now) >= len(before)
         and all(
-            (field, required) == (old_field, old_required) and only_adds(word, old_word)
-            for (field, word, required), (old_field, old_word, old_required) in kept
+            (field, required) == (old_field, old_required)
+            and only_adds(description, old_description)
+            for (field, description, required), (old_field, old_description, old_required) in kept
         )
         and not any(required for _, _, required in now[len(before) :])
     )
 
 
-def test_schemas_that_do_more_than_add_optional_fields_at_the_end_are_found():
+def test_the_check_finds_schemas_that_do_more_than_add_optional_fields_at_the_end():
     nested = [["a", "int", True], ["b", "str", False]]
     before = [["x", ["tuple", nested, "Ellipsis"], True]]
 
@@ -142,10 +145,10 @@
     assert not only_adds([["x", nested, True]], before)
 
 
-def test_a_node_that_does_not_tell_its_kinds_is_told_those_of_its_version_only():
-    kinds = set(RECORDED[SILENT_VERSION]["messages"])
+def test_a_node_that_does_not_announce_its_message_kinds_gets_those_of_its_version_only():
+    kinds = set(RECORDED[VERSION_WITHOUT_KINDS]["messages"])
     assert {*LEGACY_KINDS, *(str(each.__struct_config__.tag) for each in HANDSHAKE)} == kinds
-    later = set(RECORDED[LATER_SILENT_VERSION]["messages"])
+    later = set(RECORDED[LATER_VERSION_WITHOUT_KINDS]["messages"])
     assert later - kinds == LEGACY_QUARANTINE_KINDS
 
 
--- a/tests/upstreams.py
+++ b/tests/upstreams.py
@@ -13,7 +13,7 @@
 import aiohttp
 from chalkyoke.upstreams.messages import Declined, NoAnswer, NotConnected, NotPermitted, Opened
 
-CONNECT_S = 0.002
+CONNECT_DELAY_S = 0.002
 GRACE_S = 2.0
 
 
@@ -31,9 +31,9 @@
     draining: bool = False
     leaving_since: float = 0.0
     rest_s: float = 0.0
-    turned_away: list = field(default_factory=list)
+    declined_at: list = field(default_factory=list)
     seen: Counter = field(default_factory=Counter)
-    started: list = field(default_factory=list)
+    started_requests: list = field(default_factory=list)
     running: set = field(default_factory=set)
     cancelled: set = field(default_factory=set)
 
@@ -51,7 +51,7 @@
     return [*events, b"data: " + json.dumps(final).encode() + b"\n\n", b"data: [DONE]\n\n"]
 
 
-def tokens_of(request):
+def answer_tokens(request):
     """Give a request's output length: the same for the same request."""
     return 3 + sum(request.encode()) % 40
 
@@ -60,15 +60,15 @@
     def __init__(self, response):
         self._response = response
         self._ended = False
-        self._pieces = None
+        self._chunks = None
 
     async def readany(self):
-        if self._pieces is None:
-            self._pieces = self._response.pieces()
-        return await anext(self._pieces, b"")
+        if self._chunks is None:
+            self._chunks = self._response.chunks()
+        return await anext(self._chunks, b"")
 
     async def read(self, _):
-        data = b"".join([piece async for piece in self._response.pieces()])
+        data = b"".join([chunk async for chunk in self._response.chunks()])
         self._ended = True
         return data
 
@@ -90,24 +90,24 @@
         self._request = request
         self._offset = offset
 
-    async def pieces(self):
-        world, upstream, source = self._client.world, self._upstream, self._client.world.random
+    async def chunks(self):
+        world, upstream, rng = self._client.world, self._upstream, self._client.world.random
         if upstream.plain:
-            await self._pause(0.03)
-            if source.random() < world.chaos * 0.1:
+            await self._wait(0.03)
+            if rng.random() < world.chaos * 0.1:
                 raise aiohttp.ClientPayloadError("lost")
             yield json.dumps({"request": self._request}).encode()
             return
-        for event in answer_events(self._request, tokens_of(self._request))[self._offset :]:
-            await self._pause(upstream.token_s)
-            if source.random() < world.chaos * 0.01:
+        for event in answer_events(self._request, answer_tokens(self._request))[self._offset :]:
+            await self._wait(upstream.token_s)
+            if rng.random() < world.chaos * 0.01:
                 yield event[: len(event) // 2]
                 raise aiohttp.ClientPayloadError("cut")
-            cut = source.randrange(len(event))
-            yield event[:cut]
-            yield event[cut:]
+            split_at = rng.randrange(len(event))
+            yield event[:split_at]
+            yield event[split_at:]
 
-    async def _pause(self, seconds):
+    async def _wait(self, seconds):
         await asyncio.sleep(seconds)
         while self._upstream.hang:
             await asyncio.sleep(0.2)
@@ -129,21 +129,21 @@
         self.node = node
 
     def reaches(self, upstream):
-        return not self.node.dead and self.world.linked(self.node.domain, upstream.domain)
+        return not self.node.dead and self.world.is_link_up(self.node.domain, upstream.domain)
 
     async def post(self, address, path, body, headers, gate):
         upstream = self.world.upstreams[address]
-        await asyncio.sleep(CONNECT_S * (1 + 5 * self.world.random.random()))
+        await asyncio.sleep(CONNECT_DELAY_S * (1 + 5 * self.world.random.random()))
         if self.node.dead or upstream.down or not self.reaches(upstream):
             return NotConnected("refused")
         if not gate():
             return NotPermitted()
         request = headers["X-Request-Id"]
         if upstream.rest_s:
-            upstream.turned_away.append((self.node.process, self.world.now()))
+            upstream.declined_at.append((self.node.process, self.world.now()))
             return Declined(503, "wants rest", upstream.rest_s)
         upstream.seen[request] += 1
-        upstream.started.append((self.world.now(), request))
+        upstream.started_requests.append((self.world.now(), request))
         upstream.running.add(request)
         if self.world.random.random() < self.world.chaos * 0.02:
             upstream.running.discard(request)
@@ -152,13 +152,13 @@
 
     async def resume(self, address, path, request, offset):
         upstream = self.world.upstreams[address]
-        await asyncio.sleep(CONNECT_S)
-        gone = upstream.down or not self.reaches(upstream) or request in upstream.cancelled
-        if gone or self.world.random.random() < 0.3:
+        await asyncio.sleep(CONNECT_DELAY_S)
+        unavailable = upstream.down or not self.reaches(upstream) or request in upstream.cancelled
+        if unavailable or self.world.random.random() < 0.3:
             return NotConnected("nothing to resume")
         return Opened(_Response(self, upstream, request, offset))
 
     async def cancel(self, address, path, request):
-        await asyncio.sleep(CONNECT_S)
+        await asyncio.sleep(CONNECT_DELAY_S)
         self.world.upstreams[address].cancelled.add(request)
         self.world.upstreams[address].running.discard(request)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -11,13 +11,13 @@
 class _JumpingSelector(selectors.SelectSelector):
     def __init__(self):
         super().__init__()
-        self.jump = None
+        self.advance_clock = None
 
     def select(self, timeout=None):
         if timeout is None:
             raise RuntimeError("nothing is ready and no timer is set: a deadlock")
         if timeout > 0:
-            self.jump()
+            self.advance_clock()
         return super().select(0)
 
 
@@ -27,34 +27,34 @@
     def __init__(self):
         selector = _JumpingSelector()
         super().__init__(selector)
-        self._virtual = 0.0
-        selector.jump = self._jump
+        self._virtual_time_s = 0.0
+        selector.advance_clock = self._advance_clock
 
     def time(self):
-        return self._virtual
+        return self._virtual_time_s
 
-    def _jump(self):
+    def _advance_clock(self):
         # Whole nanoseconds, the loop's resolution: sums of times fall short of a timer by less, and
         # who then sets it for the same moment anew would be woken again and again.
-        self._virtual = round(self._scheduled[0].when(), 9)
+        self._virtual_time_s = round(self._scheduled[0].when(), 9)
 
 
-def run(make):
+def run(coroutine_function):
     """Run a coroutine function in virtual time; a fault in any task ends it."""
     loop = VirtualLoop()
-    faults = []
-    loop.set_exception_handler(lambda _, context: faults.append(context))
+    error_contexts = []
+    loop.set_exception_handler(lambda _, context: error_contexts.append(context))
     try:
-        result = loop.run_until_complete(make())
+        result = loop.run_until_complete(coroutine_function())
     finally:
-        leftover = [task for task in asyncio.all_tasks(loop) if not task.done()]
-        for task in leftover:
+        unfinished = [task for task in asyncio.all_tasks(loop) if not task.done()]
+        for task in unfinished:
             task.cancel()
-        if leftover:
-            loop.run_until_complete(asyncio.wait(leftover))
+        if unfinished:
+            loop.run_until_complete(asyncio.wait(unfinished))
         loop.close()
-    for fault in faults:
-        error = fault.get("exception")
+    for context in error_contexts:
+        error = context.get("exception")
         # The end of a run cancels what still waits, which streams report as a fault.
         if error is not None and not isinstance(error, asyncio.CancelledError):
             raise error
--- a/tests/world.py
+++ b/tests/world.py
@@ -42,12 +42,12 @@
 from chalkyoke.tokens.codec import TokenCodec
 from chalkyoke.tokens.ledger import TokenLedger
 
-from tests.upstreams import FakeUpstream, FakeUpstreamClient, answer_events, tokens_of
+from tests.upstreams import FakeUpstream, FakeUpstreamClient, answer_events, answer_tokens
 
 KEY = b"w" * 16
 DOMAINS = ("d1", "d2", "d3")
-LIST_LAG_S = 1.0
-LEAVING_LIMIT_S = 4.0
+MAX_HOST_LIST_DELAY_S = 1.0
+LEAVING_GRACE_S = 4.0
 
 DOCUMENT = {
     "tier": [{"name": f"t{rank}", "rank": rank} for rank in range(3)],
@@ -69,7 +69,7 @@
 
 
 @dataclass
-class Told:
+class CallerAnswer:
     """What one try of a caller heard."""
 
     request: str
@@ -87,7 +87,7 @@
     domain: str
     incarnation: int
     dead: bool = False
-    held: bool = False
+    frozen: bool = False
     inbox: list = field(default_factory=list)
     tasks: list = field(default_factory=list)
 
@@ -100,7 +100,7 @@
         )
         self.process = self.record.process
         self.view = MembershipView(self.record)
-        self.fleet = FleetView(world.resources, world.listed())
+        self.fleet = FleetView(world.resources, world.listed_hosts())
         self.view.set_candidates(self.fleet.candidates())
         self.metrics = Metrics()
         self.events = EventRing(self.host, HybridClock(), lambda: int(world.now() * 1000))
@@ -140,22 +140,22 @@
         )
         self.schedulers.deliver = self.acquirer.receive
         self.schedulers.report_running = self.acquirer.report_running
-        self.every(self.view.interval_s, self.beat)
-        self.every(0.05, self.tick)
-        self.every(1.0, self.keep_house)
+        self.run_periodically(self.view.interval_s, self.send_heartbeats)
+        self.run_periodically(0.05, self.tick)
+        self.run_periodically(1.0, self.run_maintenance)
 
-    def every(self, seconds, work):
+    def run_periodically(self, seconds, work):
         async def loop():
             while True:
-                if not self.held:
+                if not self.frozen:
                     work()
                 await asyncio.sleep(seconds)
 
         task = asyncio.get_running_loop().create_task(loop())
-        task.add_done_callback(self.world.note_fault)
+        task.add_done_callback(self.world.record_fault)
         self.tasks.append(task)
 
-    def beat(self):
+    def send_heartbeats(self):
         for send in self.view.due_messages(self.now()):
             self.send(send.address, send.message)
 
@@ -163,7 +163,7 @@
         self.apply(self.view.tick(self.now()))
         self.schedulers.tick()
 
-    def keep_house(self):
+    def run_maintenance(self):
         self.acquirer.check_owners()
         self.acquirer.send_progress()
         self.runs.expire(self.now())
@@ -180,19 +180,19 @@
         if changes:
             self.acquirer.check_owners()
 
-    def take_list(self, hosts):
+    def apply_host_list(self, hosts):
         self.fleet = FleetView(self.world.resources, hosts)
         self.view.set_candidates(self.fleet.candidates())
         self.schedulers.reconfigure()
 
     def send(self, address, message):
         if not self.dead:
-            self.world.carry(self, address, message)
+            self.world.transmit(self, address, message)
 
     def receive(self, sender, message):
         if self.dead:
             return
-        if self.held:
+        if self.frozen:
             self.inbox.append((sender, message))
             return
         if isinstance(message, Heartbeat | ShortHeartbeat | Summary | SummaryRequest):
@@ -208,13 +208,13 @@
             self.schedulers.remember_address(sender.process, sender.address)
             self.schedulers.receive(sender.process, sender.domain, message)
 
-    def wake(self):
-        self.held = False
+    def unfreeze(self):
+        self.frozen = False
         inbox, self.inbox = self.inbox, []
         for sender, message in inbox:
             self.receive(sender, message)
 
-    def die(self):
+    def kill(self):
         self.dead = True
         for task in [*self.tasks, *self.entry._tasks.values()]:
             task.cancel()
@@ -235,20 +235,20 @@
         self.upstreams |= {f"p{i}": FakeUpstream(f"p{i}", DOMAINS[i], True) for i in range(3)}
         self.cuts = set()
         self.faults = []
-        self.told = []
+        self.answers = []
         self.steps = Counter()
         self.nodes = {}
         self.incarnations = iter(range(1, 10_000))
         for index in range(6):
-            self.start(f"h{index}", DOMAINS[index % 3])
+            self.start_node(f"h{index}", DOMAINS[index % 3])
 
     def now(self):
         return self.loop.time()
 
-    def start(self, host, domain):
+    def start_node(self, host, domain):
         self.nodes[host] = WorldNode(self, host, domain, next(self.incarnations))
 
-    def listed(self):
+    def listed_hosts(self):
         entries = [
             ListedHost(f"h{i}", f"h{i}", DOMAINS[i % 3], False, {"kind": "entry"}) for i in range(6)
         ]
@@ -269,18 +269,18 @@
             ]
         )
 
-    def note_fault(self, task):
+    def record_fault(self, task):
         if not task.cancelled() and task.exception() is not None:
             self.faults.append(task.exception())
 
     # Wires: late, doubled and out of order; cut one way or both.
 
-    def linked(self, one, other):
+    def is_link_up(self, one, other):
         return (one, other) not in self.cuts
 
-    def carry(self, sender, address, message):
+    def transmit(self, sender, address, message):
         target = self.nodes.get(address.split(":")[0])
-        if target is None or not self.linked(sender.domain, target.domain):
+        if target is None or not self.is_link_up(sender.domain, target.domain):
             return
         if ":" in address and target.address != address:
             return
@@ -319,7 +319,7 @@
             held_token=held_token,
         )
 
-    async def caller(self, number):
+    async def run_caller(self, number):
         """Send a request; with a token, send it again through others, at once or later."""
         held = self.random.random() < 0.7
         request = self.make_request(number, held)
@@ -327,9 +327,9 @@
         if node is None:
             return
         token = node.runs.issue_token(node.now()) if held else (None, "")
-        tries = self.random.choice([1, 1, 2, 3]) if held else 1
+        attempts = self.random.choice([1, 1, 2, 3]) if held else 1
         tasks = []
-        for _ in range(tries):
+        for _ in range(attempts):
             tasks.append(
                 asyncio.ensure_future(self.send(self.pick_node() or node, request, *token))
             )
@@ -350,11 +350,11 @@
         issuer = node
         if token is not None and not node.runs.ledger.is_issued_here(token):
             issuer = self.nodes.get(token.host, node)
-            both = self.linked(node.domain, issuer.domain) and self.linked(
+            both = self.is_link_up(node.domain, issuer.domain) and self.is_link_up(
                 issuer.domain, node.domain
             )
             if issuer.dead or not both or not issuer.runs.ledger.is_issued_here(token):
-                self.hear(token.request, issuer_gone_refusal(), b"")
+                self.record_answer(token.request, issuer_gone_refusal(), b"")
                 return
             self.steps["forwarded"] += 1
         submitted = issuer.entry.submit(request, token, text)
@@ -364,30 +364,30 @@
         run = submitted.unwrap()
         answer = LocalAnswer(issuer.entry, issuer.entry.open_reader(run))
         try:
-            pieces = []
-            while (piece := await answer.next_chunk()) is not None:
-                pieces.append(piece)
+            chunks = []
+            while (chunk := await answer.next_chunk()) is not None:
+                chunks.append(chunk)
             if not issuer.dead:
-                self.hear(run.id, answer.refusal(), b"".join(pieces))
+                self.record_answer(run.id, answer.refusal(), b"".join(chunks))
         finally:
             answer.close()
 
-    def hear(self, request, refusal, body):
+    def record_answer(self, request, refusal, body):
         verdict = "whole" if refusal is None else refusal.verdict
         self.steps[verdict] += 1
-        self.told.append(Told(request, verdict, body, self.now()))
+        self.answers.append(CallerAnswer(request, verdict, body, self.now()))
 
     # Faults.
 
-    async def disturb(self, until):
+    async def inject_faults(self, until):
         actions = [
-            self.kill,
-            self.cut,
-            self.heal,
-            self.hold,
-            self.plan_stop,
-            self.upset,
-            self.leave,
+            self.kill_node,
+            self.cut_link,
+            self.heal_links,
+            self.freeze_node,
+            self.stop_node,
+            self.disturb_upstream,
+            self.start_leaving,
         ]
         while self.now() < until:
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
@@ -397,89 +397,93 @@
             if self.random.random() < 0.2:
                 self.random.choice(actions)()
 
-    def kill(self):
+    def kill_node(self):
         node = self.pick_node()
         if node is not None:
-            node.die()
-            self.loop.call_later(self.random.uniform(0.1, 3), self.restart, node)
+            node.kill()
+            self.loop.call_later(self.random.uniform(0.1, 3), self.restart_node, node)
 
-    def restart(self, node):
+    def restart_node(self, node):
         if self.nodes[node.host] is node:
-            self.start(node.host, node.domain)
+            self.start_node(node.host, node.domain)
 
-    def cut(self):
+    def cut_link(self):
         one, other = self.random.sample(DOMAINS, 2)
         self.cuts.add((one, other))
         if self.random.random() < 0.6:
             self.cuts.add((other, one))
 
-    def heal(self):
+    def heal_links(self):
         self.cuts.clear()
 
-    def hold(self):
+    def freeze_node(self):
         node = self.pick_node()
         if node is not None:
-            node.held = True
-            self.loop.call_later(self.random.uniform(0.2, 6), node.wake)
+            node.frozen = True
+            self.loop.call_later(self.random.uniform(0.2, 6), node.unfreeze)
 
-    def plan_stop(self):
+    def stop_node(self):
         node = self.pick_node()
         if node is None:
             return
         node.entry.stopping = True
         node.view.update_self(leaving=True)
-        self.loop.create_task(self.finish_stop(node))
+        self.loop.create_task(self.complete_stop(node))
 
-    async def finish_stop(self, node):
+    async def complete_stop(self, node):
         await node.entry.drain()
         cut_off = list(node.runs.active())
         assert node.dead or not cut_off, f"a planned stop cut off {[run.id for run in cut_off]}"
         self.steps["stopped"] += 1
         if not node.dead:
-            node.die()
-            self.restart(node)
+            node.kill()
+            self.restart_node(node)
 
-    def upset(self):
+    def disturb_upstream(self):
         upstream = self.random.choice(list(self.upstreams.values()))
         fault = self.random.choice(["down", "hang", "slow"])
         if fault == "slow":
             upstream.token_s *= 5
         else:
             setattr(upstream, fault, True)
-        self.loop.call_later(self.random.uniform(0.3, 5), self.settle, upstream)
+        self.loop.call_later(self.random.uniform(0.3, 5), self.restore_upstream, upstream)
 
-    def settle(self, upstream):
+    def restore_upstream(self, upstream):
         upstream.down = upstream.hang = False
         upstream.token_s = 0.01
 
-    def leave(self):
+    def start_leaving(self):
         upstream = self.random.choice(list(self.upstreams.values()))
         if upstream.leaving or sum(not each.leaving for each in self.upstreams.values()) <= 4:
             return
         upstream.leaving, upstream.leaving_since = True, self.now()
         upstream.draining = self.random.random() < 0.5
-        self.tell_list()
-        self.loop.call_later(self.random.uniform(6, 10), self.come_back, upstream)
+        self.announce_hosts()
+        self.loop.call_later(self.random.uniform(6, 10), self.rejoin, upstream)
 
-    def come_back(self, upstream):
+    def rejoin(self, upstream):
         self.check_leaving(upstream)
         upstream.leaving = upstream.draining = False
-        self.tell_list()
+        self.announce_hosts()
 
     def check_leaving(self, upstream):
-        late = [at for at, _ in upstream.started if at > upstream.leaving_since + LEAVING_LIMIT_S]
+        late = [
+            at
+            for at, _ in upstream.started_requests
+            if at > upstream.leaving_since + LEAVING_GRACE_S
+        ]
         if upstream.leaving and late:
             self.faults.append(AssertionError(f"{upstream.id} leaves and got work at {late}"))
 
-    def tell_list(self):
-        hosts = self.listed()
+    def announce_hosts(self):
+        hosts = self.listed_hosts()
         for node in self.nodes.values():
-            delay = self.random.uniform(0.1, LIST_LAG_S)
-            self.loop.call_later(delay, lambda node=node: node.dead or node.take_list(hosts))
+            delay = self.random.uniform(0.1, MAX_HOST_LIST_DELAY_S)
+            self.loop.call_later(delay, lambda node=node: node.dead or node.apply_host_list(hosts))
 
     # Verdict.
 
-    def check(self):
+    def check_answers(self):
         """Compare what callers were told with what the upstreams saw."""
         if self.faults:
             raise self.faults[0]
@@ -488,35 +492,35 @@
             seen.update(upstream.seen)
         doubled = [request for request, count in seen.items() if count > 1]
         assert not doubled, f"dispatched more than once: {doubled}"
-        refused = {each.request for each in self.told if each.verdict == Verdict.NOT_RUN}
+        refused = {each.request for each in self.answers if each.verdict == Verdict.NOT_RUN}
         assert not refused & set(seen), f"told 'not run' but ran: {refused & set(seen)}"
-        for each in self.told:
+        for each in self.answers:
             if each.verdict == "whole":
-                assert_whole(each)
+                assert_answer_complete(each)
 
     async def play(self, seconds, callers):
         """Run callers under faults, then heal and wait until all is quiet."""
-        disturbing = self.loop.create_task(self.disturb(seconds))
+        injecting = self.loop.create_task(self.inject_faults(seconds))
         calls = []
         for number in range(callers):
-            calls.append(self.loop.create_task(self.caller(number)))
+            calls.append(self.loop.create_task(self.run_caller(number)))
             await asyncio.sleep(self.random.expovariate(callers / seconds))
-        await disturbing
-        self.heal()
+        await injecting
+        self.heal_links()
         for node in list(self.nodes.values()):
-            node.wake()
+            node.unfreeze()
         for call in calls:
-            call.add_done_callback(self.note_fault)
+            call.add_done_callback(self.record_fault)
         await asyncio.wait(calls, timeout=120)
         assert all(call.done() for call in calls), "a caller was left without an answer"
         await asyncio.sleep(70)
-        self.check()
-        self.check_nothing_left()
+        self.check_answers()
+        self.check_pools_empty()
         await self.check_occupancy()
-        self.check()
+        self.check_answers()
         return self.steps
 
-    def check_nothing_left(self):
+    def check_pools_empty(self):
         """When all is quiet, no scheduler believes that anything waits or runs."""
         for node in self.nodes.values():
             for name, scheduler in node.schedulers.pools.items():
@@ -546,7 +550,7 @@
         some = self.pick_node()
         owner = self.nodes[some.view.pool_owner("model").host]
         lost = {run.id for run in owner.runs.active()}
-        owner.die()
+        owner.kill()
         await asyncio.sleep(6)
         successor = self.nodes[self.pick_node().view.pool_owner("model").host]
         known = set(successor.schedulers.pools["model"]._pool.running)
@@ -558,14 +562,16 @@
         await asyncio.gather(*calls, return_exceptions=True)
 
 
-def assert_whole(told):
+def assert_answer_complete(answer):
     """Check that an answer is whole and the caller's own."""
-    if told.body.startswith(b"{"):
-        assert told.request.encode() in told.body, "an answer went to another caller"
+    if answer.body.startswith(b"{"):
+        assert answer.request.encode() in answer.body, "an answer went to another caller"
         return
-    wanted = b"".join(answer_events(told.request, tokens_of(told.request)))
-    assert told.body == wanted, f"not whole, or another's: {told.request} {told.body[-80:]!r}"
-    assert told.body.endswith(DONE_EVENT)
+    expected = b"".join(answer_events(answer.request, answer_tokens(answer.request)))
+    assert answer.body == expected, (
+        f"incomplete, or the answer of another request: {answer.request} {answer.body[-80:]!r}"
+    )
+    assert answer.body.endswith(DONE_EVENT)
 
 
 def play(seed, seconds=40, callers=120, chaos=1.0):
