--- a/conftest.py
+++ b/conftest.py
@@ -1,9 +1,9 @@
 """
 conftest
 
-Every run of the tests reaches the same verdict: hypothesis is derandomized and has no deadline.
-Tests that KNOWN-RED.txt names (``test id: cause, issue`` on a line, three at most) may fail; they
-are run and printed all the same.
+Hypothesis is derandomized and has no deadline, so that every test run gives the same result.
+Tests that KNOWN-RED.txt lists (``test id: cause, issue`` on a line, three at most) may fail; they
+still run, and their results are printed.
 """
 
 from pathlib import Path
@@ -25,7 +25,7 @@
 
 
 def read_known_red():
-    """Read the known red tests: reason by test id."""
+    """Read the tests that may fail: the reason by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text(encoding="utf-8").splitlines() if line.strip()]
@@ -35,7 +35,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let the known red tests fail, and no others."""
+    """Mark the tests that may fail as expected failures."""
     reasons = read_known_red()
     for item in items:
         reason = reasons.get(item.nodeid)
@@ -44,7 +44,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the known red tests, and all that one of them that failed has to say."""
+    """Print the tests that may fail, and the full report of each one that failed."""
     for name, reason in read_known_red().items():
         terminalreporter.write_line(f"known red: {name}: {reason}")
     for report in terminalreporter.stats.get("xfailed", ()):
--- a/tests/catalogfleet.py
+++ b/tests/catalogfleet.py
@@ -2,8 +2,8 @@
 tests.catalogfleet
 
 The real membership and catalog of several nodes over a simulated store and simulated links, in
-virtual time. Links have a bandwidth, connections may go silent for good, the store may turn hosts
-away. What each node lacks of what the store has acknowledged is sampled as it plays.
+virtual time. Links have a bandwidth, connections may go silent permanently, and the store may
+refuse hosts. The age of the oldest acknowledged change that a node lacks is sampled throughout.
 """
 
 import asyncio
@@ -34,7 +34,8 @@
 from tests import virtual
 
 KEYS = StoreKeys(documents.CONFIGURATION_KEY, (documents.REPLICAS_PREFIX,), "nodes/", "held/")
-# The smallest link of a host that the users run, and the delay between two failure domains.
+# The smallest link bandwidth of a host in production (5 Mbit/s), and the delay in seconds
+# between two failure domains.
 LINK_BYTES_PER_S = 5e6 / 8
 LINK_DELAY_S = 0.0005
 STORE_ANSWER_S = 0.004
@@ -43,7 +44,7 @@
 
 
 def configuration(version, routes=40, marked=()):
-    """Write a configuration; routes that are marked go to another service."""
+    """Encode a configuration; routes in ``marked`` (by number) go to the service ``other``."""
     each = [
         {
             "name": f"route-{number:05d}-{number * 2654435761 % 2**32:08x}",
@@ -63,7 +64,7 @@
 
 
 def replica(number, state="ready"):
-    """Write a replica's record as a replica does."""
+    """Encode the record that a replica writes to the store."""
     return json.dumps(
         {
             "service": "pool",
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True)
 class StoreSnapshot:
-    """What a store held at a moment."""
+    """The content of a store at one moment."""
 
     items: dict
     history: list
@@ -88,9 +89,13 @@
 
 
 class Store:
-    """A store with revisions, whose calls may go silent or be turned away by host.
+    """A store with revisions that can refuse calls or leave them unanswered, by host.
 
-    :ivar epoch: rises by one each time the store comes back from a copy.
+    :ivar epoch: rises by one with each restore from a snapshot.
+    :ivar answer_delay_s: time that the store takes for an answer, in seconds.
+    :ivar refused_hosts: hosts whose calls fail at once.
+    :ivar silent_hosts: hosts whose calls get no answer.
+    :ivar acknowledged: all changes, each with its time on the loop's clock.
     """
 
     def __init__(self):
@@ -128,25 +133,25 @@
         return StoreSnapshot(dict(self.items), list(self.history), self.revision)
 
     def go_offline(self):
-        """Break all calls in progress off, and turn all away until the store is back."""
+        """Fail all calls in progress, and refuse new ones until ``restore``."""
         self.offline = True
         self._offline_event.set()
         self._offline_event = asyncio.Event()
 
     def restore(self, snapshot):
-        """Come back from a copy: what was written since is gone, its revisions are free again."""
+        """Return from a snapshot: later writes are lost, and their revisions are assigned again."""
         self.items, self.history = dict(snapshot.items), list(snapshot.history)
         self.revision = snapshot.revision
         self.epoch += 1
         self.offline = False
 
     def silence_connections(self):
-        """Let all calls in progress go without an answer for good; new ones are answered."""
+        """Leave all calls in progress unanswered forever; new calls are answered."""
         self._silence_event.set()
         self._silence_event = asyncio.Event()
 
     async def call(self, host, work):
-        """Answer one call of a host, unless its connection goes silent."""
+        """Run one call of a host, unless the store refuses it or its connection goes silent."""
         self.call_count += 1
         if self.offline:
             await asyncio.sleep(self.answer_delay_s)
@@ -194,7 +199,7 @@
 
 
 class StoreClient:
-    """One host's way to the store, with the time-outs of the platform's adapter."""
+    """The store client of one host, with the timeouts of the platform adapter."""
 
     def __init__(self, store, host):
         self._store = store
@@ -219,7 +224,11 @@
 
 
 class Network:
-    """Links between nodes: each host sends and takes in one byte after the other."""
+    """Links between nodes; each host sends and receives serially at a fixed bandwidth.
+
+    :ivar max_queued_s: longest time that a message waited to be sent, in seconds.
+    :ivar dropped: number of messages dropped because too many bytes were queued.
+    """
 
     def __init__(self, bytes_per_s=LINK_BYTES_PER_S):
         self.nodes = {}
@@ -267,7 +276,7 @@
 
 
 class Node:
-    """One node's membership and catalog."""
+    """The membership and the catalog of one node."""
 
     def __init__(self, fleet, host, domain):
         loop = asyncio.get_running_loop()
@@ -312,20 +321,20 @@
             await asyncio.sleep(TICK_S)
 
     def has_applied(self, change):
-        """Tell whether this node goes by a change or by a newer one."""
+        """Return whether this node has applied a change or a newer one of the same kind."""
         if change.key == KEYS.document:
             return self.state.catalog.version >= read_version(change)
         return self.state.replicas_revision >= change.revision
 
 
 def read_version(change):
-    """Read the version at the head of a configuration."""
+    """Read the version at the start of an encoded configuration."""
     return int(change.value[:40].split(b",")[0].split(b":")[1])
 
 
 @dataclass
 class Lag:
-    """How long what the store had acknowledged was not known."""
+    """The longest time that an acknowledged change was unknown to a node."""
 
     worst_s: float = 0.0
     host: str = ""
@@ -335,9 +344,9 @@
 
 @dataclass
 class Fleet:
-    """A fleet to play with; set it up inside the loop.
+    """A simulated fleet; call ``start`` inside the event loop.
 
-    :param sizes: nodes by failure domain.
+    :param sizes: number of nodes by failure domain.
     """
 
     sizes: dict
@@ -369,7 +378,7 @@
         self._loops.append(asyncio.ensure_future(self._sample_lag()))
 
     async def _sample_lag(self):
-        """Note for each node how old the oldest change is that it does not know."""
+        """Record the age of the oldest acknowledged change that a node has not applied."""
         done = {node.host: 0 for node in self.nodes}
         while True:
             now = asyncio.get_running_loop().time()
@@ -393,10 +402,10 @@
         self.store.put(f"{KEYS.records[0]}i-{number:04d}", replica(number, "draining"))
 
     def watchers(self):
-        """List the hosts that follow the store for their failure domain at the start."""
+        """List the hosts that hold the duty to watch the store for their failure domain."""
         return {node.host for node in self.nodes if node.view.holds_duty(WATCH_DUTY, 2)}
 
 
 def play(coroutine_function):
-    """Play a coroutine function in virtual time."""
+    """Run a coroutine function in virtual time."""
     return virtual.run(coroutine_function)
--- a/tests/gatewayfleet.py
+++ b/tests/gatewayfleet.py
@@ -1,8 +1,8 @@
 """
 tests.gatewayfleet
 
-Whole gateway nodes before a store and replicas, all in one loop in virtual time, without a network.
-Replicas are those of the stand-ins; the store and the way to it are those of the catalog's fleet.
+Complete gateway nodes with a store and replicas, all in one event loop in virtual time, without a
+network. The replicas are the fake ones of the platform; the store is that of ``catalogfleet``.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 
 FLEET_KEY_HEX = "00" * 32
 DEADLINE_MS = 8000
-# How long a fleet takes until all know each other, in seconds.
+# Seconds until all nodes of a started fleet know each other.
 SETTLED_S = 3.0
-# How long a check may play, in virtual seconds: one that waits in vain would go on for ever.
+# Time limit of a check in virtual seconds; without it, a check that waits in vain never ends.
 MAX_PLAY_S = 120.0
 
 
 class _StoreClient(catalogfleet.StoreClient):
-    """One host's way to the store, writes and leases with it."""
+    """The store client of one host, with writes and leases."""
 
     async def write(self, key, value, *, lease=0, expected=None):
         if self._store.offline:
@@ -51,7 +51,7 @@
 
 
 class _ReplicaStore:
-    """The store as the stand-ins of replicas ask for it."""
+    """The interface of the store that the fake replicas use."""
 
     def __init__(self, store):
         self._store = store
@@ -66,12 +66,13 @@
 
 @dataclass
 class CallerAnswer:
-    """What a caller got.
+    """The answer that a caller received; status 0 means none.
 
-    :ivar whole: whether the answer ended as it should.
-    :ivar request: the id that was sent.
-    :ivar node: the node that was asked.
-    :ivar asked_at: when it was sent, on the loop's clock.
+    :ivar whole: whether the answer is complete.
+    :ivar took_s: seconds from sending the request to the end of the answer.
+    :ivar request: id of the request.
+    :ivar node: index of the node that received the request.
+    :ivar asked_at: time of sending, in seconds on the loop's clock.
     """
 
     status: int
@@ -86,10 +87,11 @@
 
 @dataclass
 class GatewayFleet:
-    """A fleet to play with; start it inside the loop.
+    """A simulated fleet; call ``start`` inside the event loop.
 
     :param domains: failure domain of each node.
-    :param replicas: of each of the two services.
+    :param replicas: number of replicas of each of the two services.
+    :param limits: the ``limits`` section of the settings of all nodes.
     """
 
     domains: tuple = ("a", "a", "b", "b", "c", "c")
@@ -121,13 +123,13 @@
         return replica
 
     def start_node(self, number, *, first_start=True):
-        """Start a node, also one that was ended before."""
+        """Start a node, or restart one that was killed."""
         node = GatewayNode(self._settings(number, first_start), Path(), self._platform(number))
         self.nodes[number] = node
         self._tasks[number] = asyncio.ensure_future(node.run())
 
     async def kill_node(self, number):
-        """End a node without a word."""
+        """Stop a node without a shutdown, as a crash does."""
         self._tasks[number].cancel()
         for address in [each for each in self.net.listeners if each[0] == _ip(number)]:
             del self.net.listeners[address]
@@ -165,10 +167,10 @@
     async def send_request(
         self, node, path, body=b"{}", *, method="POST", key=KEY, until_whole=False
     ):
-        """Send one request as a caller, on a connection of its own.
+        """Send one request as a caller on a new connection, and wait for the answer.
 
-        :param until_whole: leave as soon as the answer is whole; else once the node has closed,
-            which it does a second later.
+        :param until_whole: close the connection as soon as the answer is complete; otherwise wait
+            until the node closes it, which it does a second later.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -219,7 +221,7 @@
 
 
 def play(check, **fleet):
-    """Run a check on a started fleet, in virtual time and without log lines."""
+    """Run a check on a started fleet, in virtual time and without log output."""
 
     async def main():
         fleet_under_test = GatewayFleet(**fleet)
@@ -227,7 +229,7 @@
         async with asyncio.timeout(MAX_PLAY_S):
             await check(fleet_under_test)
 
-    # The nodes spread equal choices by it: the same play each time.
+    # The nodes break ties with the global random generator; the seed makes each run the same.
     random.seed(0)
     with logbook.NullHandler().applicationbound():
         virtual.run(main)
--- a/tests/limits.py
+++ b/tests/limits.py
@@ -1,7 +1,7 @@
 """
 tests.limits
 
-How well limits are kept that replicas name in their answers, from when requests reached them.
+Counts of how many requests exceed the limits that replicas announce in their answers.
 """
 
 import math
@@ -12,9 +12,9 @@
 
 
 def first_limit_times(got):
-    """Find when each node had first passed on an answer that names a limit, by start of a replica.
+    """Find when each node first forwarded an answer that announces a limit, per replica start.
 
-    :return: by replica and node, on the loop's clock.
+    :return: times by replica and node, in seconds on the loop's clock.
     """
     told = {}
     for each in sorted(got, key=lambda each: each.asked_at + each.took_s):
@@ -25,10 +25,10 @@
 
 
 def worst_windows(got, replicas, since=-math.inf):
-    """Count what reached each replica that has named a limit in its worst window.
+    """Count the requests in the worst window of each replica that has announced a limit.
 
-    :param since: when the limit last changed, on the loop's clock.
-    :return: by replica, the most requests in a window.
+    :param since: when the limit last changed, in seconds on the loop's clock.
+    :return: by replica, the largest number of requests in a window.
     """
     told = first_limit_times(got)
     asked = {each.request: each for each in got}
--- a/tests/memberfleet.py
+++ b/tests/memberfleet.py
@@ -1,5 +1,5 @@
 """
-A fleet of membership views that hear each other at once, unless they are cut off or dead.
+A fleet of membership views that exchange messages without delay, unless blocked or dead.
 """
 
 import heapq
@@ -23,10 +23,12 @@
     """The views of all hosts.
 
     :param domains: hosts by failure domain.
-    :param capacities: of hosts that can bear another number of cores than one.
-    :ivar cut: hosts that nobody reaches, and pairs of which the one does not reach the other.
-    :ivar heard: messages by the host that took them.
-    :ivar crossing: messages from one failure domain to another.
+    :param capacities: in cores, by host; hosts that are not listed have 1 core.
+    :ivar blocked: hosts that no message reaches or leaves, and (sender, receiver) pairs whose
+        messages are lost.
+    :ivar received_by_host: number of received messages, by host.
+    :ivar sent_by_host: number of sent messages, by host.
+    :ivar cross_domain_messages: number of messages from one failure domain to another.
     """
 
     def __init__(self, domains, capacities=None):
@@ -47,7 +49,7 @@
             self.start(each.host)
 
     def start(self, host, incarnation=1, ready=True):
-        """Start a host, or start it anew, as a process that knows the list only."""
+        """Start or restart a host as a process that knows only the host list."""
         candidate = next(each for each in self.candidates if each.host == host)
         record = member_record(
             host, candidate.failure_domain, incarnation, ready=ready, capacity=candidate.capacity
@@ -56,7 +58,7 @@
         self.views[host].set_candidates(self.candidates)
 
     def kill(self, host):
-        """End a process; its host answers nobody."""
+        """Stop a process; its host answers no messages from then on."""
         del self.views[host]
 
     def run(self, seconds):
@@ -93,9 +95,9 @@
 
 
 class DelayedFleet(Fleet):
-    """A fleet whose messages take time, and whose hosts all beat at the same moments.
+    """A fleet whose messages take time, and whose hosts send their heartbeats simultaneously.
 
-    :ivar delay_s: how long each message takes, in seconds.
+    :ivar delay_s: transit time of each message, in seconds.
     """
 
     delay_s = 0.02
--- a/tests/memorynet.py
+++ b/tests/memorynet.py
@@ -1,15 +1,15 @@
 """
 tests.memorynet
 
-TCP in memory for an event loop in virtual time: listeners and connections by address, without
-delay. All open connections can be made silent for good, while new ones work.
+In-memory TCP for an event loop in virtual time: listeners and connections by address, without
+delay. All open connections can be silenced permanently while new ones still work.
 """
 
 import asyncio
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection."""
+    """One end of an in-memory connection."""
 
     def __init__(self, loop, protocol):
         super().__init__()
@@ -59,7 +59,7 @@
             self._protocol.connection_lost(error)
 
     def lose_connection(self, error):
-        """Lose the connection as the system does when it gives it up."""
+        """Lose the connection as when the operating system reports an error on it."""
         if not self._closed:
             self._closed = True
             self._protocol.connection_lost(error)
@@ -108,7 +108,7 @@
 
 
 class MemoryNet:
-    """Make an event loop's connections in memory."""
+    """Replace an event loop's listeners and connections by in-memory ones."""
 
     def __init__(self, loop):
         self.listeners = {}
@@ -137,13 +137,13 @@
         return client_side, client_side._protocol
 
     def fail_connections(self, error):
-        """Let the system give up all open connections, each end for itself."""
+        """Fail all open connections with an error, each end on its own."""
         transports, self._transports = self._transports, []
         for transport in transports:
             transport.lose_connection(error)
 
     def silence_connections(self):
-        """Let all open connections carry nothing any more, not even their end."""
+        """Let all open connections carry no more data, and not their closing either."""
         for transport in self._transports:
             transport.is_silent = True
         self._transports.clear()
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -1,8 +1,9 @@
 """
 tests.naive
 
-The scheduler once more, naively: plain lists, no index, all worked out from scratch. The same
-events must bring the same actions. It shares with the real one only the formulas of a prediction.
+A reference scheduler without indexes: each decision is computed from scratch over plain lists. The
+same events must lead to the same actions as in the real scheduler. Both share only the formulas of
+the predictions.
 """
 
 from chalkyoke.outcomes import Reason
@@ -63,7 +64,7 @@
 
 
 def teams_in_fair_order(self, rank):
-    """List (team, route) of a tier in the order of their shares."""
+    """List the (team, route) pairs with waiting requests of a tier in fair-share order."""
     keys = {(item.team, item.route) for item in self._pool.waiting.values() if item.rank == rank}
     return sorted(keys, key=lambda key: (self._pool.queues[rank].virtual_time(key[0]), *key))
 
@@ -78,7 +79,7 @@
 
 
 class NaiveScheduler(PoolScheduler):
-    """Events and learning are inherited; every decision is worked out again from plain lists."""
+    """Inherits events and learning; computes every decision again from plain lists."""
 
     _share_upstreams = share_upstreams
     _teams_in_fair_order = teams_in_fair_order
@@ -200,7 +201,7 @@
 
 
 class NaiveRefuser(Refuser):
-    """What is given up, worked out from plain lists."""
+    """Computes from plain lists which waiting requests are shed."""
 
     _share_upstreams = share_upstreams
     _teams_in_fair_order = teams_in_fair_order
@@ -243,7 +244,7 @@
                 virtual[key[0]] += item.work / weights.get(key[0], 1.0)
 
     def _play_forward(self, item, slots, now):
-        """Play one request forward; give by how much it is late, or take its slot."""
+        """Simulate one request: return its lateness in seconds, or None and reserve its slot."""
         route = next(each for each in self._pool.spec.routes if each.name == item.route)
         names = [n for n in sorted(route.upstreams) if slots.get(n)]
         if not names:
--- a/tests/overload.py
+++ b/tests/overload.py
@@ -1,7 +1,7 @@
 """
 tests.overload
 
-The scheduler of one pool under random overload, with a naive check of every refusal and grant.
+The scheduler of one pool under random overload, with an independent check of every grant and shed.
 """
 
 import random
@@ -55,7 +55,7 @@
 
 
 class Overload:
-    """Drive one scheduler, and know on its own what waits and what runs."""
+    """Drives one scheduler with random events and tracks waiting and running requests itself."""
 
     def __init__(self, seed, scheduler_class=PoolScheduler):
         self.random = random.Random(seed)
@@ -195,7 +195,7 @@
         self.running[item.request] = (item.upstream, 1)
         self.apply_actions(self.scheduler.adopt("entry0", Adopt("pool", (item,)), self.now))
 
-    # The naive check.
+    # The independent check.
 
     def apply_actions(self, outs):
         for out in outs:
@@ -223,7 +223,7 @@
         self.running[grant.request] = (grant.upstream, acquire.tier)
 
     def check_shed(self, shed, outs):
-        """A higher tier is never shed while a lower one stays, for some of the same upstreams."""
+        """Check that no request is shed while one of a lower tier waits for a shared upstream."""
         self.counts[shed.reason] += 1
         acquire = self.waiting.pop(shed.request)
         if shed.reason is not Reason.SHED:
@@ -238,7 +238,7 @@
 
 
 def run_overload(seed, steps=1500, scheduler_class=PoolScheduler):
-    """Drive one seed and return the counts."""
+    """Drive a scheduler with one seed; return the driver with its counts and decisions."""
     run = Overload(seed, scheduler_class)
     for _ in range(steps):
         run.step()
--- a/tests/planted_faults.py
+++ b/tests/planted_faults.py
@@ -1,7 +1,7 @@
 """
-tests.plants
+tests.planted_faults
 
-Planted faults: each switches one protection off, so that the proof which relies on it must go red.
+Planted faults: each one disables a protection, so that the test that relies on it must fail.
 """
 
 from chalkyoke.configuration.state import ConfigurationState
@@ -19,7 +19,7 @@
 
 
 def dispatch_again_after_no_answer(monkeypatch):
-    """A request that was sent and got no answer is sent once more; nothing marks the first."""
+    """A request that was sent and got no answer is sent again, since no state records the first."""
 
     def claim_dispatch(run, now):
         run.dispatched_at = now
@@ -38,7 +38,7 @@
 
 
 def refused_token_runs_again(monkeypatch):
-    """A token whose caller was told "not run" is admitted as a new one."""
+    """A token whose caller got the answer "not run" is admitted as a new one."""
     admit = Runs.admit
 
     def admit_refused_again(runs, token, text, request, now):
@@ -52,7 +52,7 @@
 
 
 def restarted_host_accepts_old_tokens(monkeypatch):
-    """A restarted process takes the tokens of the one before it for its own."""
+    """A restarted process accepts the tokens of its previous incarnation as its own."""
     monkeypatch.setattr(
         TokenLedger, "is_issued_here", lambda ledger, token: token.host == ledger.host
     )
@@ -65,7 +65,7 @@
 
 
 def truncated_stream_counts_as_whole(monkeypatch):
-    """A stream that ends is taken for whole, with or without its final event."""
+    """A stream that ends counts as complete, with or without its final event."""
     relay_events = Dispatcher._relay_events
 
     async def relay_and_mark_done(dispatcher, run, response, splitter, most):
@@ -76,7 +76,7 @@
 
 
 def partial_events_are_forwarded(monkeypatch):
-    """Bytes go to the caller as they come, cut events included."""
+    """Received bytes are forwarded to the caller immediately, incomplete events included."""
     feed = EventSplitter.feed
 
     def feed_and_return_input(splitter, data):
@@ -87,13 +87,13 @@
 
 
 def leaving_state_is_ignored(monkeypatch):
-    """Neither the scheduler nor the entry looks at who leaves."""
+    """Neither the scheduler nor the entry checks whether an upstream is leaving."""
     monkeypatch.setattr(Upstream, "leaving", property(lambda upstream: False))
     monkeypatch.setattr(FleetView, "may_dispatch", lambda fleet, upstream: True)
 
 
 def drain_does_not_wait(monkeypatch):
-    """A planned stop ends at once."""
+    """A planned stop ends without waiting for running requests."""
 
     async def return_at_once(service):
         return None
@@ -102,17 +102,20 @@
 
 
 def running_requests_are_not_reported(monkeypatch):
-    """A new scheduler is not told what runs under its predecessor."""
+    """Nodes do not report to a new scheduler what its predecessor had started."""
     monkeypatch.setattr(Acquirer, "report_running", lambda acquirer, pool, process: None)
 
 
 def late_requests_are_shed_in_any_tier(monkeypatch):
-    """Whatever is late is given up, whichever tier it has."""
+    """Every late request is shed, whatever its tier."""
     monkeypatch.setattr(refusals, "may_shed", lambda late, waiting, overlaps: late)
 
 
 def full_queue_ignores_indirect_overlaps(monkeypatch):
-    """A full queue gives up the lowest tier beside the arrival, whoever waits beside that."""
+    """A full queue sheds the lowest tier that shares an upstream with the arrival.
+
+    Requests that share an upstream only with the shed request are not considered.
+    """
 
     def make_room(refuser, item, now):
         if len(refuser._pool.waiting) <= refusals.MAX_WAITING_REQUESTS:
@@ -124,7 +127,7 @@
 
 
 def lower_revision_is_applied(monkeypatch):
-    """A node takes whatever configuration it is told."""
+    """A node applies every configuration that it receives, also one of a lower revision."""
 
     def apply_root(state, root, fetched):
         chunks = {**state.chunks, **fetched}
--- a/tests/rests.py
+++ b/tests/rests.py
@@ -1,7 +1,7 @@
 """
 tests.rests
 
-How well times of rest are kept, from when requests reached one upstream from one node.
+Counts of the requests that nodes send to upstreams during the rest time that these asked for.
 """
 
 from chalkyoke_fakes.soak.checkers import MOST_IN_REST, REST_BEGINS_S
@@ -10,10 +10,11 @@
 
 
 def max_requests_in_rest(turned_away, rest_s):
-    """Count the requests that came in a time of rest; the most over all of these.
+    """Give the largest number of requests that reached an upstream from a node in one rest time.
 
-    :param turned_away: for each pair of an upstream and a node, when the upstream answered that it
-        wants rest.
+    :param turned_away: for each pair of an upstream and a node, the times at which the upstream
+        declined a request and asked for rest.
+    :param rest_s: length of a rest time, in seconds.
     """
     return max(
         (
--- a/tests/shiftedload.py
+++ b/tests/shiftedload.py
@@ -1,14 +1,16 @@
 """
 tests.shiftedload
 
-The load of a booking fleet whose outputs vary hundredfold, before unlike engines, in virtual time.
-
-The pattern and its grounds, from the sheet of the users' booking fleet: 70 engines of 4 slots, a
-third of them 2.8 times faster than the others; rebookings, explanations and chats at 102, 132 and
-59 a second; outputs with a coefficient of variation of 2.4, so that half of the chats have under
-110 tokens and some 2,800; callers' estimates right at the median, with a spread of 0.5 in the
-logarithm; one retry, as a refusal tells. A token takes 6.12 ms on an engine of speed 1, and 63 ms
-more for each piece of a prompt that is read before it.
+The load of a booking fleet whose outputs vary by a factor of 100, on engines of different speed, in
+virtual time.
+
+The numbers are those of the users' booking fleet: 70 engines of 4 slots, a third of them 2.8 times
+faster than the others; rebookings, explanations and chats at 102, 132 and 59 requests per second;
+outputs with a coefficient of variation of 2.4, so that half of the chats have under 110 tokens and
+some 2,800; callers' estimates right at the median, with a standard deviation of 0.5 in the
+logarithm; one retry after a refusal, at the time that the refusal gives. A token takes 6.12 ms on
+an engine with time factor 1, and 63 ms more for each chunk of a prompt that the engine reads before
+it.
 """
 
 import heapq
@@ -39,6 +41,8 @@
 )
 
 STEP_S = 0.02
+# Time of a token and of a request's setup in seconds, prompt tokens read per second, prompt tokens
+# in a chunk, output tokens in an event.
 TOKEN_S, SETUP_S, READ_TOKENS_PER_S, PREFILL_CHUNK_TOKENS, TOKENS_PER_EVENT = (
     0.00612,
     0.064,
@@ -46,15 +50,24 @@
     2048,
     4,
 )
+# Factors on the time of each operation, assigned to the engines in turn.
 TIME_FACTORS = (0.6, 1.7, 1.7)
 SLOTS_PER_ENGINE = 4
+# Share of the worth that an answer after its goal keeps.
 LATE_WORTH = 0.3
+# Share of the time to the deadline after which a refused caller would return.
 RETURN_SHARE = 0.3
 
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of request, as the sheet has it; ``cv`` are coefficients of variation."""
+    """One kind of request.
+
+    :ivar prompt: mean, coefficient of variation and maximum of the prompt, in tokens.
+    :ivar output: mean, coefficient of variation and maximum of the output, in tokens.
+    :ivar goal_s: time by which the first output is due, in seconds.
+    :ivar worth: value of an answer in time.
+    """
 
     name: str
     rate_per_s: float
@@ -75,7 +88,10 @@
 
 @dataclass
 class Demand:
-    """What one caller wants; ``given`` is its estimate of the output."""
+    """One request of a caller.
+
+    :ivar estimated_output: the caller's estimate of the output, in tokens.
+    """
 
     id: str
     kind: Kind
@@ -87,7 +103,7 @@
 
 @dataclass
 class Run:
-    """One try that an engine works on."""
+    """One attempt that runs on an engine."""
 
     demand: Demand
     attempt: int
@@ -100,21 +116,22 @@
 
 @dataclass
 class Engine:
-    """Reads prompts in pieces between tokens, and gives one token to each stream at a step."""
+    """An engine that reads prompts in chunks between tokens, with one token per stream and step."""
 
     time_factor: float
     runs: dict[str, Run] = field(default_factory=dict)
 
     def advance(self, now):
-        """Work for one step of time.
+        """Advance all runs by one time step of ``STEP_S``.
 
-        :return: runs whose first token has come, and those that are done.
+        :param now: time at the start of the step, in seconds.
+        :return: runs that produced their first token, and finished runs.
         """
         reading = [each for each in self.runs.values() if each.read_left_s > 0]
         step_s = self.time_factor * (TOKEN_S + 0.00002 * len(self.runs))
         left_s = STEP_S
         if reading:
-            # A piece of a prompt goes between two tokens: most of the time is spent on reading.
+            # One chunk of a prompt is read between two tokens, which takes most of the time.
             piece_s = self.time_factor * PREFILL_CHUNK_TOKENS / READ_TOKENS_PER_S
             share = piece_s / (piece_s + step_s)
             reading[0].read_left_s -= STEP_S * share
@@ -142,7 +159,7 @@
 
 @dataclass
 class Score:
-    """What callers got of one kind."""
+    """The results of the callers of one kind of request."""
 
     asked: int = 0
     in_time: int = 0
@@ -161,9 +178,11 @@
 
 
 class ShiftedLoad:
-    """Play the load with one scheduler.
+    """Plays the load with one scheduler.
 
-    :param bursts: from, until, times, and of which kind (all where empty).
+    :param bursts: tuples of the start and end in seconds, the factor on the arrival rate, and the
+        name of the kind of request (empty for all kinds).
+    :param load: factor on all arrival rates.
     """
 
     def __init__(self, seed, bursts=(), load=1.0, engines=70, features=GATEWAY_FEATURES):
@@ -213,7 +232,7 @@
         return rate
 
     def play(self, seconds):
-        """Let requests come for some seconds, and wait until the last one has ended."""
+        """Let requests arrive for some seconds, and run until the last one has ended."""
         self.arrivals_end_at = seconds
         for kind in KINDS:
             self.schedule_arrival(kind, 0.0)
@@ -249,7 +268,7 @@
         self.send_acquire(demand, at)
 
     def scores_of(self, demand):
-        """Give the scores that count a demand: of its kind, and of its kind's largest tenth."""
+        """Yield the scores that count a demand: its kind, and the tenth with most output."""
         yield self.scores[demand.kind.name]
         mean, cv, _ = demand.kind.output
         sigma = math.sqrt(math.log(1.0 + cv * cv))
@@ -359,11 +378,11 @@
         )
         self.apply_actions(self.scheduler.apply_progress("n", Progress("p", items), self.now))
 
-    # What came of it.
+    # Results.
 
     @property
     def earned(self):
-        """The part of the worth that was asked for."""
+        """The earned share of the worth of all requests."""
         worth = {each.name: each.worth for each in KINDS}
         total_worth = sum(worth[name] * score.asked for name, score in self.scores.items())
         return (
--- a/tests/test_catalog_spread.py
+++ b/tests/test_catalog_spread.py
@@ -1,23 +1,21 @@
 """
-Whether what the store has acknowledged is known on every node in time.
-
-Seen in a fleet of 65 nodes: requests went to replicas that had said seconds before that they
-leave, and requests were handled by a configuration older than the one acknowledged.
-How it came about: each change of one replica sent the whole list, and each configuration the whole
-document, from two nodes to all others over links of 5 Mbit/s; and a connection to the store that
-went silent was waited for during 12 s.
-The cause: nothing bounded how late a node's news could be.
-The proof: the first two tests failed, 9.8 s and 7.7 s late, until only differences were sent and a
-silent watch was missed in time. Played with the real membership and catalog of 26 nodes.
+tests.test_catalog_spread
+
+Guards against requests to replicas that had announced leaving seconds before, and against requests
+handled by an outdated configuration, both in a fleet of 65 nodes. Each change of one replica sent
+the whole list, and each change of the configuration the whole document, from two nodes to all
+others over links of 5 Mbit/s; and nodes waited 12 s for a store connection that had gone silent.
+Without deltas and a timeout of silent watches, the changes of the first two tests arrive 9.8 s and
+7.7 s late. The tests run the real membership and catalog of 26 nodes.
 """
 
 import asyncio
 
 from tests.catalogfleet import Fleet, play
 
-# Operators allow 2 s for a leaving replica and for a configuration at the strictest.
+# Operators allow 2 s at the strictest until all nodes know a leaving replica or a configuration.
 MAX_LAG_S = 2.0
-# Operators forgive what a disturbed connection costs for 3 s at the strictest.
+# Operators allow 3 s at the strictest after a disturbed connection.
 MAX_LAG_AFTER_SILENCE_S = 3.0
 SETTLED_S = 6.0
 SIZES = {"a": 22, "b": 2, "c": 2}
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,8 +1,8 @@
 """
 tests.test_configuration
 
-Changes of configuration: racing operators, a store whose answers are lost and whose writes land
-late, nodes that hear of revisions late and out of order.
+Changes of the configuration with concurrent operators, a store that loses answers and applies
+writes late, and nodes that receive revisions late and out of order.
 """
 
 import pytest
@@ -38,7 +38,7 @@
 
 
 class FakeStore:
-    """Compare-and-swap in memory; a write may land later than its answer was given up on."""
+    """An in-memory compare-and-swap store; a write may apply after its caller has timed out."""
 
     def __init__(self):
         self.values = {}
@@ -78,7 +78,10 @@
 
 
 def drive(machine, store, faults=()):
-    """Run a publisher against the store, with a list of faults for its first calls."""
+    """Run a publisher against the store and return its outcome.
+
+    :param faults: faults of the first calls, in order; later calls have none.
+    """
     faults = list(faults)
     try:
         call = next(machine)
@@ -104,7 +107,8 @@
 def test_a_swap_whose_answer_is_lost_is_read_back_and_accepted_once():
     store = seeded()
     change = Change("c1", "op", 1, team("b"))
-    # root, four reads of chunks and writes come first; then the swap's answer is lost
+    # Four calls come first: the root, and reads and writes of chunks. Then the swap's answer is
+    # lost.
     outcome = drive(publish_change(change, 0), store, ["none"] * 4 + ["lost"])
     assert isinstance(outcome, Accepted)
     again = drive(publish_change(change, 0), store)
@@ -291,7 +295,7 @@
 
 
 def _report_loss_as_refusal(monkeypatch):
-    """A swap whose answer is lost is reported as not done, without reading back."""
+    """A swap whose answer is lost is reported as not reached, without a read of the root."""
 
     def publish_without_reading_back(change, now_ms):
         machine = publisher.publish_change(change, now_ms)
@@ -309,7 +313,7 @@
 
 
 def _swap_without_compare(monkeypatch):
-    """The store writes whatever the expected version is."""
+    """The store writes without comparing the expected version."""
     put = FakeStore.put
 
     def put_without_compare(store, call):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,11 +1,10 @@
 """
 tests.test_crashing_requests
 
-What was seen: a request that ends each replica that runs it came again at other hosts, with the
-same path, caller and body, and nine replicas of a pool of six ended under it; with each, all that
-ran beside. How it came about: each host sent it on as any other request. Cause: nothing named a
-request beyond one attempt, and what ran under the ends of several replicas was compared nowhere.
-Shown by the logs of all hosts side by side, and by this fleet of whole nodes in virtual time.
+Guards against a request that crashes every replica that runs it. It came again at other hosts with
+the same path, caller and body, and crashed nine replicas of a pool of six, with all requests that
+ran there. Each host sent it on like any other request, since nothing identified a request beyond
+one attempt, and no node compared which requests ran on several crashed replicas.
 """
 
 import asyncio
@@ -17,11 +16,11 @@
 from tests.gatewayfleet import play
 
 CRASHING = b"a body that ends who runs it"
-# How long hosts in touch may take to know, in seconds, and how often the request may reach replicas
-# after that: what operators allow.
+# Limits that operators set: the seconds within which connected hosts learn of a crashing request,
+# and the number of times that it may reach replicas after that.
 SPREAD_S = 3.0
 MAX_LATE_ARRIVALS = 3
-# As seen: it comes again each 0.3 to 4 s.
+# Seconds between repetitions of the request; in production 0.3 to 4 s.
 REPEAT_INTERVAL_S = 0.3
 PLAYED_S = 12.0
 
@@ -42,13 +41,13 @@
 
 
 def late_arrival_times(replicas, body):
-    """List when a request has reached replicas later than operators allow without a count."""
+    """List when a request reached replicas after the time within which hosts learn of it."""
     third = end_times(replicas)[2]
     return [at for at in arrival_times(replicas, body) if at > third + SPREAD_S]
 
 
 async def send_repeatedly(fleet, path, body, seconds=PLAYED_S, interval_s=REPEAT_INTERVAL_S):
-    """Send a request again and again at all nodes in turn; give the answers."""
+    """Send a request repeatedly, to each node in turn, and return the answers."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     asked = []
@@ -62,7 +61,7 @@
 
 
 def count_late_arrivals(path):
-    """Play a route; give how often the request has reached replicas too late to go uncounted."""
+    """Count the arrivals of a crashing request on a path after hosts should have learned of it."""
     later = []
 
     async def check(fleet):
@@ -84,7 +83,7 @@
 
 def test_crashes_of_a_replica_that_restarts_under_its_id_count_separately():
     async def check(fleet):
-        # One replica only, so that all ends are of one id.
+        # Only one replica is left, so that all crashes have the same replica id.
         for replica in fleet.models[1:]:
             await replica.crash()
             fleet.store.remove(f"servers/{replica.id}")
@@ -104,7 +103,7 @@
         got = await fleet.send_request(0, "/chat/1", CRASHING)
         assert (got.status, "retry-after" in got.headers) == (502, False)
         assert len(arrival_times(fleet.models, CRASHING)) == before
-        # The same body of the same caller on another path is another request.
+        # A request of the same caller on another path is a different request.
         assert (await fleet.send_request(0, "/explain/1", b"{}")).whole
 
     play(check)
@@ -115,7 +114,7 @@
         loop = asyncio.get_running_loop()
         for replica in fleet.models:
             replica.faults.event_s = 0.5
-        # All slots are taken for 4 s, so that what comes now waits.
+        # All slots are occupied for 4 s, so that new requests wait.
         busy = [
             asyncio.ensure_future(fleet.send_request(each % 6, "/chat/1", b"long"))
             for each in range(24)
@@ -151,7 +150,7 @@
         served.extend(each.status for each in got)
 
     play(check)
-    # As many are asked again elsewhere as break with a replica.
+    # Each request that breaks off with a replica is sent again to another one.
     assert served.count(200) == len(served) == 300
 
 
@@ -238,7 +237,8 @@
         await runs.declare("ready")
         got = await asked
         assert got.status == 200
-        # The replica makes 8 events in 1.6 s; without the news it would be waited for in vain.
+        # The replica sends 8 events in 1.6 s. Without the record of its restart, the node would
+        # wait on the silent connection in vain.
         assert loop.time() - began < 3.0
 
     play(check)
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -1,7 +1,7 @@
 """
 tests.test_differential
 
-The scheduler against a naive one: same histories, same decisions.
+The scheduler against the reference scheduler: the same events lead to the same decisions.
 """
 
 import pytest
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -1,8 +1,8 @@
 """
 tests.test_gateway_processes
 
-The users' path over real sockets: gateway nodes as processes, before the stand-ins of the
-platform's store and replicas.
+The path of a request over real sockets: gateway nodes as processes, with the platform's fake store
+and replicas.
 """
 
 import asyncio
@@ -340,7 +340,7 @@
         await asyncio.sleep(1.0)
         node = fleet.nodes["n1"]
         node.send(signal.SIGSTOP)
-        # Longer than all that is promised for a time: leases, grants, signs of life.
+        # Longer than all leases, grants and heartbeat timeouts.
         await asyncio.sleep(6.0)
         node.send(signal.SIGCONT)
         paths = ("/chat/1", "/explain/1", "/find/1", "/book/1")
--- a/tests/test_leaving_and_rest.py
+++ b/tests/test_leaving_and_rest.py
@@ -1,14 +1,15 @@
 """
 tests.test_leaving_and_rest
 
-What was seen: requests reached a replica more than two seconds after an answer that the same host
-had passed on said that it leaves; and a replica that had turned a host away with a time of rest had
-three to eight more requests from it in that time. How it came about: the store was silent, so that
-no record said that the replica leaves, and answers went on being sent to it for 12 s; the replicas
-that turned away were free again a millisecond later and drew three in four requests of their pool.
-Cause: what an answer says of its replica, beyond the request, was read by nobody, and a decline
-told the pool's scheduler nothing. Shown by the logs of all hosts beside the counts by replica, and
-by this fleet of whole nodes in virtual time.
+Guards against two failures. Requests reached a replica more than two seconds after the same host
+had forwarded an answer in which the replica announced that it leaves; and a replica that had
+declined a request and asked for a rest time got three to eight more requests from the same host in
+that time.
+
+With the store silent, no record said that the replica leaves, and answers were still sent to it for
+12 s, since no code read what an answer says about its replica. A declining replica was free again a
+millisecond later and drew three in four requests of its pool, since the pool's scheduler did not
+learn of the decline.
 """
 
 import asyncio
@@ -25,9 +26,9 @@
 PATHS = ("/chat/1", "/explain/1", "/find/1", "/book/1")
 CALLERS = 12
 PLAYED_S = 6.0
-# A caller asks anew so long after an answer, in seconds, on average.
+# Mean pause of a caller between an answer and its next request, in seconds.
 MEAN_PAUSE_S = 0.03
-# How long all replicas serve before some change, in seconds: until the scheduler knows them all.
+# Seconds before replicas change, in which the scheduler gets to know all of them.
 WARM_UP_S = 3.0
 REST_S = 3.0
 
@@ -37,9 +38,9 @@
 
 
 async def run_callers(fleet, path, seconds=PLAYED_S, nodes=()):
-    """Let callers ask for some time; give all that they got.
+    """Run callers for some seconds and return all their answers.
 
-    :param nodes: the nodes that they ask; all where nothing is given.
+    :param nodes: indices of the nodes that receive the requests; empty for all.
     """
     nodes = nodes or range(len(fleet.nodes))
     loop = asyncio.get_running_loop()
@@ -60,9 +61,11 @@
 
 
 def sends_after_leaving_answer(got, replicas):
-    """List what reached a replica too long after its sender had passed on that it leaves.
+    """List the requests that a node sent to a replica too long after it knew of its leaving.
 
-    :return: for each, how long after, in seconds.
+    A node knows when it has forwarded an answer that announces the leaving.
+
+    :return: for each request, the seconds since the node knew.
     """
     first_leaving_answer = {}
     for each in sorted(got, key=lambda each: each.asked_at + each.took_s):
@@ -81,7 +84,7 @@
 
 
 def max_requests_during_rest(got, replicas, rest_s=REST_S):
-    """Count the requests that reached a replica in a time of rest; the most over all of these."""
+    """Return the largest number of requests that a node sent to a replica in one rest time."""
     asked = {each.request: each for each in got}
     turned_away = defaultdict(list)
     for replica in replicas:
@@ -152,7 +155,7 @@
             began = asyncio.get_running_loop().time()
             got = await run_callers(fleet, path)
             served[path, rest_s] = served_share(got)
-            # The first second finds out; then one request a second looks whether it serves again.
+            # The first second detects the declines; then one request per second probes a replica.
             later = [seen for each in replicas for seen in each.turned_away if seen.at > began + 1]
             tried[path, rest_s] = len(later)
 
@@ -172,8 +175,9 @@
         refused = await run_callers(fleet, path, 2 * REST_S)
         assert max_requests_during_rest([*got, *refused], replicas) <= MOST_IN_REST
         assert {each.status for each in refused} == {503}
-        # At once, or when its goal has passed where a replica would have been back by then: at the
-        # scheduler's tick that finds that, one that lets another look, and one that ends it.
+        # A refusal comes at once, or after the goal where a replica's rest would have ended before
+        # it. That takes up to three ticks of the scheduler: one that detects the missed goal, one
+        # that lets another request probe, and one that ends the wait.
         assert max(each.took_s for each in refused) <= GOAL_S + 3 * TICK_S
         retry_after_s = [float(each.headers["retry-after"]) for each in refused]
         assert 0 < min(retry_after_s) <= max(retry_after_s) <= REST_S + 0.5
@@ -195,7 +199,7 @@
         replica.faults.says_leaving = True
         await asyncio.sleep(0.5)
         assert (await fleet.send_request(0, "/chat/1", until_whole=True)).status == 200
-        # All nodes have been told, and a record that says otherwise changes nothing.
+        # All nodes know of the leaving, and a record that contradicts it changes nothing.
         replica.faults.says_leaving = False
         replica.slots += 1
         await replica.declare("ready")
@@ -230,7 +234,7 @@
 
 def test_answers_of_another_replica_at_the_address_do_not_mark_this_one_as_leaving():
     async def check(fleet):
-        # It is gone, and its address belongs to another that leaves.
+        # The replica is gone, and its address belongs to another one that is leaving.
         for replica in fleet.seats:
             replica.id = f"another-{replica.id}"
             replica.faults.says_leaving = True
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,13 +1,12 @@
 """
 tests.test_limits
 
-What was seen: two of six engines named a limit of 3.6 and 3.7 requests a second in their answers,
-and got 37 and 41 requests in 4 s from hosts that had passed these answers on; 27 are allowed, one
-and a half times the limit and five requests, summed over all hosts. How it came about: the word was
-in the answers, and every host went on as before; one scheduler had granted all that the two got.
-Cause: a word that an answer says of its replica was read only if somebody had written code for it,
-and nobody counted what a replica gets from all hosts together. Shown by the logs of all hosts, and
-by this fleet of whole nodes in virtual time: 245 to 254 requests in 4 s before the mend.
+Guards against limits that nodes ignore or apply separately. Two of six engines announced limits of
+3.6 and 3.7 requests per second in their answers, and got 37 and 41 requests in 4 s from hosts that
+had forwarded these answers. Operators allow 27 requests: one and a half times the limit plus five
+requests, summed over all hosts. No code read the limit in the answers, and no node counted the
+requests that a replica gets from all hosts together; this fleet of complete nodes in virtual time
+sent 245 to 254 requests in 4 s without limits.
 """
 
 import asyncio
@@ -26,9 +25,9 @@
 
 
 def play_limits(path, count, limit_per_s, **fleet):
-    """Play callers before replicas of which some name a limit.
+    """Run callers while ``count`` of the replicas of a path announce a limit.
 
-    :return: the most requests that one of these got in a window, how many are allowed, and the
+    :return: the largest number of requests that one of these replicas got in a window, and the
         share of callers that were served.
     """
     found = []
@@ -61,11 +60,12 @@
 
 
 def play_change(path, before, after, seconds=PLAYED_S):
-    """Play two of six replicas that name a limit, and later another one.
+    """Run callers while two of six replicas announce a limit, and later another one.
 
-    :param after: the limit from then on; negative for none.
-    :return: the most requests that one of the two got in a window after the change, and the share
-        of callers that were served.
+    :param before: the first limit, in requests per second.
+    :param after: the later limit, in requests per second; negative for none.
+    :return: the largest number of requests that one of the two replicas got in a window after the
+        change, and the share of callers that were served.
     """
     found = []
 
@@ -89,7 +89,8 @@
 
 
 def test_a_limit_ends_when_answers_no_longer_announce_one():
-    # A service that all callers share evenly without a limit: a sixth of some 50 to 60 a second.
+    # Without a limit, the replicas share the load evenly: each gets a sixth of 50 to 60 requests
+    # per second.
     most, served = play_change("/find/1", LIMIT_PER_S, -1.0, seconds=16.0)
     assert most > 2 * most_allowed(LIMIT_PER_S)
     assert served >= 0.99
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,7 +1,7 @@
 """
 tests.test_operators
 
-The operators' command line and the administration API, against a real fleet.
+The operators' command line and the administration API, against a fleet of real processes.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 async def ctl(fleet, *arguments, host="n1"):
-    """Run chalkyokectl; give its exit code, output and errors."""
+    """Run chalkyokectl; return its exit code, standard output and standard error."""
     server = fleet.nodes[host].administration
     command = [sys.executable, "-m", "chalkyokectl.cli", *arguments]
     if arguments[0] != "check":
@@ -32,7 +32,9 @@
             f'[[team]]\nname = "team"\ntiers = ["low"]\nweight = 4\nkey_sha256 = ["{HASH}"]\n'
         )
         bad.write_text('[[route]]\nname = "r"\nservice = "model"\nupstreams = { host = "e0" }\n')
-        assert (await ctl(fleet, "check", str(good)))[0] == 2  # alone it names no tier
+        assert (await ctl(fleet, "check", str(good)))[
+            0
+        ] == 2  # without the tiers it names an unknown one
         code, _, errors = await ctl(fleet, "check", str(bad))
         assert (code, "route[0].upstreams" in errors) == (2, True)
         code, out, _ = await ctl(fleet, "plan", "-f", str(good))
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,7 +1,7 @@
 """
 tests.test_platform_names
 
-The platform's names stand in one small folder, and only the start-up code imports it.
+The names of the platform occur in one small folder, and only the start-up code imports it.
 """
 
 import re
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,7 +1,8 @@
 """
 tests.test_processes
 
-The same promises with real processes: killed, frozen, cut, without the store, stopped on plan.
+The guarantees with real processes: killed, frozen and disconnected ones, a store outage, and
+planned stops.
 """
 
 import asyncio
@@ -74,7 +75,7 @@
 
 
 async def seen(fleet):
-    """Count how often the upstreams saw each request."""
+    """Count how often the upstreams received each request."""
     counts = await fleet.counts()
     merged = {}
     for each in counts.values():
@@ -165,7 +166,7 @@
 
 
 async def is_known_leaving(fleet, upstream):
-    """Ask the scheduler of the pool whether it knows."""
+    """Return whether the scheduler of the pool knows that an upstream is leaving."""
     status = await fleet.get(fleet.nodes["n1"].administration, "/v1/status")
     owner = fleet.nodes[status["pools"]["model"]]
     status = await fleet.get(owner.administration, "/v1/status")
@@ -227,7 +228,7 @@
     async def check(fleet, caller):
         node = fleet.nodes["n1"]
         unspent = await caller.take_token(node.address)
-        # two engines of two slots: the fifth and sixth wait in the queue
+        # Two engines have two slots each, so the fifth and sixth request wait in the queue.
         calls = [asyncio.create_task(caller.complete(node.address, body(60))) for _ in range(6)]
         await until(lambda: seen(fleet))
         node.send(signal.SIGTERM)
@@ -300,7 +301,7 @@
 def test_a_swap_whose_answer_is_lost_is_accepted_once_and_a_conflict_names_its_fields():
     async def check(fleet, caller):
         heavier = {"team": [{**RESOURCES["team"][0], "weight": 3}]}
-        # the team's new chunk is written first, then the root
+        # The team's new chunk is written first, then the root.
         await fleet.set_faults(fleet.store, lose_writes=2)
         status, answer = await fleet.apply(heavier, "n1", "mine", 1)
         assert (status, answer["revision"]) == (200, 2)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,8 +1,8 @@
 """
 tests.test_promises
 
-What must always hold, over randomised runs of the real logic in virtual time, each beside planted
-faults under which the same run must go red.
+The guarantees over randomized runs of the real logic in virtual time. Planted faults check that the
+same runs detect a violation.
 """
 
 import pytest
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -1,12 +1,12 @@
 """
 tests.test_quarantine_fleet
 
-The quarantine of 9, 80 and 300 nodes over links that take 1 ms, in virtual time, without a network.
-The pattern: one request that ends each replica that runs it comes each 0.3 s anywhere; each end
-takes up to six other runs with it, as in the recorded day of a pool of six. Beside it, replicas
-that end by themselves: a rack at once, a domain one after the other, a bad release whose replicas
-end some seconds after each start. What is wanted: three sends more at most later than 3 s after the
-third end, and nobody else held back.
+The quarantine of 9, 80 and 300 nodes over links with a delay of 1 ms, in virtual time, without a
+network. A request that crashes each replica that runs it arrives every 0.3 s at any node; each
+crash ends up to six other runs as well, as in a recorded day of a pool of six. Other cases have
+replicas that crash on their own: half of them at once as when a rack fails, one after the other as
+in a failing domain, or a bad release whose replicas crash some seconds after each start. Required:
+at most three more sends later than 3 s after the third crash, and no innocent request held back.
 """
 
 import asyncio
@@ -30,7 +30,11 @@
 
 
 class View:
-    """Who is told news by whom, as the membership names them."""
+    """The broadcast targets of a node, as the membership gives them.
+
+    Up to ``MAX_FULL_MESH_DOMAIN`` nodes of a domain send to each other; a larger domain has
+    ``MONITORS`` relays.
+    """
 
     def __init__(self, fleet, number):
         self._fleet = fleet
@@ -53,7 +57,7 @@
 
 
 class Connections:
-    """Tells at once whether a replica lives."""
+    """Probes of replicas, which show after one link delay whether a replica is alive."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -67,7 +71,7 @@
 
 
 class Fleet:
-    """Nodes, and replicas of one pool that run requests until they end."""
+    """The nodes and the replicas of one pool, which run requests until they crash."""
 
     def __init__(self, nodes, domains, replicas, seed):
         self.random = random.Random(seed)
@@ -106,7 +110,7 @@
         loop.call_later(LINK_S, lambda: self.nodes[target].receive(source, message))
 
     def run(self, request, *, node=None):
-        """Send a request to a replica that is there; nothing where a node holds it back."""
+        """Send a request to a random live replica; return None if the node holds it back."""
         node = self.random.randrange(len(self.nodes)) if node is None else node
         if self.nodes[node].is_held(lambda: request):
             return None
@@ -122,7 +126,7 @@
         return False
 
     def end(self, replica):
-        """Let a replica end, with all that runs there; another starts in its place."""
+        """Crash a replica and all its runs, start another in its place, and return the runs."""
         now = asyncio.get_running_loop().time()
         self.ended.add(replica.ip)
         runs = self.running.pop(replica.id)
@@ -151,7 +155,7 @@
 
 
 async def run_unique_requests(fleet, seconds, per_s, tries=4, served=None):
-    """Let callers ask; what breaks is sent again, up to four times over both of its attempts."""
+    """Run callers with unique requests; a broken request is sent again, four times at most."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     names = (b"%012d" % number for number in range(1_000_000))
@@ -199,7 +203,8 @@
         await usual
         assert len([at for at in sends if at > third + SPREAD_S]) == 0
         assert fleet.held() == {CRASHING}
-        # Each node with a run there tells all others: up to seven times the fleet for an end.
+        # Each node with a run on the replica reports to all others: at most seven reports to the
+        # fleet per crash.
         assert end_reports <= 3 * 7 * 1.2 * nodes + 100
 
     play(check, nodes, domains, replicas)
@@ -227,7 +232,7 @@
 
 
 async def end_half_at_once(fleet):
-    """Half of the replicas at one moment, twice."""
+    """Crash half of the replicas simultaneously, twice."""
     for _ in range(2):
         for replica in list(fleet.replicas)[: len(fleet.replicas) // 2]:
             fleet.end(replica)
@@ -235,14 +240,14 @@
 
 
 async def end_in_turn(fleet):
-    """All of the replicas, one each 0.2 s."""
+    """Crash all replicas one after the other, every 0.2 s."""
     for replica in list(fleet.replicas):
         fleet.end(replica)
         await asyncio.sleep(0.2)
 
 
 async def end_bad_release(fleet):
-    """A bad release: a third of the replicas end some 5 s after each start, for 10 s."""
+    """Crash a third of the replicas about 5 s after each start, for 10 s, as a bad release does."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
     bad = max(1, len(fleet.replicas) // 3)
@@ -252,7 +257,7 @@
 
 
 async def end_at_random(fleet):
-    """Any replica, four a second for 10 s."""
+    """Crash random replicas four times per second for 10 s."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
     while loop.time() < until:
@@ -287,7 +292,7 @@
 
 
 async def run_popular_requests(fleet, seconds, kinds=4, per_s=20):
-    """Let callers ask for the same few things again and again; what breaks is sent once more."""
+    """Run callers that repeat a few requests; a broken request is sent once more."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
 
@@ -309,7 +314,7 @@
 
 
 async def send_crashing_repeatedly(fleet, request, seconds):
-    """Send a request that ends each replica 50 ms after it began; give how often it was sent."""
+    """Send a request that crashes each replica 50 ms after its start; count the sends."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     sends = 0
@@ -324,7 +329,7 @@
     return sends
 
 
-# Guards against popular requests that are held back since they run under most ends of others.
+# Guards against popular requests that are held back because they run on most crashing replicas.
 def test_popular_requests_are_not_held_back_for_two_that_crash_replicas():
     found = []
 
--- a/tests/test_resting_upstreams.py
+++ b/tests/test_resting_upstreams.py
@@ -1,8 +1,8 @@
 """
 tests.test_resting_upstreams
 
-The completions API has the same question as the gateway: an upstream that turns a request away with
-a time of rest must be left alone by that process. Before, the time was told to the caller only.
+Guards against a process of the completions API that keeps sending requests to an upstream that has
+declined one and asked for a rest time, when the rest time reaches only the caller.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 async def play_requests(world):
-    """Ask at all processes in turn, 80 times a second."""
+    """Send 80 requests per second, to each process in turn."""
     calls = []
     for number in range(int(PLAYED_S * 80)):
         request = world.make_request(number, False)
--- a/tests/test_restored_spread.py
+++ b/tests/test_restored_spread.py
@@ -1,10 +1,10 @@
 """
 tests.test_restored_spread
 
-The real membership and catalog of many nodes, without a network, before a store that comes back
-from a copy. Answers to the pattern of a fleet whose store is away for half a second and lacks its
-last three seconds, beside a change of a replica and one of the configuration in each quarter of a
-second; links of 5 Mbit/s and a tenth of the users' replicas a node.
+The real membership and catalog of many nodes, without a network, with a store that returns from a
+snapshot. The store is offline for half a second and lacks its last three seconds, in which one
+replica and the configuration changed every quarter of a second. Links have 5 Mbit/s, and the number
+of replicas per node is a tenth of that in production.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 LOST_CHANGE_PAIRS = 12
 CHANGE_INTERVAL_S = 0.25
 OUTAGE_S = 0.5
-# How soon after the store's return all nodes in touch go by it, in seconds.
+# Seconds after the store's return within which all connected nodes follow it.
 CONVERGED_S = 1.0
 POLL_S = 0.02
-# A node that is turned away by the store, or falls behind twice, has some beats more.
+# A longer time, some heartbeats more, for nodes that the store refuses or that fall behind twice.
 CONVERGED_BY_PEERS_S = 2.0
 
 
 def all_nodes_agree(fleet):
-    """Tell whether all nodes know the same state of the store, and believe the same."""
+    """Return whether all nodes have the store's epoch, one position and one set of leaving ones."""
     store = fleet.store
     states = [node.state for node in fleet.nodes]
     positions = {(each.epoch, each.last_change_revision) for each in states}
@@ -53,7 +53,7 @@
 
 
 async def lose_recent_changes(fleet, before_return=lambda: None):
-    """Write for some seconds, and let the store come back from a copy that lacks them."""
+    """Write for some seconds, and let the store return from a snapshot that lacks the writes."""
     store = fleet.store
     snapshot = store.snapshot()
     for number in range(LOST_CHANGE_PAIRS):
@@ -77,7 +77,8 @@
     return play(main)
 
 
-# Guards against nodes that go by what a restored store has lost, and against whole listings to all.
+# Guards against nodes that keep what a restored store has lost, and against full snapshots to all
+# nodes.
 @pytest.mark.parametrize("nodes", SIZES)
 def test_all_nodes_agree_soon_after_a_restore(nodes):
     async def scenario(fleet):
@@ -93,7 +94,7 @@
     assert "ReplicasSnapshot" not in kinds
 
 
-# Guards against nodes that can't compare two listings of which one is of a later epoch.
+# Guards against nodes that cannot compare two listings of different epochs.
 def test_nodes_that_the_store_refuses_learn_of_a_restore_from_peers():
     async def scenario(fleet):
         refused_hosts = {node.host for node in fleet.nodes if node.view.domain == "a"}
@@ -107,7 +108,7 @@
     assert play_scenario(24, scenario) < CONVERGED_BY_PEERS_S
 
 
-# Guards against a second restore that is taken for the first one.
+# Guards against a second restore that nodes mistake for the first one.
 def test_two_restores_in_a_row_are_both_followed():
     async def scenario(fleet):
         await lose_recent_changes(fleet)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,8 +1,8 @@
 """
 tests.test_restored_store
 
-Whole nodes before a store that comes back from a copy some seconds old: the revisions that it gives
-out again must not hide what replicas and operators write from then on.
+Complete nodes with a store that returns from a snapshot some seconds old. The store assigns the
+lost revisions again; these must not hide what replicas and operators write afterwards.
 """
 
 import asyncio
@@ -15,16 +15,16 @@
 from tests.test_leaving_and_rest import replicas_of_path, run_callers, served_share
 
 PATHS = ("/chat/1", "/find/1")
-# How many revisions the copy lacks, and how long before the return it was made, in seconds.
+# Number of revisions that the snapshot lacks, and the seconds in which they were written.
 LOST_REVISIONS = 40
 SNAPSHOT_AGE_S = 3.0
 OUTAGE_S = 0.5
-# How long after it said that it leaves a replica may still get requests, in seconds.
+# Seconds after a replica has announced that it is leaving in which it may still get requests.
 LEAVING_GRACE_S = 2.0
-# How soon after the store's return all nodes go by it again, in seconds.
+# Seconds after the store's return within which all nodes follow it again.
 CONVERGED_S = 1.0
 PLAYED_S = 5.0
-# How long the platform lists a silent replica, in seconds: three heartbeats.
+# Seconds after which the platform removes the record of a silent replica: three heartbeats.
 RECORD_TIMEOUT_S = 3.6
 
 
@@ -33,18 +33,18 @@
 
 
 def count_late_sends(replica, since):
-    """Count what reached a replica too long after it had said that it leaves."""
+    """Count the requests that reached a replica after the grace time of its leaving."""
     return sum(each.at > since + LEAVING_GRACE_S for each in replica.seen)
 
 
 def seconds_until_first_request(replica, since):
-    """Give how long after a moment a replica got its first request; nothing where it got none."""
+    """Return the seconds until a replica got its first request after ``since``, or None."""
     later = [each.at for each in replica.seen if each.at > since]
     return later[0] - since if later else None
 
 
 class Operator:
-    """Writes configurations, and writes the last one again where the store has lost it."""
+    """Writes configurations, and rewrites the last one after the store has lost it."""
 
     def __init__(self, store):
         self._store = store
@@ -60,9 +60,9 @@
 
 
 async def restore(fleet, in_lost_seconds=None):
-    """Let the store lose its last seconds and come back from a copy.
+    """Let the store go offline, lose its last seconds and return from a snapshot.
 
-    :param in_lost_seconds: done just before the store goes away.
+    :param in_lost_seconds: called just before the store goes offline.
     """
     store, operator = fleet.store, Operator(fleet.store)
     snapshot = store.snapshot()
@@ -80,7 +80,7 @@
 
 
 async def run_scenario_with_callers(fleet, path, scenario):
-    """Let callers ask while a story goes on, and for some seconds after it."""
+    """Run callers during a scenario and for some seconds after it."""
     callers = asyncio.ensure_future(
         run_callers(fleet, path, SNAPSHOT_AGE_S + OUTAGE_S + PLAYED_S + 6.0)
     )
@@ -90,24 +90,24 @@
 
 
 def play_scenario_on_path(path, scenario):
-    """Play a story beside callers.
+    """Play a scenario on a fleet with running callers.
 
-    :return: what the story gives, and the share of callers that were served.
+    :return: the result of the scenario, and the share of callers that were served.
     """
-    result = []
+    outcomes = []
 
     async def check(fleet):
         result, got = await run_scenario_with_callers(
             fleet, path, lambda: scenario(fleet, replicas_of_path(fleet, path))
         )
-        result.append((result, served_share(got)))
+        outcomes.append((result, served_share(got)))
 
     play(check)
-    return result[0]
+    return outcomes[0]
 
 
 def assert_gets_no_requests(path, scenario):
-    """Assert that a replica got nothing too late, and that callers were served by the others."""
+    """Assert that a replica got no late requests, and that other replicas served the callers."""
     late, served = play_scenario_on_path(path, scenario)
     assert late == 0, late
     assert served > 0.99, served
@@ -120,7 +120,7 @@
     assert served > 0.99, served
 
 
-# Guards against sends to a replica that said it leaves after the store's revisions went back.
+# Guards against requests to a replica that announces leaving after the store's revisions went back.
 def test_a_replica_that_leaves_after_a_restore_gets_no_requests():
     async def scenario(fleet, replicas):
         operator = await restore(fleet)
@@ -132,11 +132,11 @@
             operator.configure()
         return count_late_sends(replicas[0], since)
 
-    result = {path: play_scenario_on_path(path, scenario) for path in PATHS}
-    assert all(late == 0 and served > 0.99 for late, served in result.values()), result
+    results = {path: play_scenario_on_path(path, scenario) for path in PATHS}
+    assert all(late == 0 and served > 0.99 for late, served in results.values()), results
 
 
-# Guards against sends to a replica whose record went after the store's revisions went back.
+# Guards against requests to a replica whose record is removed after the revisions went back.
 @pytest.mark.parametrize("path", PATHS)
 def test_a_replica_whose_record_is_removed_after_a_restore_gets_no_requests(path):
     async def scenario(fleet, replicas):
@@ -150,8 +150,8 @@
     assert_gets_no_requests(path, scenario)
 
 
-# Guards against work for a replica that left in the seconds that the store has lost, whose record
-# in the copy says that it is ready.
+# Guards against requests to a replica that left in the seconds that the store has lost: its record
+# in the snapshot still says that it is ready.
 @pytest.mark.parametrize("path", PATHS)
 def test_a_replica_that_left_in_the_lost_seconds_gets_no_requests(path):
     async def scenario(fleet, replicas):
@@ -168,7 +168,7 @@
     assert_gets_no_requests(path, scenario)
 
 
-# Guards against work for a replica that was gone, which the copy lists until it lapses again.
+# Guards against requests to a removed replica that the snapshot lists until its record expires.
 @pytest.mark.parametrize("path", PATHS)
 def test_a_replica_removed_in_the_lost_seconds_gets_no_requests(path):
     async def scenario(fleet, replicas):
@@ -187,7 +187,7 @@
     assert_gets_no_requests(path, scenario)
 
 
-# Guards against new replicas that get no work after the store's revisions went back.
+# Guards against new replicas that get no requests after the store's revisions went back.
 @pytest.mark.parametrize("path", PATHS)
 def test_a_replica_that_registers_after_a_restore_gets_requests(path):
     async def scenario(fleet, replicas):
@@ -202,7 +202,7 @@
     assert_gets_requests(path, scenario)
 
 
-# Guards against a new start under a known id that gets no work after the revisions went back.
+# Guards against a replica that restarts under its id and gets no requests after a restore.
 @pytest.mark.parametrize("path", PATHS)
 def test_a_replica_that_restarts_after_a_restore_gets_requests(path):
     async def scenario(fleet, replicas):
@@ -220,7 +220,7 @@
     assert_gets_requests(path, scenario)
 
 
-# Guards against a live replica, listed in the copy only, that never gets work again.
+# Guards against a live replica that only the snapshot lists and that never gets requests again.
 def test_a_live_replica_whose_record_expired_gets_requests_again():
     async def scenario(fleet, replicas):
         async def lapse():
@@ -235,7 +235,7 @@
     assert first is not None and RECORD_TIMEOUT_S < first < 2 * RECORD_TIMEOUT_S, first
 
 
-# Guards against nodes that start after a restore and are told what the others still believed.
+# Guards against nodes that start after a restore and receive the outdated state of their peers.
 def test_nodes_that_start_during_a_restore_follow_the_restored_store():
     async def scenario(fleet, replicas):
         await restore(fleet)
@@ -256,7 +256,8 @@
     assert len(positions) == 1, positions
 
 
-# Guards against a node that starts after a restore and knows of a leaving replica by the copy only.
+# Guards against a node that starts after a restore and learns of a leaving replica only from the
+# snapshot, which says that the replica is ready.
 def test_a_node_that_starts_after_a_restore_learns_who_left_in_the_lost_seconds():
     async def scenario(fleet, replicas):
         async def leave():
@@ -279,7 +280,8 @@
 ORDER = json.dumps({"to-version": "v2", "over-s": 30.0}).encode()
 
 
-# Guards against a trial that begins anew, and an answer that is never given again, after a restore.
+# Guards against a trial that begins anew, and a rollout status that is never written again, after a
+# restore.
 def test_a_rollout_order_of_the_lost_seconds_continues_and_its_status_is_rewritten():
     async def scenario(fleet, replicas):
         for each in replicas[:3]:
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -1,9 +1,9 @@
 """
 tests.test_roll
 
-Real nodes of the version in production are rolled to this one while faults strike. Its code comes
-from the repository's history; where the history is not there, the recorded frames and records of
-``test_versions.py`` are what there is.
+A rolling upgrade of real nodes from the version in production to this one, under faults. The code
+of the old version comes from the repository's history; without the history, the recorded frames and
+records of ``test_versions.py`` take its place.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 def unpack(folder):
-    """Unpack the packages of the version in production; tell whether they could be had."""
+    """Unpack the packages of the version in production; return whether the history has them."""
     deployed = tomllib.loads((ROOT / "deploy/system.toml").read_text(encoding="utf-8"))
     command = ["git", "archive", deployed["production"], SOURCES]
     archive = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,9 +1,9 @@
 """
 tests.test_rollouts
 
-Orders to move a service to another version, over real sockets: gateway nodes as processes, before
-the stand-ins of the platform's store and replicas. The stand-in's operator acts as the users' does:
-new replicas start beside the old ones, which end at once, without a word, when the order is done.
+Orders to roll a service out to another version, over real sockets: gateway nodes as processes, with
+the platform's fake store and replicas. The fake operator acts like a real one: new replicas start
+beside the old ones, which stop at once without notice when the order is done.
 """
 
 import asyncio
@@ -31,13 +31,13 @@
 
 
 def read_decisions(fleet):
-    """Give what the leader logged of its decisions, to tell why an order ended as it did."""
+    """Return the decisions that the leader logged, to show why an order ended as it did."""
     logs = "".join(path.read_text() for path in sorted(fleet.folder.glob("*.log")))
     return "\n".join(line for line in logs.splitlines() if '"event":"decided"' in line)
 
 
 class Callers:
-    """Ask for look-ups and bookings at all nodes, some at a time, until told to stop."""
+    """Three callers per node that send look-ups and bookings until ``stopped`` is set."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -58,7 +58,7 @@
 
 
 async def order_version_two(fleet, fail_each=0):
-    """Order version 2 of the seat service, and start its replicas."""
+    """Order version 2 of the seat service, and start its three replicas."""
     await fleet.order_rollout("seats", "v2", OVER_S)
     new = [
         await fleet.add_replica(f"t{number}", "seats", zone, version="v2")
@@ -88,7 +88,7 @@
         await fleet.until(lambda: fleet.rollout_state("seats") == "running", "an answer")
         await fleet.until(lambda: fleet.rollout_state("seats") in END_STATES, "the end")
         assert fleet.rollout_state("seats") == "completed", read_decisions(fleet)
-        # The bound holds until the deadline; a good version gets everything from there on.
+        # The canary bound holds until the deadline; after it, a good version gets all requests.
         window = (ordered, ordered + OVER_S)
         exposed = count_runs_within(new, *window)
         assert (
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""The tool that compares versions on the bench: reading, pairing, and what counts as noise."""
+"""The tool that compares versions on the bench: reading of reports, pairing, and noise."""
 
 import pytest
 
--- a/tests/test_shared_address.py
+++ b/tests/test_shared_address.py
@@ -1,8 +1,9 @@
 """
 tests.test_shared_address
 
-Two records name one address: a replica has ended, another serves in its place, and the record of
-the first is still there. Each request for the first one is answered 421 at once and has not run.
+Guards against two records with one address: a replica has ended, another serves at its address, and
+the record of the first still exists. Each request for the first is answered 421 at once and does
+not run.
 """
 
 import asyncio
@@ -37,9 +38,10 @@
         before = len(replicas[0].seen)
         got = await run_callers(fleet, path, PLAYED_S)
         assert served_share(got) >= 0.99
-        # The one that is there takes its part of the work.
+        # The live replica gets its share of the requests.
         assert len(replicas[0].seen) - before > len(got) / 20 or path in ("/chat/1", "/explain/1")
-        # Each node finds out by itself at plain services; a pool's scheduler for all of them.
+        # At plain services each node detects the stale record itself; a pool's scheduler detects it
+        # for all nodes.
         assert 0 < replicas[0].misdirected <= 0.05 * len(got)
 
     play(check)
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -1,7 +1,7 @@
 """
 tests.test_shedding
 
-Tiers, selectors and leaving upstreams under random overload, beside planted faults.
+Tiers, selectors and leaving upstreams under random overload, with planted faults.
 """
 
 import pytest
--- a/tests/test_shifted_load.py
+++ b/tests/test_shifted_load.py
@@ -1,4 +1,4 @@
-"""Outputs that vary hundredfold before unlike engines; the pattern stands in tests.shiftedload."""
+"""Outputs that vary by a factor of 100 on engines of different speed; see tests.shiftedload."""
 
 import msgspec
 from chalkyoke.gateway.settings import GATEWAY_FEATURES
@@ -7,7 +7,7 @@
 
 
 def count_cut_off_streams(features, seeds, load):
-    """Count the streams that are cut at their deadline."""
+    """Count the streams that are cut off at their deadline."""
     total = 0
     for seed in seeds:
         played = ShiftedLoad(seed, load=load, features=features).play(14.0)
@@ -16,7 +16,7 @@
 
 
 def test_short_requests_leave_fast_engines_to_streams_that_miss_their_deadline_elsewhere():
-    """Off by default: it delays first outputs, which costs more where goals are tight."""
+    """The feature is off by default: it delays first outputs, which costs more with tight goals."""
     sparing = msgspec.structs.replace(GATEWAY_FEATURES, spare=True)
     assert count_cut_off_streams(sparing, (1, 2), 0.8) <= 0.6 * count_cut_off_streams(
         GATEWAY_FEATURES, (1, 2), 0.8
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,8 +1,8 @@
 """
 tests.test_soak
 
-Each checker of the soak goes red at a planted fault; the relay does what it is told; a short run of
-a fixed seed over real processes.
+Each checker of the soak test detects a planted fault; the relay follows its settings; and a short
+run of a fixed seed over real processes passes.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 
 def sound_run():
-    """A run in which all is well, with something for each checker to look at."""
+    """Build a run without violations that has observations for each checker."""
     seen = Observations(stream=STREAM)
     seen.asked = [
         asked("a"),
@@ -242,7 +242,7 @@
 
 
 def through_a_relay(check):
-    """Run a check with a relay before an echo, and a connection that has carried something."""
+    """Run a check with a relay before an echo server and a connection that has carried data."""
 
     async def echo(reader, writer):
         while data := await reader.read(100):
@@ -306,7 +306,7 @@
 
 
 def test_a_short_run_over_real_processes_breaks_no_safety_guarantee():
-    """What hangs on the clock is left to ``make soak``: this machine may be busy."""
+    """Time-dependent checks are left to ``make soak``, since the machine may be busy."""
     outcome = asyncio.run(play(7, SHORT))
     assert checkers.check(outcome.seen, checkers.SAFETY) == [], outcome.summary()
     assert any(each.status == 200 for each in outcome.seen.asked)
--- a/tests/test_valuation.py
+++ b/tests/test_valuation.py
@@ -1,4 +1,4 @@
-"""What service is worth from a caller's first try, as the policy simulation counts it."""
+"""The worth of an answer, counted from a caller's first attempt, in the policy simulation."""
 
 import pytest
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,9 +1,9 @@
 """
 tests.test_versions
 
-Two versions serve side by side while hosts are replaced one after the other. What each landed
-version says on its links and writes to the store lies in ``versions/``, recorded by its own code
-(``scripts/record_version.py``); the contract that is kept here stands in ``docs/INTERFACES.md``.
+Two versions run side by side while hosts are replaced one after the other. ``versions/`` holds the
+messages on links and the records in the store of each landed version, recorded by its own code
+(``scripts/record_version.py``); the compatibility contract is in ``docs/INTERFACES.md``.
 """
 
 import enum
@@ -29,7 +29,7 @@
     path.stem: json.loads(path.read_text(encoding="utf-8"))
     for path in sorted((ROOT / "tests/versions").glob("*.json"))
 }
-# The version from which on a node tells its kinds when a link is opened is later than these.
+# Nodes of these versions do not announce their message kinds when a link opens; later ones do.
 VERSION_WITHOUT_KINDS = "05e79d1"
 LATER_VERSION_WITHOUT_KINDS = "8aa77b9"
 HANDSHAKE = (Challenge, Hello, Received, Welcome)
@@ -48,7 +48,7 @@
 
 
 def build_type(description):
-    """Make the type that a version's record words."""
+    """Build the type that a recorded schema describes."""
     if isinstance(description, str):
         simple = (str, int, float, bool, bytes, type(None))
         return {each.__name__: each for each in simple}[description]
@@ -85,7 +85,8 @@
     recorded_frame = bytes.fromhex(recorded(version, kind)["frame"])
     codec = FrameCodec(tuple(KINDS.values()))
     frame, message = decode_frame(codec, recorded_frame)
-    # Said again and read as the landed version reads it, all that it said is there, in its place.
+    # Encoded again and decoded with the landed version's schema, the message has all its fields in
+    # their places.
     encoded_again, _ = decode_frame(codec, codec.encode(STAMP, message))
     landed = build_struct(kind, recorded(version, kind)["schema"], tag=kind)
     read = msgspec.convert(encoded_again[2:], landed, builtin_types=(bytes,))
@@ -111,7 +112,7 @@
 
 
 def only_adds(now, before):
-    """Tell whether a schema, and each one nested in it, only adds optional fields at the end."""
+    """Return whether a schema and all nested ones only add optional fields at the end."""
     if isinstance(now, str) or isinstance(before, str):
         return now == before
     if not (before and isinstance(before[0], list)):
--- a/tests/upstreams.py
+++ b/tests/upstreams.py
@@ -1,8 +1,8 @@
 """
 tests.upstreams
 
-Fake upstreams at the interface of the upstream client: answers name their request, so that a
-swapped, cut or doubled answer is seen.
+Fake upstreams behind the interface of the upstream client. Answers contain the id of their
+request, so that a swapped, truncated or duplicated answer is detected.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 @dataclass
 class FakeUpstream:
-    """One upstream and its faults."""
+    """One upstream with its injected faults and its counts of requests."""
 
     id: str
     domain: str
@@ -39,7 +39,7 @@
 
 
 def answer_events(request, tokens):
-    """Make the events of one answer."""
+    """Build the server-sent events of one answer."""
     events = [
         b"data: "
         + json.dumps({"id": request, "choices": [{"index": 0, "text": f"{request}:{i} "}]}).encode()
@@ -52,7 +52,7 @@
 
 
 def answer_tokens(request):
-    """Give a request's output length: the same for the same request."""
+    """Return the output length of a request in tokens, the same for the same request id."""
     return 3 + sum(request.encode()) % 40
 
 
@@ -122,7 +122,7 @@
 
 
 class FakeUpstreamClient:
-    """What a node calls; one for each node."""
+    """The upstream client of one node."""
 
     def __init__(self, world, node):
         self.world = world
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,7 +1,7 @@
 """
 tests.virtual
 
-An event loop in virtual time: where nothing is ready, the clock jumps to the next timer.
+An event loop in virtual time: when no callback is ready, the clock advances to the next timer.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Run coroutines without waiting."""
+    """Run coroutines without waiting for timers in real time."""
 
     def __init__(self):
         selector = _JumpingSelector()
@@ -34,13 +34,14 @@
         return self._virtual_time_s
 
     def _advance_clock(self):
-        # Whole nanoseconds, the loop's resolution: sums of times fall short of a timer by less, and
-        # who then sets it for the same moment anew would be woken again and again.
+        # The clock is rounded to whole nanoseconds, the loop's resolution. The floating-point error
+        # of a sum of times is smaller; without rounding, the clock could stay just before a timer,
+        # and code that sets the timer again for the same moment would be woken endlessly.
         self._virtual_time_s = round(self._scheduled[0].when(), 9)
 
 
 def run(coroutine_function):
-    """Run a coroutine function in virtual time; a fault in any task ends it."""
+    """Run a coroutine function in virtual time; raise the first unhandled error of any task."""
     loop = VirtualLoop()
     error_contexts = []
     loop.set_exception_handler(lambda _, context: error_contexts.append(context))
@@ -55,7 +56,7 @@
         loop.close()
     for context in error_contexts:
         error = context.get("exception")
-        # The end of a run cancels what still waits, which streams report as a fault.
+        # Unfinished tasks are cancelled at the end of a run, which streams report as an error.
         if error is not None and not isinstance(error, asyncio.CancelledError):
             raise error
     return result
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,9 +1,9 @@
 """
 tests.world
 
-Several processes' real logic over small fakes, in virtual time and with one seed: callers, kills,
-cuts, holds, slow and leaving upstreams. What must always hold is asserted at the end, beside the
-invariants inside the program.
+The real logic of several processes over small fakes, in virtual time and with one seed: callers,
+killed and frozen processes, broken links, slow and leaving upstreams. The guarantees are asserted
+at the end of a run, in addition to the invariants that the program checks itself.
 """
 
 import asyncio
@@ -70,7 +70,10 @@
 
 @dataclass
 class CallerAnswer:
-    """What one try of a caller heard."""
+    """The answer to one attempt of a caller.
+
+    :ivar at: time of the answer, in seconds on the loop's clock.
+    """
 
     request: str
     verdict: str
@@ -80,7 +83,7 @@
 
 @dataclass
 class WorldNode:
-    """One process: the real slices over fakes."""
+    """One process: the real components of an entry node over fakes."""
 
     world: "World"
     host: str
@@ -221,7 +224,10 @@
 
 
 class World:
-    """The processes, the wires between them, the upstreams and the callers."""
+    """The processes, the links between them, the upstreams and the callers.
+
+    :param chaos: factor of the probabilities of random faults; 0 for none.
+    """
 
     def __init__(self, seed, chaos=1.0):
         self.random = random.Random(seed)
@@ -273,7 +279,7 @@
         if not task.cancelled() and task.exception() is not None:
             self.faults.append(task.exception())
 
-    # Wires: late, doubled and out of order; cut one way or both.
+    # Links: messages are delayed, duplicated and reordered; links break in one direction or both.
 
     def is_link_up(self, one, other):
         return (one, other) not in self.cuts
@@ -320,7 +326,7 @@
         )
 
     async def run_caller(self, number):
-        """Send a request; with a token, send it again through others, at once or later."""
+        """Send a request; with a token, send it again through other nodes, at once or later."""
         held = self.random.random() < 0.7
         request = self.make_request(number, held)
         node = self.pick_node()
@@ -473,7 +479,9 @@
             if at > upstream.leaving_since + LEAVING_GRACE_S
         ]
         if upstream.leaving and late:
-            self.faults.append(AssertionError(f"{upstream.id} leaves and got work at {late}"))
+            self.faults.append(
+                AssertionError(f"{upstream.id} is leaving and got requests at {late}")
+            )
 
     def announce_hosts(self):
         hosts = self.listed_hosts()
@@ -481,10 +489,10 @@
             delay = self.random.uniform(0.1, MAX_HOST_LIST_DELAY_S)
             self.loop.call_later(delay, lambda node=node: node.dead or node.apply_host_list(hosts))
 
-    # Verdict.
+    # Checks.
 
     def check_answers(self):
-        """Compare what callers were told with what the upstreams saw."""
+        """Compare the answers that callers got with the requests that the upstreams got."""
         if self.faults:
             raise self.faults[0]
         seen = Counter()
@@ -493,13 +501,13 @@
         doubled = [request for request, count in seen.items() if count > 1]
         assert not doubled, f"dispatched more than once: {doubled}"
         refused = {each.request for each in self.answers if each.verdict == Verdict.NOT_RUN}
-        assert not refused & set(seen), f"told 'not run' but ran: {refused & set(seen)}"
+        assert not refused & set(seen), f"answered 'not run' but ran: {refused & set(seen)}"
         for each in self.answers:
             if each.verdict == "whole":
                 assert_answer_complete(each)
 
     async def play(self, seconds, callers):
-        """Run callers under faults, then heal and wait until all is quiet."""
+        """Run callers under faults, then end the faults, wait until all is idle and check."""
         injecting = self.loop.create_task(self.inject_faults(seconds))
         calls = []
         for number in range(callers):
@@ -521,7 +529,7 @@
         return self.steps
 
     def check_pools_empty(self):
-        """When all is quiet, no scheduler believes that anything waits or runs."""
+        """Check that no scheduler of an idle fleet counts a waiting or running request."""
         for node in self.nodes.values():
             for name, scheduler in node.schedulers.pools.items():
                 if node.schedulers.owner(name) == node.process:
@@ -529,7 +537,7 @@
                     assert left == (0, 0), f"{node.process} still holds {left} of {name}"
 
     async def check_occupancy(self):
-        """After the loss of a scheduler its successor knows what runs, to the last request."""
+        """Check that the successor of a lost scheduler knows exactly the running requests."""
         engines = [each for each in self.upstreams.values() if not each.plain]
         for engine in engines:
             engine.hang = True
@@ -563,7 +571,7 @@
 
 
 def assert_answer_complete(answer):
-    """Check that an answer is whole and the caller's own."""
+    """Check that an answer is complete and belongs to the caller's request."""
     if answer.body.startswith(b"{"):
         assert answer.request.encode() in answer.body, "an answer went to another caller"
         return
@@ -575,7 +583,7 @@
 
 
 def play(seed, seconds=40, callers=120, chaos=1.0):
-    """Play one seed and return the counts of what happened."""
+    """Run one seed and return the counts of answers and faults by name."""
     from tests.virtual import run
 
     async def main():
