--- a/scripts/proofs.py
+++ b/scripts/proofs.py
@@ -21,10 +21,10 @@
 
 def world(seed: int) -> Played:
     """Play one seed of kills, cuts, holds and planned stops."""
-    from tests.world import play
+    from tests.world import run_seed
 
     try:
-        return seed, {str(name): count for name, count in play(seed).items()}, ""
+        return seed, {str(name): count for name, count in run_seed(seed).items()}, ""
     except BaseException as error:
         return seed, {}, f"{type(error).__name__}: {error}"
 
--- a/tests/catalogfleet.py
+++ b/tests/catalogfleet.py
@@ -406,6 +406,6 @@
         return {node.host for node in self.nodes if node.view.holds_duty(WATCH_DUTY, 2)}
 
 
-def play(coroutine_function):
+def run_in_virtual_time(coroutine_function):
     """Run a coroutine function in virtual time."""
     return virtual.run(coroutine_function)
--- a/tests/gatewayfleet.py
+++ b/tests/gatewayfleet.py
@@ -220,7 +220,7 @@
     return CallerAnswer(int(lines[0].split(" ")[1]), headers, body, whole, took_s)
 
 
-def play(check, **fleet):
+def run_check(check, **fleet):
     """Run a check on a started fleet, in virtual time and without log output."""
 
     async def main():
--- a/tests/limits.py
+++ b/tests/limits.py
@@ -16,12 +16,12 @@
 
     :return: times by replica and node, in seconds on the loop's clock.
     """
-    told = {}
+    limit_times = {}
     for each in sorted(got, key=lambda each: each.asked_at + each.took_s):
         if "server-limit" in each.headers:
             replica = each.headers["x-server-stamp"].partition(".")[0]
-            told.setdefault((replica, each.node), each.asked_at + each.took_s)
-    return told
+            limit_times.setdefault((replica, each.node), each.asked_at + each.took_s)
+    return limit_times
 
 
 def worst_windows(got, replicas, since=-math.inf):
@@ -30,11 +30,13 @@
     :param since: when the limit last changed, in seconds on the loop's clock.
     :return: by replica, the largest number of requests in a window.
     """
-    told = first_limit_times(got)
+    limit_times = first_limit_times(got)
     asked = {each.request: each for each in got}
-    found = {}
+    worst = {}
     for replica in replicas:
-        first = min((at for (name, _), at in told.items() if name == replica.id), default=None)
+        first = min(
+            (at for (name, _), at in limit_times.items() if name == replica.id), default=None
+        )
         if first is None:
             continue
         arrivals = [
@@ -42,6 +44,6 @@
             for seen in (*replica.seen, *replica.turned_away)
             if seen.headers["x-request-id"] in asked
         ]
-        nodes = {node: at for (name, node), at in told.items() if name == replica.id}
-        found[replica.id] = worst_window(arrivals, nodes, max(first, since))
-    return found
+        nodes = {node: at for (name, node), at in limit_times.items() if name == replica.id}
+        worst[replica.id] = worst_window(arrivals, nodes, max(first, since))
+    return worst
--- a/tests/rests.py
+++ b/tests/rests.py
@@ -1,7 +1,7 @@
 """
 tests.rests
 
-Counts of the requests that nodes send to upstreams during the rest time that these asked for.
+Counts of the requests that nodes send to upstreams during the rest times of the upstreams.
 """
 
 from chalkyoke_fakes.soak.checkers import MOST_IN_REST, REST_BEGINS_S
@@ -13,7 +13,7 @@
     """Give the largest number of requests that reached an upstream from a node in one rest time.
 
     :param turned_away: for each pair of an upstream and a node, the times at which the upstream
-        declined a request and asked for rest.
+        declined a request and gave a rest time.
     :param rest_s: length of a rest time, in seconds.
     """
     return max(
--- a/tests/shiftedload.py
+++ b/tests/shiftedload.py
@@ -83,7 +83,7 @@
 EXPLAIN = Kind("explain", 132, (1800, 1.3, 6870), (23, 2.4, 224), 0.82, 4.1, 1.7, 1)
 CHAT = Kind("chat", 59, (543, 0.89, 2310), (280, 2.4, 2800), 0.615, 15.4, 0.54, 2)
 KINDS = (REBOOK, EXPLAIN, CHAT)
-GAP_S = 0.4
+GAP_GOAL_S = 0.4
 
 
 @dataclass
@@ -231,7 +231,7 @@
                 rate *= times
         return rate
 
-    def play(self, seconds):
+    def run_load(self, seconds):
         """Let requests arrive for some seconds, and run until the last one has ended."""
         self.arrivals_end_at = seconds
         for kind in KINDS:
@@ -254,9 +254,9 @@
     def schedule_arrival(self, kind, at):
         next_at = at + self.rng.expovariate(self.arrival_rate(kind, at))
         if next_at < self.arrivals_end_at:
-            heapq.heappush(self.events, (next_at, next(self.sequence), self.arrive, kind))
+            heapq.heappush(self.events, (next_at, next(self.sequence), self.handle_arrival, kind))
 
-    def arrive(self, kind, at):
+    def handle_arrival(self, kind, at):
         self.schedule_arrival(kind, at)
         output = lognormal(self.rng, *kind.output)
         estimated_output = max(1, int(output * self.rng.lognormvariate(0.0, 0.5)))
@@ -279,7 +279,7 @@
         kind = demand.kind
         deadline_at = demand.arrived_at + kind.deadline_s
         attempt = self.attempts[demand.id] = self.attempts.get(demand.id, 0) + 1
-        max_wait_s = max(2.0, 4 * kind.goal_s, 8 * GAP_S)
+        max_wait_s = max(2.0, 4 * kind.goal_s, 8 * GAP_GOAL_S)
         message = Acquire(
             request=demand.id,
             attempt=attempt,
@@ -294,7 +294,7 @@
             waited_s=0.0,
             goal_s=kind.goal_s,
             likely_output=demand.estimated_output,
-            gap_goal_s=GAP_S,
+            gap_goal_s=GAP_GOAL_S,
             whole_s=deadline_at - at,
             fingerprint=int(demand.id[1:]) + 1,
             comes_back_s=(deadline_at - at) * RETURN_SHARE,
--- a/tests/test_catalog_spread.py
+++ b/tests/test_catalog_spread.py
@@ -11,26 +11,26 @@
 
 import asyncio
 
-from tests.catalogfleet import Fleet, play
+from tests.catalogfleet import Fleet, run_in_virtual_time
 
 # Operators allow 2 s at the strictest until all nodes know a leaving replica or a configuration.
 MAX_LAG_S = 2.0
 # Operators allow 3 s at the strictest after a disturbed connection.
 MAX_LAG_AFTER_SILENCE_S = 3.0
 SETTLED_S = 6.0
-SIZES = {"a": 22, "b": 2, "c": 2}
+DOMAIN_SIZES = {"a": 22, "b": 2, "c": 2}
 
 
-def play_scenario(disturb, after_s=8.0, **options):
+def run_scenario(disturb, after_s=8.0, **options):
     async def main():
-        fleet = Fleet(SIZES, **options)
+        fleet = Fleet(DOMAIN_SIZES, **options)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
         await disturb(fleet)
         await asyncio.sleep(after_s)
         return fleet
 
-    return play(main)
+    return run_in_virtual_time(main)
 
 
 def test_frequent_small_changes_reach_all_nodes_in_time():
@@ -42,7 +42,7 @@
             fleet.drain_replica(number + 20)
             await asyncio.sleep(0.18)
 
-    fleet = play_scenario(disturb)
+    fleet = run_scenario(disturb)
     assert fleet.lag.worst_s < MAX_LAG_S, fleet.lag
 
 
@@ -53,7 +53,7 @@
         fleet.drain_replica(1)
         fleet.configure({1})
 
-    fleet = play_scenario(disturb, after_s=14.0)
+    fleet = run_scenario(disturb, after_s=14.0)
     assert fleet.lag.worst_s < MAX_LAG_AFTER_SILENCE_S, fleet.lag
 
 
@@ -65,7 +65,7 @@
         fleet.drain_replica(1)
         fleet.configure({1})
 
-    fleet = play_scenario(disturb)
+    fleet = run_scenario(disturb)
     assert fleet.lag.worst_s < 0.5, fleet.lag
 
 
@@ -81,7 +81,7 @@
         await asyncio.sleep(6.0)
         return fleet
 
-    fleet = play(main)
+    fleet = run_in_virtual_time(main)
     assert fleet.lag.worst_s < 0.5, fleet.lag
 
 
@@ -93,7 +93,7 @@
             fleet.drain_replica(number)
             await asyncio.sleep(0.33)
 
-    fleet = play_scenario(disturb)
+    fleet = run_scenario(disturb)
     assert fleet.lag.worst_s < 1.0, fleet.lag
 
 
@@ -108,7 +108,7 @@
         await asyncio.sleep(1.2)
         fleet.drain_replica(1)
 
-    fleet = play_scenario(disturb)
+    fleet = run_scenario(disturb)
     assert fleet.calls_while_refused < 150, fleet.calls_while_refused
     assert fleet.lag.worst_s < 0.5, fleet.lag
 
@@ -117,5 +117,5 @@
     async def disturb(fleet):
         fleet.network.bytes_by_kind.clear()
 
-    fleet = play_scenario(disturb)
+    fleet = run_scenario(disturb)
     assert set(fleet.network.bytes_by_kind) == {"Heartbeat", "ShortHeartbeat"}
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -77,7 +77,7 @@
         return {h: self.values["chalkyoke/chunk/" + h].value for h in root.chunks.values()}
 
 
-def drive(machine, store, faults=()):
+def run_publisher(machine, store, faults=()):
     """Run a publisher against the store and return its outcome.
 
     :param faults: faults of the first calls, in order; later calls have none.
@@ -100,7 +100,9 @@
 def seeded():
     store = FakeStore()
     specs = read_document({"tier": TIERS, "team": [{"name": "a", "tiers": ["t0"]}]}).unwrap()
-    assert isinstance(drive(publish_change(Change("seed", "op", None, specs), 0), store), Accepted)
+    assert isinstance(
+        run_publisher(publish_change(Change("seed", "op", None, specs), 0), store), Accepted
+    )
     return store
 
 
@@ -109,9 +111,9 @@
     change = Change("c1", "op", 1, team("b"))
     # Four calls come first: the root, and reads and writes of chunks. Then the swap's answer is
     # lost.
-    outcome = drive(publish_change(change, 0), store, ["none"] * 4 + ["lost"])
+    outcome = run_publisher(publish_change(change, 0), store, ["none"] * 4 + ["lost"])
     assert isinstance(outcome, Accepted)
-    again = drive(publish_change(change, 0), store)
+    again = run_publisher(publish_change(change, 0), store)
     assert isinstance(again, Accepted)
     assert again.revision == outcome.revision
     assert [each.change_id for each in store.roots[-1].history].count("c1") == 1
@@ -120,9 +122,9 @@
 def test_a_conflict_names_the_fields_of_the_concurrent_change():
     store = seeded()
     assert isinstance(
-        drive(publish_change(Change("c1", "one", 1, team("a", 5)), 0), store), Accepted
+        run_publisher(publish_change(Change("c1", "one", 1, team("a", 5)), 0), store), Accepted
     )
-    outcome = drive(publish_change(Change("c2", "two", 1, team("a", 7)), 0), store)
+    outcome = run_publisher(publish_change(Change("c2", "two", 1, team("a", 7)), 0), store)
     assert isinstance(outcome, Conflict)
     assert outcome.paths == ("team/a.weight",)
     assert outcome.other.change_id == "c1"
@@ -132,16 +134,18 @@
 def test_concurrent_changes_of_other_fields_do_not_conflict():
     store = seeded()
     assert isinstance(
-        drive(publish_change(Change("c1", "one", 1, team("b", 5)), 0), store), Accepted
+        run_publisher(publish_change(Change("c1", "one", 1, team("b", 5)), 0), store), Accepted
     )
-    outcome = drive(publish_change(Change("c2", "two", 1, team("c", 7)), 0), store)
+    outcome = run_publisher(publish_change(Change("c2", "two", 1, team("c", 7)), 0), store)
     assert isinstance(outcome, Accepted)
     assert outcome.revision == 3
 
 
 def test_an_unavailable_store_leads_to_no_change_and_a_not_reached_outcome():
     store = seeded()
-    outcome = drive(publish_change(Change("c1", "op", 1, team("b")), 0), store, ["away"] * 500)
+    outcome = run_publisher(
+        publish_change(Change("c1", "op", 1, team("b")), 0), store, ["away"] * 500
+    )
     assert isinstance(outcome, NotReached)
     assert len(store.roots) == 1
 
@@ -149,7 +153,7 @@
 def test_an_invalid_change_names_its_field():
     store = seeded()
     specs = read_document({"team": [{"name": "b", "tiers": ["nowhere"]}]}).unwrap()
-    outcome = drive(publish_change(Change("c1", "op", 1, specs), 0), store)
+    outcome = run_publisher(publish_change(Change("c1", "op", 1, specs), 0), store)
     assert isinstance(outcome, Invalid)
     assert outcome.problems[0].path == "team.b.tiers"
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -13,22 +13,22 @@
 from chalkyoke.quarantine.messages import ReplicaEnded, SuspectRun
 from chalkyoke_fakes.platformfleet import HOST, TEAM
 
-from tests.gatewayfleet import play
+from tests.gatewayfleet import run_check
 
-CRASHING = b"a body that ends who runs it"
+CRASHING_BODY = b"a body that ends who runs it"
 # Limits that operators set: the seconds within which connected hosts learn of a crashing request,
 # and the number of times that it may reach replicas after that.
 SPREAD_S = 3.0
 MAX_LATE_ARRIVALS = 3
 # Seconds between repetitions of the request; in production 0.3 to 4 s.
 REPEAT_INTERVAL_S = 0.3
-PLAYED_S = 12.0
+DURATION_S = 12.0
 
 
-def crash_on_body(replicas, body, **more):
+def crash_on_body(replicas, body, **faults):
     for replica in replicas:
         replica.faults.crash_bodies = replica.faults.crash_bodies | {body}
-        for name, value in more.items():
+        for name, value in faults.items():
             setattr(replica.faults, name, value)
 
 
@@ -46,7 +46,7 @@
     return [at for at in arrival_times(replicas, body) if at > third + SPREAD_S]
 
 
-async def send_repeatedly(fleet, path, body, seconds=PLAYED_S, interval_s=REPEAT_INTERVAL_S):
+async def send_repeatedly(fleet, path, body, seconds=DURATION_S, interval_s=REPEAT_INTERVAL_S):
     """Send a request repeatedly, to each node in turn, and return the answers."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
@@ -62,23 +62,23 @@
 
 def count_late_arrivals(path):
     """Count the arrivals of a crashing request on a path after hosts should have learned of it."""
-    later = []
+    late_arrivals = []
 
     async def check(fleet):
         replicas = fleet.seats if path in ("/find/1", "/book/1") else fleet.models
-        crash_on_body(replicas, CRASHING)
-        await send_repeatedly(fleet, path, CRASHING)
-        later.extend(late_arrival_times(replicas, CRASHING))
+        crash_on_body(replicas, CRASHING_BODY)
+        await send_repeatedly(fleet, path, CRASHING_BODY)
+        late_arrivals.extend(late_arrival_times(replicas, CRASHING_BODY))
 
-    play(check)
-    return len(later)
+    run_check(check)
+    return len(late_arrivals)
 
 
 def test_a_request_that_crashes_replicas_is_held_back_by_all_hosts():
-    later = {
+    late_arrivals = {
         path: count_late_arrivals(path) for path in ("/chat/1", "/explain/1", "/find/1", "/book/1")
     }
-    assert all(count <= MAX_LATE_ARRIVALS for count in later.values()), later
+    assert all(count <= MAX_LATE_ARRIVALS for count in late_arrivals.values()), late_arrivals
 
 
 def test_crashes_of_a_replica_that_restarts_under_its_id_count_separately():
@@ -87,26 +87,26 @@
         for replica in fleet.models[1:]:
             await replica.crash()
             fleet.store.remove(f"servers/{replica.id}")
-        crash_on_body(fleet.models[:1], CRASHING, renamed=False, back_after_s=0.7)
-        await send_repeatedly(fleet, "/chat/1", CRASHING, interval_s=1.0)
+        crash_on_body(fleet.models[:1], CRASHING_BODY, renamed=False, back_after_s=0.7)
+        await send_repeatedly(fleet, "/chat/1", CRASHING_BODY, interval_s=1.0)
         assert len(end_times(fleet.models)) == 3
-        assert len(late_arrival_times(fleet.models, CRASHING)) == 0
+        assert len(late_arrival_times(fleet.models, CRASHING_BODY)) == 0
 
-    play(check, replicas=3)
+    run_check(check, replicas=3)
 
 
 def test_a_held_back_request_is_refused_at_once_without_retry_after():
     async def check(fleet):
-        crash_on_body(fleet.models, CRASHING)
-        await send_repeatedly(fleet, "/chat/1", CRASHING, seconds=2.0)
-        before = len(arrival_times(fleet.models, CRASHING))
-        got = await fleet.send_request(0, "/chat/1", CRASHING)
+        crash_on_body(fleet.models, CRASHING_BODY)
+        await send_repeatedly(fleet, "/chat/1", CRASHING_BODY, seconds=2.0)
+        before = len(arrival_times(fleet.models, CRASHING_BODY))
+        got = await fleet.send_request(0, "/chat/1", CRASHING_BODY)
         assert (got.status, "retry-after" in got.headers) == (502, False)
-        assert len(arrival_times(fleet.models, CRASHING)) == before
+        assert len(arrival_times(fleet.models, CRASHING_BODY)) == before
         # A request of the same caller on another path is a different request.
         assert (await fleet.send_request(0, "/explain/1", b"{}")).whole
 
-    play(check)
+    run_check(check)
 
 
 def test_waiting_attempts_are_refused_once_their_request_is_held_back():
@@ -120,19 +120,19 @@
             for each in range(24)
         ]
         await asyncio.sleep(0.2)
-        waiting = asyncio.ensure_future(fleet.send_request(0, "/explain/1", CRASHING))
+        waiting = asyncio.ensure_future(fleet.send_request(0, "/explain/1", CRASHING_BODY))
         await asyncio.sleep(0.1)
-        name = request_digest(b"POST", HOST, b"/explain/1", TEAM, CRASHING)
+        name = request_digest(b"POST", HOST, b"/explain/1", TEAM, CRASHING_BODY)
         began = loop.time()
         ended = [ReplicaEnded(f"m{each}/9", (SuspectRun(name, 1.0, 0.0),)) for each in range(3)]
         for message in ended:
             fleet.nodes[0].quarantine.receive("10.1.0.2:82", message)
         got = await waiting
         assert (got.status, loop.time() - began < 1.1) == (502, True)
-        assert arrival_times(fleet.models, CRASHING) == []
+        assert arrival_times(fleet.models, CRASHING_BODY) == []
         assert all(each.whole for each in await asyncio.gather(*busy))
 
-    play(check)
+    run_check(check)
 
 
 def test_a_popular_request_is_served_while_another_one_crashes_replicas():
@@ -140,52 +140,54 @@
     served = []
 
     async def check(fleet):
-        crash_on_body(fleet.seats, CRASHING)
+        crash_on_body(fleet.seats, CRASHING_BODY)
         for replica in fleet.seats:
             replica.faults.work_s = 0.04
-        crashing = asyncio.ensure_future(send_repeatedly(fleet, "/find/1", CRASHING, seconds=6.0))
+        crashing = asyncio.ensure_future(
+            send_repeatedly(fleet, "/find/1", CRASHING_BODY, seconds=6.0)
+        )
         got = await send_repeatedly(fleet, "/find/1", popular, seconds=6.0, interval_s=0.02)
         await crashing
         assert len(end_times(fleet.seats)) >= 3
         served.extend(each.status for each in got)
 
-    play(check)
+    run_check(check)
     # Each request that breaks off with a replica is sent again to another one.
     assert served.count(200) == len(served) == 300
 
 
 def test_a_restarted_node_learns_which_requests_are_held_back():
     async def check(fleet):
-        crash_on_body(fleet.models, CRASHING)
-        await send_repeatedly(fleet, "/chat/1", CRASHING, seconds=2.0)
+        crash_on_body(fleet.models, CRASHING_BODY)
+        await send_repeatedly(fleet, "/chat/1", CRASHING_BODY, seconds=2.0)
         await fleet.kill_node(2)
         await asyncio.sleep(1.0)
         fleet.start_node(2, first_start=False)
         await asyncio.sleep(SPREAD_S)
-        before = len(arrival_times(fleet.models, CRASHING))
-        got = await fleet.send_request(2, "/chat/1", CRASHING)
+        before = len(arrival_times(fleet.models, CRASHING_BODY))
+        got = await fleet.send_request(2, "/chat/1", CRASHING_BODY)
         assert got.status == 502
-        assert len(arrival_times(fleet.models, CRASHING)) == before
+        assert len(arrival_times(fleet.models, CRASHING_BODY)) == before
 
-    play(check)
+    run_check(check)
 
 
 def test_held_back_requests_survive_the_loss_of_all_nodes():
     async def check(fleet):
-        crash_on_body(fleet.models, CRASHING)
-        await send_repeatedly(fleet, "/chat/1", CRASHING, seconds=2.0)
+        crash_on_body(fleet.models, CRASHING_BODY)
+        await send_repeatedly(fleet, "/chat/1", CRASHING_BODY, seconds=2.0)
         for node in range(len(fleet.nodes)):
             await fleet.kill_node(node)
         await asyncio.sleep(1.0)
         for node in range(len(fleet.nodes)):
             fleet.start_node(node, first_start=False)
         await asyncio.sleep(SPREAD_S)
-        before = len(arrival_times(fleet.models, CRASHING))
-        got = await send_repeatedly(fleet, "/chat/1", CRASHING, seconds=3.0)
+        before = len(arrival_times(fleet.models, CRASHING_BODY))
+        got = await send_repeatedly(fleet, "/chat/1", CRASHING_BODY, seconds=3.0)
         assert {each.status for each in got} == {502}
-        assert len(arrival_times(fleet.models, CRASHING)) == before
+        assert len(arrival_times(fleet.models, CRASHING_BODY)) == before
 
-    play(check)
+    run_check(check)
 
 
 def test_replicas_that_crash_on_their_own_hold_no_request_back():
@@ -209,7 +211,7 @@
         assert len(end_times(fleet.models)) >= 20
         assert [len(node.quarantine._evidence.held) for node in fleet.nodes] == [0] * 6
 
-    play(check)
+    run_check(check)
 
 
 def test_broken_answers_of_live_replicas_are_no_evidence():
@@ -219,7 +221,7 @@
         await send_repeatedly(fleet, "/explain/1", b"{}", seconds=6.0)
         assert [len(node.quarantine._evidence) for node in fleet.nodes] == [0] * 6
 
-    play(check)
+    run_check(check)
 
 
 def test_a_run_moves_off_a_restarted_replica_although_its_connection_stays_open():
@@ -241,13 +243,13 @@
         # wait on the silent connection in vain.
         assert loop.time() - began < 3.0
 
-    play(check)
+    run_check(check)
 
 
 def test_an_operator_releases_a_request_at_all_nodes():
     async def check(fleet):
-        crash_on_body(fleet.models, CRASHING)
-        await send_repeatedly(fleet, "/chat/1", CRASHING, seconds=2.0)
+        crash_on_body(fleet.models, CRASHING_BODY)
+        await send_repeatedly(fleet, "/chat/1", CRASHING_BODY, seconds=2.0)
         for replica in fleet.models:
             replica.faults.crash_bodies = frozenset()
         records = [each for each in fleet.store.items if each.startswith("chalkyoke/held/")]
@@ -255,7 +257,7 @@
         fleet.store.put(records[0], b"released")
         await asyncio.sleep(SPREAD_S)
         assert [
-            (await fleet.send_request(node, "/chat/1", CRASHING)).status for node in range(6)
+            (await fleet.send_request(node, "/chat/1", CRASHING_BODY)).status for node in range(6)
         ] == [200] * 6
 
-    play(check)
+    run_check(check)
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -137,14 +137,14 @@
         leaving = fleet.replicas["s0"]
         await leaving.declare("draining")
 
-        async def is_left_alone():
+        async def gets_no_requests():
             before = sum(leaving.runs.values())
             for name in fleet.nodes:
                 for _ in range(4):
                     assert (await fleet.ask(name, "/book/1")).status == 200
             return sum(leaving.runs.values()) == before
 
-        await fleet.until(is_left_alone, "a leaving replica to be left alone")
+        await fleet.until(gets_no_requests, "a leaving replica to get no requests")
 
     with_fleet(check)
 
@@ -231,7 +231,7 @@
         async def is_not_ready():
             return not await fleet.is_ready("n1")
 
-        await fleet.until(is_not_ready, "a stopping node to say so")
+        await fleet.until(is_not_ready, "a stopping node to report not ready")
         got = await fleet.ask("n1", "/book/1")
         assert got.status == 200
         for each in await asyncio.gather(*tasks):
@@ -249,15 +249,15 @@
         await fleet.until(lambda: sum(fleet.runs().values()) == 1, "a stream to run")
         task.cancel()
         seen = [each for replica in engine_replicas(fleet) for each in replica.seen]
-        await fleet.until(lambda: seen[0].left, "a replica to notice")
+        await fleet.until(lambda: seen[0].left, "a replica to see the disconnect")
 
-        def left():
+        def left_lines():
             lines = (fleet.folder / "n1.log").read_text().splitlines()
             return [each for each in map(json.loads, lines) if each["event"] == "left"]
 
-        await fleet.until(left, "the line of a caller that left")
-        assert left()[0]["sends"] == 1 and 0 <= left()[0]["silent_s"] < 60
-        assert left()[0]["events"] >= 0
+        await fleet.until(left_lines, "the log line of a disconnected caller")
+        assert left_lines()[0]["sends"] == 1 and 0 <= left_lines()[0]["silent_s"] < 60
+        assert left_lines()[0]["events"] >= 0
 
     with_fleet(check, ("a",))
 
@@ -272,11 +272,11 @@
             text = (fleet.folder / "n1.log").read_text()
             return [json.loads(line) for line in text.splitlines()]
 
-        def told():
+        def events_of_request():
             return {each["event"]: each for each in lines() if each.get("request") == "told"}
 
-        await fleet.until(lambda: "ended" in told(), "a request to be in the log")
-        sent, ended = told()["sent"], told()["ended"]
+        await fleet.until(lambda: "ended" in events_of_request(), "a request to be in the log")
+        sent, ended = events_of_request()["sent"], events_of_request()["ended"]
         assert sent["replica"] == ended["replica"] and sent["version"] == ended["version"] == 1
         assert ended["end"] == "delivered" and sent["deadline_s"] <= 8.0
 
@@ -292,14 +292,14 @@
         def log():
             return (fleet.folder / "n1.log").read_text()
 
-        await fleet.until(lambda: "reload_failed" in log(), "the mistake to be told")
+        await fleet.until(lambda: "reload_failed" in log(), "the failed reload to be logged")
         assert (await fleet.ask("n1", "/book/1")).status == 200
         node.send(signal.SIGKILL)
         node.popen.wait()
         command = [sys.executable, "-m", "chalkyoke.gatewayd", str(node.settings)]
         process = await asyncio.create_subprocess_exec(*command, stderr=asyncio.subprocess.PIPE)
-        _, told = await process.communicate()
-        assert process.returncode == 2 and told.startswith(b"settings: ")
+        _, error_output = await process.communicate()
+        assert process.returncode == 2 and error_output.startswith(b"settings: ")
 
     with_fleet(check, ("a",))
 
--- a/tests/test_leaving_and_rest.py
+++ b/tests/test_leaving_and_rest.py
@@ -3,7 +3,7 @@
 
 Guards against two failures. Requests reached a replica more than two seconds after the same host
 had forwarded an answer in which the replica announced that it leaves; and a replica that had
-declined a request and asked for a rest time got three to eight more requests from the same host in
+declined a request and requested a rest time got three to eight more requests from the same host in
 that time.
 
 With the store silent, no record said that the replica leaves, and answers were still sent to it for
@@ -20,12 +20,12 @@
 from chalkyoke_fakes.soak.checkers import LEFT_ALONE_S
 from chalkyoke_fakes.soak.play import GOAL_S
 
-from tests.gatewayfleet import play
+from tests.gatewayfleet import run_check
 from tests.rests import MOST_IN_REST, max_requests_in_rest
 
 PATHS = ("/chat/1", "/explain/1", "/find/1", "/book/1")
-CALLERS = 12
-PLAYED_S = 6.0
+CALLER_COUNT = 12
+DURATION_S = 6.0
 # Mean pause of a caller between an answer and its next request, in seconds.
 MEAN_PAUSE_S = 0.03
 # Seconds before replicas change, in which the scheduler gets to know all of them.
@@ -37,7 +37,7 @@
     return fleet.models if path in ("/chat/1", "/explain/1") else fleet.seats
 
 
-async def run_callers(fleet, path, seconds=PLAYED_S, nodes=()):
+async def run_callers(fleet, path, seconds=DURATION_S, nodes=()):
     """Run callers for some seconds and return all their answers.
 
     :param nodes: indices of the nodes that receive the requests; empty for all.
@@ -46,17 +46,17 @@
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     got = []
-    source = random.Random(40)
+    rng = random.Random(40)
 
     async def send_requests(caller):
         turn = caller
-        await asyncio.sleep(MEAN_PAUSE_S * 2 * source.random())
+        await asyncio.sleep(MEAN_PAUSE_S * 2 * rng.random())
         while loop.time() < until:
             got.append(await fleet.send_request(nodes[turn % len(nodes)], path, until_whole=True))
             turn += 1
-            await asyncio.sleep(MEAN_PAUSE_S * 2 * source.random())
+            await asyncio.sleep(MEAN_PAUSE_S * 2 * rng.random())
 
-    await asyncio.gather(*(send_requests(caller) for caller in range(CALLERS)))
+    await asyncio.gather(*(send_requests(caller) for caller in range(CALLER_COUNT)))
     return got
 
 
@@ -109,7 +109,7 @@
         return check
 
     for path in PATHS:
-        play(check_of(path))
+        run_check(check_of(path))
     assert late == dict.fromkeys(PATHS, 0), late
     assert all(share > 0.99 for share in served.values()), served
 
@@ -130,7 +130,7 @@
         return check
 
     for path in PATHS:
-        play(check_of(path))
+        run_check(check_of(path))
     assert all(count <= MOST_IN_REST for count in most.values()), most
 
 
@@ -162,9 +162,9 @@
         return check
 
     for rest_s in (0.0, REST_S):
-        play(check_of("/chat/1", rest_s))
+        run_check(check_of("/chat/1", rest_s))
     assert all(share >= 0.99 for share in served.values()), served
-    assert all(count <= 2 * (PLAYED_S - 1) + 2 for count in tried.values()), tried
+    assert all(count <= 2 * (DURATION_S - 1) + 2 for count in tried.values()), tried
 
 
 def test_callers_are_refused_promptly_while_all_replicas_rest():
@@ -187,7 +187,7 @@
         assert served_share(await run_callers(fleet, path, 1.0)) == 1.0
 
     for path in PATHS:
-        play(lambda fleet, path=path: check_path(fleet, path))
+        run_check(lambda fleet, path=path: check_path(fleet, path))
 
 
 def test_only_a_restart_clears_the_leaving_state_of_a_replica():
@@ -212,7 +212,7 @@
         answers = [await fleet.send_request(node, "/chat/1", until_whole=True) for node in range(6)]
         assert [each.status for each in answers] == [200] * 6
 
-    play(check)
+    run_check(check)
 
 
 def test_a_restarted_node_learns_which_replicas_are_leaving():
@@ -229,7 +229,7 @@
             await fleet.send_request(2, "/find/1", until_whole=True)
         assert len(replica.seen) == before
 
-    play(check)
+    run_check(check)
 
 
 def test_answers_of_another_replica_at_the_address_do_not_mark_this_one_as_leaving():
@@ -243,4 +243,4 @@
         state = fleet.nodes[0].catalog.state
         assert not any(each.draining for each in state.replicas.values())
 
-    play(check)
+    run_check(check)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,11 +11,11 @@
 
 import asyncio
 
-from tests.gatewayfleet import play
+from tests.gatewayfleet import run_check
 from tests.limits import most_allowed, worst_windows
 from tests.test_leaving_and_rest import PATHS, replicas_of_path, run_callers, served_share
 
-PLAYED_S = 12.0
+DURATION_S = 12.0
 LIMIT_PER_S = 3.8
 
 
@@ -24,7 +24,7 @@
         replica.faults.limit_per_s = limit_per_s
 
 
-def play_limits(path, count, limit_per_s, **fleet):
+def run_with_limits(path, count, limit_per_s, **fleet):
     """Run callers while ``count`` of the replicas of a path announce a limit.
 
     :return: the largest number of requests that one of these replicas got in a window, and the
@@ -35,31 +35,31 @@
     async def check(fleet):
         limited = replicas_of_path(fleet, path)[:count]
         set_limits(limited, limit_per_s)
-        got = await run_callers(fleet, path, PLAYED_S)
+        got = await run_callers(fleet, path, DURATION_S)
         found.append((max(worst_windows(got, limited).values()), served_share(got)))
 
-    play(check, **fleet)
+    run_check(check, **fleet)
     return found[0]
 
 
 def test_a_limit_holds_across_all_nodes_and_other_replicas_serve_the_callers():
-    found = {path: play_limits(path, 2, LIMIT_PER_S) for path in PATHS}
+    found = {path: run_with_limits(path, 2, LIMIT_PER_S) for path in PATHS}
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
 def test_a_limit_below_one_request_per_second_holds():
-    found = {path: play_limits(path, 2, 0.4) for path in ("/chat/1", "/find/1")}
+    found = {path: run_with_limits(path, 2, 0.4) for path in ("/chat/1", "/find/1")}
     assert all(most <= most_allowed(0.4) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
 def test_limits_hold_when_all_replicas_announce_one():
-    found = {path: play_limits(path, 6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
+    found = {path: run_with_limits(path, 6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
 
 
-def play_change(path, before, after, seconds=PLAYED_S):
+def run_with_limit_change(path, before, after, seconds=DURATION_S):
     """Run callers while two of six replicas announce a limit, and later another one.
 
     :param before: the first limit, in requests per second.
@@ -78,12 +78,12 @@
         got += await run_callers(fleet, path, seconds)
         found.append((max(worst_windows(got, limited, changed_at).values()), served_share(got)))
 
-    play(check)
+    run_check(check)
     return found[0]
 
 
 def test_a_lowered_limit_takes_effect_as_soon_as_a_first_one():
-    found = {path: play_change(path, 7.6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
+    found = {path: run_with_limit_change(path, 7.6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
@@ -91,13 +91,16 @@
 def test_a_limit_ends_when_answers_no_longer_announce_one():
     # Without a limit, the replicas share the load evenly: each gets a sixth of 50 to 60 requests
     # per second.
-    most, served = play_change("/find/1", LIMIT_PER_S, -1.0, seconds=16.0)
+    most, served = run_with_limit_change("/find/1", LIMIT_PER_S, -1.0, seconds=16.0)
     assert most > 2 * most_allowed(LIMIT_PER_S)
     assert served >= 0.99
 
 
 def test_a_replica_with_a_limit_of_zero_is_probed_until_the_limit_ends():
-    found = {path: play_change(path, 0.0, -1.0, seconds=20.0) for path in ("/find/1", "/book/1")}
+    found = {
+        path: run_with_limit_change(path, 0.0, -1.0, seconds=20.0)
+        for path in ("/find/1", "/book/1")
+    }
     assert all(most > 2 * most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
 
 
@@ -108,7 +111,7 @@
         async def check(fleet):
             limited = replicas_of_path(fleet, path)[:2]
             set_limits(limited, LIMIT_PER_S)
-            callers = asyncio.ensure_future(run_callers(fleet, path, 2 * PLAYED_S))
+            callers = asyncio.ensure_future(run_callers(fleet, path, 2 * DURATION_S))
             for number in (0, 3, 1, 4, 2, 5):
                 await asyncio.sleep(2.5)
                 await fleet.kill_node(number)
@@ -119,14 +122,15 @@
         return check
 
     for path in ("/chat/1", "/find/1"):
-        play(check_of(path))
+        run_check(check_of(path))
     assert all(count <= most_allowed(LIMIT_PER_S) for count in most.values()), most
 
 
 def test_a_limit_holds_across_24_nodes():
     domains = tuple("abcd"[number // 6] for number in range(24))
     found = {
-        path: play_limits(path, 2, LIMIT_PER_S, domains=domains) for path in ("/chat/1", "/find/1")
+        path: run_with_limits(path, 2, LIMIT_PER_S, domains=domains)
+        for path in ("/chat/1", "/find/1")
     }
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
@@ -141,12 +145,12 @@
             set_limits(replicas, LIMIT_PER_S)
             await run_callers(fleet, path, 3.0, nodes=(0,))
             before = sum(len(each.seen) for each in replicas)
-            await run_callers(fleet, path, PLAYED_S, nodes=(0,))
+            await run_callers(fleet, path, DURATION_S, nodes=(0,))
             sent = sum(len(each.seen) for each in replicas) - before
-            used[path] = sent / (len(replicas) * LIMIT_PER_S * PLAYED_S)
+            used[path] = sent / (len(replicas) * LIMIT_PER_S * DURATION_S)
 
         return check
 
     for path in ("/chat/1", "/find/1"):
-        play(check_of(path))
+        run_check(check_of(path))
     assert all(0.9 <= share <= 1.1 for share in used.values()), used
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,7 +12,7 @@
 from chalkyoke_fakes.caller import Told
 from chalkyoke_fakes.fleet import OPERATOR_TOKEN
 
-from tests.test_processes import HASH, RESOURCES, body, until, with_fleet
+from tests.test_processes import KEY_SHA256, RESOURCES, completion_body, wait_until, with_fleet
 
 
 async def ctl(fleet, *arguments, host="n1"):
@@ -29,7 +29,7 @@
     async def check(fleet, caller):
         good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
         good.write_text(
-            f'[[team]]\nname = "team"\ntiers = ["low"]\nweight = 4\nkey_sha256 = ["{HASH}"]\n'
+            f'[[team]]\nname = "team"\ntiers = ["low"]\nweight = 4\nkey_sha256 = ["{KEY_SHA256}"]\n'
         )
         bad.write_text('[[route]]\nname = "r"\nservice = "model"\nupstreams = { host = "e0" }\n')
         assert (await ctl(fleet, "check", str(good)))[
@@ -61,7 +61,9 @@
     async def check(fleet, caller):
         token = await caller.take_token(fleet.nodes["n1"].address)
         for host in ("n1", "n2"):
-            reply = await caller.complete(fleet.nodes[host].address, body(4), Chalkyoke_Token=token)
+            reply = await caller.complete(
+                fleet.nodes[host].address, completion_body(4), Chalkyoke_Token=token
+            )
             assert reply.told is Told.WHOLE
         code, out, _ = await ctl(fleet, "events", "--token", token, "-o", "json")
         kinds = [event["kind"] for event in json.loads(out)]
@@ -91,8 +93,10 @@
         async def ended():
             return fleet.nodes["n2"].popen.poll() == 0
 
-        await until(ended)
-        assert (await caller.complete(fleet.nodes["n3"].address, body(4))).told is Told.WHOLE
+        await wait_until(ended)
+        assert (
+            await caller.complete(fleet.nodes["n3"].address, completion_body(4))
+        ).told is Told.WHOLE
 
     with_fleet(check)
 
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -9,7 +9,7 @@
 
 SOURCES = Path(__file__).parent.parent / "packages"
 ADAPTER = SOURCES / "chalkyoke/src/chalkyoke/platform"
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"X-(Server-Stamp|Not-Run|Expect-Instance|Token-Count|Prefix-Hash|Credential|Server-Load"
     r"|Weights-Version|Pin-Ms|Length-Hint|Kv-|Tenant|Hold|Model)|Kv-(From|Fetch)"
     r"|kv-(watch|txn|range|key|lease|keep)|path-prefix|api-keys|servers/|op/config",
@@ -29,7 +29,7 @@
     found = [
         f"{path.relative_to(SOURCES)}: {match.group(0)}"
         for path in sources()
-        for match in NAMES.finditer(path.read_text(encoding="utf-8"))
+        for match in PLATFORM_NAMES.finditer(path.read_text(encoding="utf-8"))
     ]
     assert found == []
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -17,7 +17,7 @@
 
 KEY = "team-key"
 DOMAINS = ("d1", "d2", "d3")
-HASH = hashlib.sha256(KEY.encode()).hexdigest()
+KEY_SHA256 = hashlib.sha256(KEY.encode()).hexdigest()
 
 PLATFORM = {
     "lag_s": 0.2,
@@ -39,7 +39,7 @@
 }
 RESOURCES = {
     "tier": [{"name": "high", "rank": 0}, {"name": "low", "rank": 1}],
-    "team": [{"name": "team", "tiers": ["low", "high"], "key_sha256": [HASH]}],
+    "team": [{"name": "team", "tiers": ["low", "high"], "key_sha256": [KEY_SHA256]}],
     "service": [
         {"name": "model", "protocol": "completions", "selector": {"kind": "engine"}},
         {"name": "seats", "protocol": "plain", "selector": {"kind": "plain"}, "repeatable": False},
@@ -64,7 +64,7 @@
     asyncio.run(main())
 
 
-def body(tokens, stream=True):
+def completion_body(tokens, stream=True):
     return {
         "model": "model",
         "prompt": "a question",
@@ -74,7 +74,7 @@
     }
 
 
-async def seen(fleet):
+async def received_counts(fleet):
     """Count how often the upstreams received each request."""
     counts = await fleet.counts()
     merged = {}
@@ -84,31 +84,33 @@
     return merged
 
 
-async def until(check, seconds=10):
+async def wait_until(check, seconds=10):
     async with asyncio.timeout(seconds):
         while not await check():
             await asyncio.sleep(0.05)
 
 
-async def gone_from(fleet, host, watcher):
+async def wait_until_removed(fleet, host, watcher):
     async def check():
         status = await fleet.get(fleet.nodes[watcher].administration, "/v1/status")
         return all(each["host"] != host for each in status["nodes"])
 
-    await until(check)
+    await wait_until(check)
 
 
 def test_a_retry_joins_through_another_host_while_it_runs_and_after_it_has_finished():
     async def check(fleet, caller):
         one, other = fleet.nodes["n1"].address, fleet.nodes["n2"].address
         token = await caller.take_token(one)
-        first = asyncio.create_task(caller.complete(one, body(30), Chalkyoke_Token=token))
-        await until(lambda: seen(fleet))
-        second = await caller.complete(other, body(30), Chalkyoke_Token=token)
-        third = await caller.complete(other, body(30), Chalkyoke_Token=token)
+        first = asyncio.create_task(
+            caller.complete(one, completion_body(30), Chalkyoke_Token=token)
+        )
+        await wait_until(lambda: received_counts(fleet))
+        second = await caller.complete(other, completion_body(30), Chalkyoke_Token=token)
+        third = await caller.complete(other, completion_body(30), Chalkyoke_Token=token)
         assert (await first).told is second.told is third.told is Told.WHOLE
         assert (await first).body == second.body == third.body
-        assert list((await seen(fleet)).values()) == [1]
+        assert list((await received_counts(fleet)).values()) == [1]
 
     with_fleet(check)
 
@@ -120,7 +122,7 @@
         call = caller.call(fleet.nodes["n1"].address, "seats", b"{}", Chalkyoke_Token=token)
         await fleet.set_faults(fleet.upstreams["p1"], latency_s=1.0)
         first = asyncio.create_task(call)
-        await until(lambda: seen(fleet))
+        await wait_until(lambda: received_counts(fleet))
         fleet.nodes["n1"].send(signal.SIGKILL)
         assert (await first).told is Told.NOTHING
         for each in (token, unspent):
@@ -129,10 +131,10 @@
             )
             assert reply.told is Told.UNKNOWN
         fleet.start_node("n1")
-        await until(lambda: is_ready(fleet, "n1"))
+        await wait_until(lambda: is_ready(fleet, "n1"))
         reply = await caller.call(fleet.nodes["n1"].address, "seats", b"{}", Chalkyoke_Token=token)
         assert (reply.told, reply.reason) == (Told.UNKNOWN, "issuer_gone")
-        assert list((await seen(fleet)).values()) == [1]
+        assert list((await received_counts(fleet)).values()) == [1]
 
     with_fleet(check)
 
@@ -151,16 +153,16 @@
         first = asyncio.create_task(
             caller.call(fleet.nodes["n1"].address, "seats", b"{}", Chalkyoke_Token=token)
         )
-        await until(lambda: seen(fleet))
+        await wait_until(lambda: received_counts(fleet))
         fleet.nodes["n1"].send(signal.SIGSTOP)
-        await gone_from(fleet, "n1", "n2")
+        await wait_until_removed(fleet, "n1", "n2")
         reply = await caller.call(fleet.nodes["n2"].address, "seats", b"{}", Chalkyoke_Token=token)
         assert reply.told is Told.UNKNOWN
         fleet.nodes["n1"].send(signal.SIGCONT)
         assert (await first).told is Told.WHOLE
         reply = await caller.call(fleet.nodes["n2"].address, "seats", b"{}", Chalkyoke_Token=token)
         assert reply.told is Told.WHOLE
-        assert list((await seen(fleet)).values()) == [1]
+        assert list((await received_counts(fleet)).values()) == [1]
 
     with_fleet(check)
 
@@ -179,14 +181,14 @@
         owner = status["pools"]["model"]
         entry = next(host for host in fleet.nodes if host != owner)
         calls = [
-            asyncio.create_task(caller.complete(fleet.nodes[entry].address, body(40)))
+            asyncio.create_task(caller.complete(fleet.nodes[entry].address, completion_body(40)))
             for _ in range(10)
         ]
         await asyncio.sleep(0.4)
         fleet.nodes[owner].send(signal.SIGKILL)
         replies = await asyncio.gather(*calls)
         assert [each.told for each in replies] == [Told.WHOLE] * 10
-        assert set((await seen(fleet)).values()) == {1}
+        assert set((await received_counts(fleet)).values()) == {1}
 
     with_fleet(check)
 
@@ -201,7 +203,7 @@
                 fleet.nodes[host].address, "seats", b"{}", Chalkyoke_Token=token
             )
             assert reply.told is Told.UNKNOWN
-        assert list((await seen(fleet)).values()) == [1]
+        assert list((await received_counts(fleet)).values()) == [1]
 
     with_fleet(check)
 
@@ -211,15 +213,15 @@
         address = fleet.nodes["n1"].address
         for name in ("e0", "e1"):
             await fleet.set_faults(fleet.upstreams[name], cut_streams=1)
-        reply = await caller.complete(address, body(30))
+        reply = await caller.complete(address, completion_body(30))
         assert reply.told is Told.WHOLE
         assert reply.body.count(b"\n\n") == 32
         for name in ("e0", "e1"):
             await fleet.set_faults(fleet.upstreams[name], cut_streams=1, can_resume=False)
-        reply = await caller.complete(address, body(30))
+        reply = await caller.complete(address, completion_body(30))
         assert (reply.told, reply.reason) == (Told.FAILED, "cut_short")
         assert not reply.body.endswith(b"[DONE]\n\n")
-        assert set((await seen(fleet)).values()) == {1}
+        assert set((await received_counts(fleet)).values()) == {1}
 
     with_fleet(check)
 
@@ -229,11 +231,14 @@
         node = fleet.nodes["n1"]
         unspent = await caller.take_token(node.address)
         # Two engines have two slots each, so the fifth and sixth request wait in the queue.
-        calls = [asyncio.create_task(caller.complete(node.address, body(60))) for _ in range(6)]
-        await until(lambda: seen(fleet))
+        calls = [
+            asyncio.create_task(caller.complete(node.address, completion_body(60)))
+            for _ in range(6)
+        ]
+        await wait_until(lambda: received_counts(fleet))
         node.send(signal.SIGTERM)
         await asyncio.sleep(0.2)
-        refused = await caller.complete(node.address, body(5))
+        refused = await caller.complete(node.address, completion_body(5))
         assert (refused.told, refused.reason) == (Told.NOT_RUN, "stopping")
         replies = await asyncio.gather(*calls)
         assert [each.told for each in replies] == [Told.WHOLE] * 6
@@ -241,9 +246,11 @@
             while node.popen.poll() is None:
                 await asyncio.sleep(0.05)
         assert node.popen.returncode == 0
-        reply = await caller.complete(fleet.nodes["n2"].address, body(5), Chalkyoke_Token=unspent)
+        reply = await caller.complete(
+            fleet.nodes["n2"].address, completion_body(5), Chalkyoke_Token=unspent
+        )
         assert reply.told is Told.UNKNOWN
-        assert len(await seen(fleet)) == 6
+        assert len(await received_counts(fleet)) == 6
 
     with_fleet(check)
 
@@ -256,8 +263,10 @@
         fleet.nodes["n3"].send(signal.SIGKILL)
         fleet.nodes["n3"].popen.wait()
         fleet.start_node("n3")
-        await until(lambda: is_ready(fleet, "n3"))
-        assert (await caller.complete(fleet.nodes["n3"].address, body(5))).told is Told.WHOLE
+        await wait_until(lambda: is_ready(fleet, "n3"))
+        assert (
+            await caller.complete(fleet.nodes["n3"].address, completion_body(5))
+        ).told is Told.WHOLE
         await fleet.set_faults(fleet.store, outage=False)
         changed = {"team": [{**RESOURCES["team"][0], "weight": 3}]}
         status, answer = await fleet.apply(changed, change_id="after")
@@ -267,7 +276,7 @@
             found = [await fleet.get(n.administration, "/v1/ready") for n in fleet.nodes.values()]
             return all(each["revision"] == 2 for each in found)
 
-        await until(everywhere)
+        await wait_until(everywhere)
 
     with_fleet(check)
 
@@ -287,13 +296,13 @@
             except aiohttp.ClientError:
                 return False
 
-        await until(is_up, 20)
+        await wait_until(is_up, 20)
         assert not await is_ready(fleet, "n1")
-        reply = await caller.complete(node.address, body(5))
+        reply = await caller.complete(node.address, completion_body(5))
         assert (reply.told, reply.reason) == (Told.NOT_RUN, "not_ready")
         await fleet.set_faults(fleet.store, outage=False)
-        await until(lambda: is_ready(fleet, "n1"), 20)
-        assert (await caller.complete(node.address, body(5))).told is Told.WHOLE
+        await wait_until(lambda: is_ready(fleet, "n1"), 20)
+        assert (await caller.complete(node.address, completion_body(5))).told is Told.WHOLE
 
     with_fleet(check)
 
@@ -319,15 +328,17 @@
     async def check(fleet, caller):
         address = fleet.nodes["n1"].address
         await fleet.change_host(id="e0", state="leaving")
-        await until(lambda: is_known_leaving(fleet, "e0"))
+        await wait_until(lambda: is_known_leaving(fleet, "e0"))
         before = (await fleet.counts())["e0"]["requests"]
-        await asyncio.gather(*(caller.complete(address, body(5)) for _ in range(6)))
+        await asyncio.gather(*(caller.complete(address, completion_body(5)) for _ in range(6)))
         assert (await fleet.counts())["e0"]["requests"] == before
         await fleet.change_host(id="e0", state="live")
         await fleet.set_faults(fleet.upstreams["e1"], draining=True)
-        await until(lambda: is_known_leaving(fleet, "e1"))
+        await wait_until(lambda: is_known_leaving(fleet, "e1"))
         before = (await fleet.counts())["e1"]["requests"]
-        replies = await asyncio.gather(*(caller.complete(address, body(5)) for _ in range(6)))
+        replies = await asyncio.gather(
+            *(caller.complete(address, completion_body(5)) for _ in range(6))
+        )
         assert [each.told for each in replies] == [Told.WHOLE] * 6
         assert (await fleet.counts())["e1"]["requests"] == before
 
@@ -339,7 +350,7 @@
         fleet.upstreams["e0"].send(signal.SIGKILL)
         fleet.upstreams["e0"].popen.wait()
         replies = await asyncio.gather(
-            *(caller.complete(fleet.nodes["n2"].address, body(5)) for _ in range(4))
+            *(caller.complete(fleet.nodes["n2"].address, completion_body(5)) for _ in range(4))
         )
         assert [each.told for each in replies] == [Told.WHOLE] * 4
 
@@ -353,12 +364,12 @@
             (404, "service", {"model": "nothing", "prompt": "x"}, {}),
             (400, "body.prompt", {"model": "model"}, {}),
             (400, "body.max_tokens", {"model": "model", "prompt": "x", "max_tokens": 0}, {}),
-            (400, "Chalkyoke-Deadline-Ms", body(5), {"Chalkyoke_Deadline_Ms": "-5"}),
-            (403, "Chalkyoke-Tier", body(5), {"Chalkyoke_Tier": "royal"}),
-            (400, "Chalkyoke-Token", body(5), {"Chalkyoke_Token": "ck1_junk"}),
-            (400, "Chalkyoke-Labels", body(5), {"Chalkyoke_Labels": "nothing"}),
-            (401, "Authorization", body(5), {"Authorization": "Bearer wrong"}),
-            (413, "body", {**body(5), "prompt": "x" * 2_000_000}, {}),
+            (400, "Chalkyoke-Deadline-Ms", completion_body(5), {"Chalkyoke_Deadline_Ms": "-5"}),
+            (403, "Chalkyoke-Tier", completion_body(5), {"Chalkyoke_Tier": "royal"}),
+            (400, "Chalkyoke-Token", completion_body(5), {"Chalkyoke_Token": "ck1_junk"}),
+            (400, "Chalkyoke-Labels", completion_body(5), {"Chalkyoke_Labels": "nothing"}),
+            (401, "Authorization", completion_body(5), {"Authorization": "Bearer wrong"}),
+            (413, "body", {**completion_body(5), "prompt": "x" * 2_000_000}, {}),
         ]
         for status, field, sent, headers in cases:
             reply = await caller.complete(address, sent, **headers)
@@ -367,7 +378,7 @@
         assert (broken.status, broken.json()["field"]) == (400, "body")
         keyed = await caller.call(address, "seats", b"{}", Idempotency_Key="mine")
         assert (keyed.status, keyed.json()["field"]) == (400, "Idempotency-Key")
-        assert await seen(fleet) == {}
+        assert await received_counts(fleet) == {}
 
     with_fleet(check)
 
@@ -375,10 +386,14 @@
 def test_a_token_serves_one_request_only():
     async def check(fleet, caller):
         token = await caller.take_token(fleet.nodes["n1"].address)
-        first = await caller.complete(fleet.nodes["n1"].address, body(5), Chalkyoke_Token=token)
+        first = await caller.complete(
+            fleet.nodes["n1"].address, completion_body(5), Chalkyoke_Token=token
+        )
         assert first.told is Told.WHOLE
         for host in ("n1", "n2"):
-            other = await caller.complete(fleet.nodes[host].address, body(6), Chalkyoke_Token=token)
+            other = await caller.complete(
+                fleet.nodes[host].address, completion_body(6), Chalkyoke_Token=token
+            )
             assert (other.status, other.json()["field"]) == (422, "Chalkyoke-Token")
 
     with_fleet(check)
@@ -386,13 +401,13 @@
 
 def test_a_whole_answer_has_the_usual_form():
     async def check(fleet, caller):
-        reply = await caller.complete(fleet.nodes["n3"].address, body(4, stream=False))
+        reply = await caller.complete(fleet.nodes["n3"].address, completion_body(4, stream=False))
         answer = reply.json()
         assert answer["choices"][0]["text"] == "w0 w1 w2 w3 "
         assert answer["usage"]["completion_tokens"] == 4
         form = "application/x-www-form-urlencoded"
         again = await caller.complete(
-            fleet.nodes["n3"].address, body(4, stream=False), Content_Type=form
+            fleet.nodes["n3"].address, completion_body(4, stream=False), Content_Type=form
         )
         assert again.json()["choices"] == answer["choices"]
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -9,23 +9,23 @@
 from chalkyoke.exceptions import InvariantBroken
 
 from tests import planted_faults
-from tests.world import play
+from tests.world import run_seed
 
 SEEDS = range(6)
 PLANT_SEEDS = range(12)
 
-BROKEN = (AssertionError, InvariantBroken)
+VIOLATIONS = (AssertionError, InvariantBroken)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_guarantees_hold_under_kills_partitions_freezes_and_planned_stops(seed):
-    steps = play(seed)
+    steps = run_seed(seed)
     assert steps["whole"] > 40
     assert steps["forwarded"] > 20
 
 
 def test_without_faults_every_answer_is_complete():
-    steps = play(1, chaos=0.0, seconds=40)
+    steps = run_seed(1, chaos=0.0, seconds=40)
     assert steps["whole"] > 100
 
 
@@ -45,7 +45,7 @@
 )
 def test_the_checks_detect_planted_faults(plant, monkeypatch):
     plant(monkeypatch)
-    with pytest.raises(BROKEN) as red:
+    with pytest.raises(VIOLATIONS) as red:
         for seed in PLANT_SEEDS:
-            play(seed)
+            run_seed(seed)
     print(f"{plant.__name__}: seed {seed}: {red.value}")
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -22,10 +22,10 @@
 
 from tests import virtual
 
-LINK_S = 0.001
-MAX_FULL_MESH_DOMAIN = 8
-MONITORS = 3
-CRASHING = b"crashing----"
+LINK_DELAY_S = 0.001
+MAX_FULL_MESH_NODES = 8
+MONITORS_PER_DOMAIN = 3
+CRASHING_REQUEST = b"crashing----"
 SPREAD_S = 3.0
 
 
@@ -44,8 +44,8 @@
     def broadcast_targets(self):
         direct, relays = [], []
         for domain in self._fleet.domains:
-            first = domain[:MONITORS]
-            if len(domain) <= MAX_FULL_MESH_DOMAIN or self._number in first:
+            first = domain[:MONITORS_PER_DOMAIN]
+            if len(domain) <= MAX_FULL_MESH_NODES or self._number in first:
                 direct += [each for each in domain if each != self._number]
             else:
                 relays += first
@@ -63,8 +63,8 @@
         self._fleet = fleet
 
     async def open(self, ip, port, *, limit, timeout_s):
-        await asyncio.sleep(LINK_S)
-        return ConnectFailure.REFUSED if ip in self._fleet.ended else object()
+        await asyncio.sleep(LINK_DELAY_S)
+        return ConnectFailure.REFUSED if ip in self._fleet.crashed_ips else object()
 
     def give_back(self, ip, port, connection):
         pass
@@ -76,11 +76,11 @@
     def __init__(self, nodes, domains, replicas, seed):
         self.random = random.Random(seed)
         self.domains = [list(range(each, nodes, domains)) for each in range(domains)]
-        self.ended = set()
+        self.crashed_ips = set()
         self.messages = Counter()
         self.cut = set()
         self._starts = 0
-        self.replicas = [self._start() for _ in range(replicas)]
+        self.replicas = [self._start_replica() for _ in range(replicas)]
         self.running = {each.id: {} for each in self.replicas}
         loop = asyncio.get_running_loop()
         self.nodes = [
@@ -97,7 +97,7 @@
             for number in range(nodes)
         ]
 
-    def _start(self):
+    def _start_replica(self):
         self._starts += 1
         name = f"r{self._starts}/1"
         return SimpleNamespace(id=name, ip=name, port=1)
@@ -107,7 +107,7 @@
         if (source in self.cut) != (target in self.cut):
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(LINK_S, lambda: self.nodes[target].receive(source, message))
+        loop.call_later(LINK_DELAY_S, lambda: self.nodes[target].receive(source, message))
 
     def run(self, request, *, node=None):
         """Send a request to a random live replica; return None if the node holds it back."""
@@ -125,12 +125,12 @@
             return True
         return False
 
-    def end(self, replica):
+    def crash(self, replica):
         """Crash a replica and all its runs, start another in its place, and return the runs."""
         now = asyncio.get_running_loop().time()
-        self.ended.add(replica.ip)
+        self.crashed_ips.add(replica.ip)
         runs = self.running.pop(replica.id)
-        self.replicas[self.replicas.index(replica)] = new = self._start()
+        self.replicas[self.replicas.index(replica)] = new = self._start_replica()
         self.running[new.id] = {}
         service = SimpleNamespace(service=SimpleNamespace(max_connections=100))
         for (request, node), at in runs.items():
@@ -146,7 +146,7 @@
             node.tick()
 
 
-def play(check, nodes, domains, replicas, seed=1):
+def run_check(check, nodes, domains, replicas, seed=1):
     async def main():
         await check(Fleet(nodes, domains, replicas, seed))
 
@@ -160,7 +160,7 @@
     until = loop.time() + seconds
     names = (b"%012d" % number for number in range(1_000_000))
 
-    async def one(name):
+    async def send_until_delivered(name):
         work_s = fleet.random.choice((0.1, 0.3, 1.0, 3.0))
         for _ in range(tries):
             node = fleet.random.randrange(len(fleet.nodes))
@@ -175,7 +175,7 @@
 
     asked = []
     while loop.time() < until:
-        asked.append(asyncio.ensure_future(one(next(names))))
+        asked.append(asyncio.ensure_future(send_until_delivered(next(names))))
         await asyncio.sleep(1 / per_s)
     await asyncio.gather(*asked)
 
@@ -183,31 +183,33 @@
 @pytest.mark.parametrize("nodes, domains, replicas", [(9, 3, 5), (80, 4, 18), (300, 7, 60)])
 def test_all_nodes_hold_a_request_back_at_once_with_bounded_messages(nodes, domains, replicas):
     async def check(fleet):
-        usual = asyncio.ensure_future(run_unique_requests(fleet, 8.0, per_s=20))
+        unique_requests = asyncio.ensure_future(run_unique_requests(fleet, 8.0, per_s=20))
         loop = asyncio.get_running_loop()
         sends, third = [], None
         for _ in range(27):
-            replica = fleet.run(CRASHING)
+            replica = fleet.run(CRASHING_REQUEST)
             if replica is not None:
                 sends.append(loop.time())
                 await asyncio.sleep(0.1)
                 if replica.id in fleet.running:
-                    fleet.end(replica)
+                    fleet.crash(replica)
                 if len(sends) == 3:
                     third = loop.time()
                     await asyncio.sleep(0.02)
-                    holding_nodes = sum(node.is_held(lambda: CRASHING) for node in fleet.nodes)
+                    holding_nodes = sum(
+                        node.is_held(lambda: CRASHING_REQUEST) for node in fleet.nodes
+                    )
                     assert holding_nodes == nodes
             await asyncio.sleep(0.2)
         end_reports = fleet.messages["ReplicaEnded"]
-        await usual
+        await unique_requests
         assert len([at for at in sends if at > third + SPREAD_S]) == 0
-        assert fleet.held() == {CRASHING}
+        assert fleet.held() == {CRASHING_REQUEST}
         # Each node with a run on the replica reports to all others: at most seven reports to the
         # fleet per crash.
         assert end_reports <= 3 * 7 * 1.2 * nodes + 100
 
-    play(check, nodes, domains, replicas)
+    run_check(check, nodes, domains, replicas)
 
 
 def test_both_sides_of_a_partition_agree_soon_after_it_heals():
@@ -216,79 +218,79 @@
         fleet.cut = set(fleet.domains[0])
         inside = fleet.domains[0][0]
         for _ in range(3):
-            replica = fleet.run(CRASHING, node=inside)
+            replica = fleet.run(CRASHING_REQUEST, node=inside)
             await asyncio.sleep(0.1)
-            fleet.end(replica)
+            fleet.crash(replica)
             await asyncio.sleep(0.2)
-        assert sum(node.is_held(lambda: CRASHING) for node in fleet.nodes) == len(fleet.cut)
+        assert sum(node.is_held(lambda: CRASHING_REQUEST) for node in fleet.nodes) == len(fleet.cut)
         fleet.cut = set()
         healed = loop.time()
-        while not all(node.is_held(lambda: CRASHING) for node in fleet.nodes):
+        while not all(node.is_held(lambda: CRASHING_REQUEST) for node in fleet.nodes):
             fleet.tick()
             await asyncio.sleep(1.0)
             assert loop.time() < healed + SPREAD_S
 
-    play(check, 80, 4, 18)
+    run_check(check, 80, 4, 18)
 
 
-async def end_half_at_once(fleet):
+async def crash_half_at_once(fleet):
     """Crash half of the replicas simultaneously, twice."""
     for _ in range(2):
         for replica in list(fleet.replicas)[: len(fleet.replicas) // 2]:
-            fleet.end(replica)
+            fleet.crash(replica)
         await asyncio.sleep(2.0)
 
 
-async def end_in_turn(fleet):
+async def crash_in_turn(fleet):
     """Crash all replicas one after the other, every 0.2 s."""
     for replica in list(fleet.replicas):
-        fleet.end(replica)
+        fleet.crash(replica)
         await asyncio.sleep(0.2)
 
 
-async def end_bad_release(fleet):
+async def crash_bad_release(fleet):
     """Crash a third of the replicas about 5 s after each start, for 10 s, as a bad release does."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
     bad = max(1, len(fleet.replicas) // 3)
     while loop.time() < until:
         await asyncio.sleep(fleet.random.expovariate(bad / 5.0))
-        fleet.end(fleet.replicas[fleet.random.randrange(bad)])
+        fleet.crash(fleet.replicas[fleet.random.randrange(bad)])
 
 
-async def end_at_random(fleet):
+async def crash_at_random(fleet):
     """Crash random replicas four times per second for 10 s."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
     while loop.time() < until:
         await asyncio.sleep(fleet.random.expovariate(4.0))
-        fleet.end(fleet.random.choice(fleet.replicas))
+        fleet.crash(fleet.random.choice(fleet.replicas))
 
 
 def count_innocents_held(ending, seed, replicas=6):
     found = []
 
     async def check(fleet):
-        work = asyncio.ensure_future(run_unique_requests(fleet, 10.0, per_s=15))
+        callers = asyncio.ensure_future(run_unique_requests(fleet, 10.0, per_s=15))
         await asyncio.sleep(1.0)
         await ending(fleet)
-        await work
+        await callers
         found.append(len(fleet.held()))
 
-    play(check, 9, 3, replicas, seed=seed)
+    run_check(check, 9, 3, replicas, seed=seed)
     return found[0]
 
 
-@pytest.mark.parametrize("ending", [end_half_at_once, end_in_turn, end_bad_release])
+@pytest.mark.parametrize("ending", [crash_half_at_once, crash_in_turn, crash_bad_release])
 def test_replicas_that_crash_on_their_own_hold_no_request_back(ending):
     assert [count_innocents_held(ending, seed) for seed in range(10)] == [0] * 10
 
 
 def test_frequent_crashes_in_a_pool_of_twenty_hold_no_request_back():
-    assert [count_innocents_held(end_at_random, seed, 20) for seed in range(20)] == [0] * 20
+    assert [count_innocents_held(crash_at_random, seed, 20) for seed in range(20)] == [0] * 20
 
 
-SECOND_CRASHING = b"d" * 12
+SECOND_CRASHING_REQUEST = b"d" * 12
 
 
 async def run_popular_requests(fleet, seconds, kinds=4, per_s=20):
@@ -296,7 +298,7 @@
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
 
-    async def one(name):
+    async def send_until_delivered(name):
         for _ in range(2):
             node = fleet.random.randrange(len(fleet.nodes))
             replica = fleet.run(name, node=node)
@@ -308,7 +310,9 @@
 
     asked = []
     while loop.time() < until:
-        asked.append(asyncio.ensure_future(one(b"kind%08d" % fleet.random.randrange(kinds))))
+        asked.append(
+            asyncio.ensure_future(send_until_delivered(b"kind%08d" % fleet.random.randrange(kinds)))
+        )
         await asyncio.sleep(1 / per_s)
     await asyncio.gather(*asked)
 
@@ -324,7 +328,7 @@
             sends += 1
             await asyncio.sleep(0.05)
             if replica.id in fleet.running:
-                fleet.end(replica)
+                fleet.crash(replica)
         await asyncio.sleep(0.3)
     return sends
 
@@ -334,16 +338,17 @@
     found = []
 
     async def check(fleet):
-        work = asyncio.ensure_future(run_popular_requests(fleet, 14.0))
+        callers = asyncio.ensure_future(run_popular_requests(fleet, 14.0))
         await asyncio.sleep(2.0)
         crashing = (
-            send_crashing_repeatedly(fleet, each, 9.0) for each in (CRASHING, SECOND_CRASHING)
+            send_crashing_repeatedly(fleet, each, 9.0)
+            for each in (CRASHING_REQUEST, SECOND_CRASHING_REQUEST)
         )
         sends = await asyncio.gather(*crashing)
-        await work
+        await callers
         found.append((fleet.held(), max(sends)))
 
     for seed in range(20):
-        play(check, 3, 3, 3, seed=seed)
-    assert all(held == {CRASHING, SECOND_CRASHING} for held, _ in found), found
+        run_check(check, 3, 3, 3, seed=seed)
+    assert all(held == {CRASHING_REQUEST, SECOND_CRASHING_REQUEST} for held, _ in found), found
     assert max(sends for _, sends in found) <= 5
--- a/tests/test_resting_upstreams.py
+++ b/tests/test_resting_upstreams.py
@@ -2,7 +2,7 @@
 tests.test_resting_upstreams
 
 Guards against a process of the completions API that keeps sending requests to an upstream that has
-declined one and asked for a rest time, when the rest time reaches only the caller.
+declined one and requested a rest time, when the rest time reaches only the caller.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 from tests.world import World
 
 REST_S = 10.0
-PLAYED_S = 12.0
+DURATION_S = 12.0
 
 
-async def play_requests(world):
+async def send_requests(world):
     """Send 80 requests per second, to each process in turn."""
     calls = []
-    for number in range(int(PLAYED_S * 80)):
+    for number in range(int(DURATION_S * 80)):
         request = world.make_request(number, False)
         node = world.nodes[f"h{number % 6}"]
         calls.append(asyncio.ensure_future(world.send(node, request, None, "")))
@@ -42,7 +42,7 @@
         resting = [world.upstreams[name] for name in ("e0", "e1", "e2", "e3", "p0", "p1")]
         for upstream in resting:
             upstream.rest_s = REST_S
-        await play_requests(world)
+        await send_requests(world)
         return resting
 
     resting = run(main)
--- a/tests/test_restored_spread.py
+++ b/tests/test_restored_spread.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from tests.catalogfleet import Fleet, play
+from tests.catalogfleet import Fleet, run_in_virtual_time
 
-SIZES = {
+DOMAIN_SIZES = {
     7: {"a": 3, "b": 2, "c": 2},
     24: dict.fromkeys("abcd", 6),
     80: dict.fromkeys("abcde", 16),
@@ -67,19 +67,19 @@
     store.restore(snapshot)
 
 
-def play_scenario(nodes, scenario):
+def run_scenario(nodes, scenario):
     async def main():
-        fleet = Fleet(SIZES[nodes], replicas=4 * nodes)
+        fleet = Fleet(DOMAIN_SIZES[nodes], replicas=4 * nodes)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
         return await scenario(fleet)
 
-    return play(main)
+    return run_in_virtual_time(main)
 
 
 # Guards against nodes that keep what a restored store has lost, and against full snapshots to all
 # nodes.
-@pytest.mark.parametrize("nodes", SIZES)
+@pytest.mark.parametrize("nodes", DOMAIN_SIZES)
 def test_all_nodes_agree_soon_after_a_restore(nodes):
     async def scenario(fleet):
         await lose_recent_changes(fleet)
@@ -89,7 +89,7 @@
         again_s = await seconds_until_agreed(fleet)
         return restored_s, again_s, set(fleet.network.bytes_by_kind)
 
-    restored_s, again_s, kinds = play_scenario(nodes, scenario)
+    restored_s, again_s, kinds = run_scenario(nodes, scenario)
     assert restored_s < CONVERGED_S and again_s < CONVERGED_S, (restored_s, again_s)
     assert "ReplicasSnapshot" not in kinds
 
@@ -105,7 +105,7 @@
         await lose_recent_changes(fleet, refuse_domain)
         return await seconds_until_agreed(fleet)
 
-    assert play_scenario(24, scenario) < CONVERGED_BY_PEERS_S
+    assert run_scenario(24, scenario) < CONVERGED_BY_PEERS_S
 
 
 # Guards against a second restore that nodes mistake for the first one.
@@ -116,6 +116,6 @@
         await lose_recent_changes(fleet)
         return await seconds_until_agreed(fleet), {node.state.epoch for node in fleet.nodes}
 
-    agreed_s, epochs = play_scenario(24, scenario)
+    agreed_s, epochs = run_scenario(24, scenario)
     assert agreed_s < CONVERGED_BY_PEERS_S
     assert epochs == {3}
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -11,7 +11,7 @@
 import pytest
 from chalkyoke_fakes.platformfleet import default_configuration
 
-from tests.gatewayfleet import play
+from tests.gatewayfleet import run_check
 from tests.test_leaving_and_rest import replicas_of_path, run_callers, served_share
 
 PATHS = ("/chat/1", "/find/1")
@@ -23,7 +23,7 @@
 LEAVING_GRACE_S = 2.0
 # Seconds after the store's return within which all nodes follow it again.
 CONVERGED_S = 1.0
-PLAYED_S = 5.0
+DURATION_S = 5.0
 # Seconds after which the platform removes the record of a silent replica: three heartbeats.
 RECORD_TIMEOUT_S = 3.6
 
@@ -82,14 +82,14 @@
 async def run_scenario_with_callers(fleet, path, scenario):
     """Run callers during a scenario and for some seconds after it."""
     callers = asyncio.ensure_future(
-        run_callers(fleet, path, SNAPSHOT_AGE_S + OUTAGE_S + PLAYED_S + 6.0)
+        run_callers(fleet, path, SNAPSHOT_AGE_S + OUTAGE_S + DURATION_S + 6.0)
     )
     await asyncio.sleep(1.0)
     result = await scenario()
     return result, await callers
 
 
-def play_scenario_on_path(path, scenario):
+def run_scenario_on_path(path, scenario):
     """Play a scenario on a fleet with running callers.
 
     :return: the result of the scenario, and the share of callers that were served.
@@ -102,20 +102,20 @@
         )
         outcomes.append((result, served_share(got)))
 
-    play(check)
+    run_check(check)
     return outcomes[0]
 
 
 def assert_gets_no_requests(path, scenario):
     """Assert that a replica got no late requests, and that other replicas served the callers."""
-    late, served = play_scenario_on_path(path, scenario)
+    late, served = run_scenario_on_path(path, scenario)
     assert late == 0, late
     assert served > 0.99, served
 
 
 def assert_gets_requests(path, scenario):
     """Assert that a replica soon got its first request, and that callers were served."""
-    first, served = play_scenario_on_path(path, scenario)
+    first, served = run_scenario_on_path(path, scenario)
     assert first is not None and first < CONVERGED_S, first
     assert served > 0.99, served
 
@@ -127,12 +127,12 @@
         await asyncio.sleep(CONVERGED_S)
         await replicas[0].declare("draining")
         since = now()
-        for _ in range(int(PLAYED_S)):
+        for _ in range(int(DURATION_S)):
             await asyncio.sleep(1.0)
             operator.configure()
         return count_late_sends(replicas[0], since)
 
-    results = {path: play_scenario_on_path(path, scenario) for path in PATHS}
+    results = {path: run_scenario_on_path(path, scenario) for path in PATHS}
     assert all(late == 0 and served > 0.99 for late, served in results.values()), results
 
 
@@ -144,7 +144,7 @@
         await asyncio.sleep(CONVERGED_S)
         fleet.store.remove(f"servers/{replicas[0].id}")
         since = now()
-        await asyncio.sleep(PLAYED_S)
+        await asyncio.sleep(DURATION_S)
         return count_late_sends(replicas[0], since)
 
     assert_gets_no_requests(path, scenario)
@@ -155,15 +155,15 @@
 @pytest.mark.parametrize("path", PATHS)
 def test_a_replica_that_left_in_the_lost_seconds_gets_no_requests(path):
     async def scenario(fleet, replicas):
-        async def leave():
+        async def start_leaving():
             await replicas[0].declare("draining")
-            leave.at = now()
+            start_leaving.at = now()
 
-        await restore(fleet, leave)
+        await restore(fleet, start_leaving)
         await asyncio.sleep(CONVERGED_S)
         await replicas[0].declare("draining")
-        await asyncio.sleep(PLAYED_S)
-        return count_late_sends(replicas[0], leave.at)
+        await asyncio.sleep(DURATION_S)
+        return count_late_sends(replicas[0], start_leaving.at)
 
     assert_gets_no_requests(path, scenario)
 
@@ -174,15 +174,15 @@
     async def scenario(fleet, replicas):
         key = f"servers/{replicas[0].id}"
 
-        async def go():
+        async def remove_record():
             fleet.store.remove(key)
-            go.at = now()
+            remove_record.at = now()
 
-        await restore(fleet, go)
+        await restore(fleet, remove_record)
         await asyncio.sleep(RECORD_TIMEOUT_S)
         fleet.store.remove(key)
-        await asyncio.sleep(PLAYED_S - RECORD_TIMEOUT_S)
-        return count_late_sends(replicas[0], go.at)
+        await asyncio.sleep(DURATION_S - RECORD_TIMEOUT_S)
+        return count_late_sends(replicas[0], remove_record.at)
 
     assert_gets_no_requests(path, scenario)
 
@@ -196,7 +196,7 @@
         service = replicas[0].service
         new = await fleet.add_replica("new", service, "a", service == "model")
         since = now()
-        await asyncio.sleep(PLAYED_S)
+        await asyncio.sleep(DURATION_S)
         return new.seen[0].at - since if new.seen else None
 
     assert_gets_requests(path, scenario)
@@ -206,15 +206,15 @@
 @pytest.mark.parametrize("path", PATHS)
 def test_a_replica_that_restarts_after_a_restore_gets_requests(path):
     async def scenario(fleet, replicas):
-        async def leave():
+        async def start_leaving():
             await replicas[0].declare("draining")
 
-        await restore(fleet, leave)
+        await restore(fleet, start_leaving)
         await asyncio.sleep(CONVERGED_S)
         replicas[0].born += 1000
         await replicas[0].declare("ready")
         since = now()
-        await asyncio.sleep(PLAYED_S)
+        await asyncio.sleep(DURATION_S)
         return seconds_until_first_request(replicas[0], since)
 
     assert_gets_requests(path, scenario)
@@ -223,15 +223,15 @@
 # Guards against a live replica that only the snapshot lists and that never gets requests again.
 def test_a_live_replica_whose_record_expired_gets_requests_again():
     async def scenario(fleet, replicas):
-        async def lapse():
+        async def expire_record():
             fleet.store.remove(f"servers/{replicas[0].id}")
 
-        await restore(fleet, lapse)
+        await restore(fleet, expire_record)
         since = now()
-        await asyncio.sleep(2 * PLAYED_S)
+        await asyncio.sleep(2 * DURATION_S)
         return seconds_until_first_request(replicas[0], since)
 
-    first, _ = play_scenario_on_path("/find/1", scenario)
+    first, _ = run_scenario_on_path("/find/1", scenario)
     assert first is not None and RECORD_TIMEOUT_S < first < 2 * RECORD_TIMEOUT_S, first
 
 
@@ -245,13 +245,13 @@
         await asyncio.sleep(CONVERGED_S)
         await replicas[0].declare("draining")
         since = now()
-        await asyncio.sleep(PLAYED_S)
+        await asyncio.sleep(DURATION_S)
         states = [node.catalog.state for node in fleet.nodes]
         return count_late_sends(replicas[0], since), {
             (each.epoch, each.replicas_revision) for each in states
         }
 
-    (late, positions), _ = play_scenario_on_path("/find/1", scenario)
+    (late, positions), _ = run_scenario_on_path("/find/1", scenario)
     assert late == 0, late
     assert len(positions) == 1, positions
 
@@ -260,24 +260,24 @@
 # snapshot, which says that the replica is ready.
 def test_a_node_that_starts_after_a_restore_learns_who_left_in_the_lost_seconds():
     async def scenario(fleet, replicas):
-        async def leave():
+        async def start_leaving():
             await replicas[0].declare("draining")
-            leave.at = now()
+            start_leaving.at = now()
 
-        await restore(fleet, leave)
+        await restore(fleet, start_leaving)
         await asyncio.sleep(CONVERGED_S)
         for node in (1, 4):
             await fleet.kill_node(node)
             fleet.start_node(node, first_start=False)
-        await asyncio.sleep(PLAYED_S)
-        return count_late_sends(replicas[0], leave.at)
+        await asyncio.sleep(DURATION_S)
+        return count_late_sends(replicas[0], start_leaving.at)
 
-    late, _ = play_scenario_on_path("/find/1", scenario)
+    late, _ = run_scenario_on_path("/find/1", scenario)
     assert late == 0, late
 
 
 ORDER_KEY, STATUS_KEY = "op/rollout/model", "status/rollout/model"
-ORDER = json.dumps({"to-version": "v2", "over-s": 30.0}).encode()
+ROLLOUT_ORDER = json.dumps({"to-version": "v2", "over-s": 30.0}).encode()
 
 
 # Guards against a trial that begins anew, and a rollout status that is never written again, after a
@@ -289,22 +289,22 @@
             await each.declare("ready")
         await asyncio.sleep(1.0)
 
-        def shares():
+        def read_shares():
             return [node.rollouts._shares["model"] for node in fleet.nodes]
 
-        async def order():
-            fleet.store.put(ORDER_KEY, ORDER)
+        async def write_order():
+            fleet.store.put(ORDER_KEY, ROLLOUT_ORDER)
             await asyncio.sleep(2.0)
             assert STATUS_KEY in fleet.store.items
-            order.shares = shares()
+            write_order.shares = read_shares()
 
-        await restore(fleet, order)
+        await restore(fleet, write_order)
         assert STATUS_KEY not in fleet.store.items
         await asyncio.sleep(CONVERGED_S)
-        kept = shares() == order.shares
-        fleet.store.put(ORDER_KEY, ORDER)
+        shares_kept = read_shares() == write_order.shares
+        fleet.store.put(ORDER_KEY, ROLLOUT_ORDER)
         await asyncio.sleep(2.0)
-        return kept and shares() == order.shares, STATUS_KEY in fleet.store.items
+        return shares_kept and read_shares() == write_order.shares, STATUS_KEY in fleet.store.items
 
-    result, _ = play_scenario_on_path("/chat/1", scenario)
+    result, _ = run_scenario_on_path("/chat/1", scenario)
     assert result == (True, True)
--- a/tests/test_shared_address.py
+++ b/tests/test_shared_address.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.gatewayfleet import play
+from tests.gatewayfleet import run_check
 from tests.test_leaving_and_rest import (
     PATHS,
     WARM_UP_S,
@@ -20,7 +20,7 @@
     served_share,
 )
 
-PLAYED_S = 4.0
+DURATION_S = 4.0
 
 
 def write_stale_record(fleet, replica):
@@ -36,7 +36,7 @@
         write_stale_record(fleet, replicas[0])
         await asyncio.sleep(0.3)
         before = len(replicas[0].seen)
-        got = await run_callers(fleet, path, PLAYED_S)
+        got = await run_callers(fleet, path, DURATION_S)
         assert served_share(got) >= 0.99
         # The live replica gets its share of the requests.
         assert len(replicas[0].seen) - before > len(got) / 20 or path in ("/chat/1", "/explain/1")
@@ -44,4 +44,4 @@
         # for all nodes.
         assert 0 < replicas[0].misdirected <= 0.05 * len(got)
 
-    play(check)
+    run_check(check)
--- a/tests/test_shifted_load.py
+++ b/tests/test_shifted_load.py
@@ -10,8 +10,8 @@
     """Count the streams that are cut off at their deadline."""
     total = 0
     for seed in seeds:
-        played = ShiftedLoad(seed, load=load, features=features).play(14.0)
-        total += sum(each.cut for each in played.scores.values())
+        load_run = ShiftedLoad(seed, load=load, features=features).run_load(14.0)
+        total += sum(each.cut for each in load_run.scores.values())
     return total
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,17 +28,17 @@
 from chalkyoke_fakes.soak.relay import Relay
 
 STREAM = whole_stream()
-SHORT = Shape(seconds=8.0, per_s=6.0)
+SHORT_RUN = Shape(seconds=8.0, per_s=6.0)
 
 
-def asked(request, kind=Kind.ONCE, began=1.0, ended=1.2, status=200, body=None, whole=True):
+def make_asked(request, kind=Kind.ONCE, began=1.0, ended=1.2, status=200, body=None, whole=True):
     own = STREAM if kind.streams else f"s1 did {request}".encode()
     return Asked(
         request, kind, "n1", "t", began, ended, 8.0, status, own if body is None else body, whole
     )
 
 
-def ran(request, at=1.1, replica="s1"):
+def make_ran(request, at=1.1, replica="s1"):
     return Ran(request, replica, "seats", "t", at)
 
 
@@ -46,13 +46,13 @@
     """Build a run without violations that has observations for each checker."""
     seen = Observations(stream=STREAM)
     seen.asked = [
-        asked("a"),
-        asked("b", Kind.REPEATABLE),
-        asked("c", Kind.STREAM),
-        asked("d", Kind.STREAM, body=STREAM[:30], whole=False),
-        asked("e", status=503, body=b"no replica"),
+        make_asked("a"),
+        make_asked("b", Kind.REPEATABLE),
+        make_asked("c", Kind.STREAM),
+        make_asked("d", Kind.STREAM, body=STREAM[:30], whole=False),
+        make_asked("e", status=503, body=b"no replica"),
     ]
-    seen.ran = [ran("a"), ran("b"), ran("b", 1.15), ran("c"), ran("d")]
+    seen.ran = [make_ran("a"), make_ran("b"), make_ran("b", 1.15), make_ran("c"), make_ran("d")]
     seen.faults = [Span(Fault.NODE_KILL, "n2", 3.0, 4.0)]
     seen.drained = [Drained("s1", 30.0)]
     seen.versions = {"n1/1": [1, 3, 4], "n1/2": [4, 5]}
@@ -62,27 +62,27 @@
 
 
 def run_twice(seen):
-    seen.ran.append(ran("a", 1.3))
+    seen.ran.append(make_ran("a", 1.3))
 
 
 def run_a_refused_request(seen):
-    seen.ran.append(ran("e"))
+    seen.ran.append(make_ran("e"))
 
 
 def return_the_answer_of_another_request(seen):
-    seen.asked[0] = asked("a", body=b"s1 did x")
+    seen.asked[0] = make_asked("a", body=b"s1 did x")
 
 
 def end_a_truncated_stream_as_complete(seen):
-    seen.asked[3] = asked("d", Kind.STREAM, body=STREAM[:30])
+    seen.asked[3] = make_asked("d", Kind.STREAM, body=STREAM[:30])
 
 
 def join_two_runs_in_one_stream(seen):
-    seen.asked[3] = asked("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
+    seen.asked[3] = make_asked("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
 
 
 def run_an_unknown_request(seen):
-    seen.ran.append(ran("smuggled"))
+    seen.ran.append(make_ran("smuggled"))
 
 
 def revert_to_an_older_version(seen):
@@ -90,23 +90,23 @@
 
 
 def send_to_a_leaving_replica(seen):
-    seen.asked.append(asked("late", began=33.4, ended=33.6))
-    seen.ran.append(ran("late", 33.5))
+    seen.asked.append(make_asked("late", began=33.4, ended=33.6))
+    seen.ran.append(make_ran("late", 33.5))
 
 
 def answer_after_the_deadline(seen):
-    seen.asked.append(asked("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
+    seen.asked.append(make_asked("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
 
 
 def exceed_the_quota(seen):
     for number in range(6):
-        seen.asked.append(asked(f"q{number}"))
-        seen.ran.append(ran(f"q{number}"))
+        seen.asked.append(make_asked(f"q{number}"))
+        seen.ran.append(make_ran(f"q{number}"))
 
 
 def repeat_too_often(seen):
     for number in range(5):
-        seen.ran.append(ran("b", 1.2 + number / 10))
+        seen.ran.append(make_ran("b", 1.2 + number / 10))
 
 
 def never_recover(seen):
@@ -114,40 +114,40 @@
 
 
 def send_to_a_replica_that_announced_leaving(seen):
-    seen.asked.append(replace(asked("told", began=50.0, ended=50.2), leaving="s1"))
-    seen.asked.append(asked("late", began=52.3, ended=52.5))
-    seen.ran.append(ran("late", 52.4))
+    seen.asked.append(replace(make_asked("told", began=50.0, ended=50.2), leaving="s1"))
+    seen.asked.append(make_asked("late", began=52.3, ended=52.5))
+    seen.ran.append(make_ran("late", 52.4))
 
 
 def send_to_a_resting_replica(seen):
     for number in range(4):
         at = 60.0 + number * 0.7
-        seen.asked.append(asked(f"y{number}", began=at, ended=at, status=503))
+        seen.asked.append(make_asked(f"y{number}", began=at, ended=at, status=503))
         seen.turned_away.append(TurnedAway(f"y{number}", "s1", at, 3.0))
 
 
 def keep_sending_a_crashing_request(seen):
     for number in range(7):
         at = 40.0 + number * (1.0 if number < 3 else 2.0)
-        seen.asked.append(asked(f"x{number}", Kind.STREAM, began=at, status=502))
+        seen.asked.append(make_asked(f"x{number}", Kind.STREAM, began=at, status=502))
         seen.ran.append(Ran(f"x{number}", "m1", "model", "t", at, b"crashing-1"))
     seen.ran.append(Ran("x6", "m1", "model", "t", 55.0, b"crashing-1"))
 
 
 def exceed_a_limit(seen):
     seen.limited.append(Limited("s1", 70.0, 80.0, 0.5))
-    seen.asked.append(replace(asked("named", began=70.0, ended=70.1), limited="s1"))
+    seen.asked.append(replace(make_asked("named", began=70.0, ended=70.1), limited="s1"))
     for number in range(9):
         at = 74.0 + number * 0.4
-        seen.asked.append(asked(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1))
-        seen.ran.append(ran(f"z{number}", at))
+        seen.asked.append(make_asked(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1))
+        seen.ran.append(make_ran(f"z{number}", at))
 
 
 def send_to_a_replica_that_left_before_a_restore(seen):
     seen.faults.append(Span(Fault.STORE_RESTORED, "store", 29.0, 32.0))
     seen.restored.append(31.0)
-    seen.asked.append(asked("hidden", began=34.2, ended=34.4))
-    seen.ran.append(ran("hidden", 34.3))
+    seen.asked.append(make_asked("hidden", began=34.2, ended=34.4))
+    seen.ran.append(make_ran("hidden", 34.3))
 
 
 PLANTED_FAULTS = [
@@ -307,7 +307,7 @@
 
 def test_a_short_run_over_real_processes_breaks_no_safety_guarantee():
     """Time-dependent checks are left to ``make soak``, since the machine may be busy."""
-    outcome = asyncio.run(play(7, SHORT))
+    outcome = asyncio.run(play(7, SHORT_RUN))
     assert checkers.check(outcome.seen, checkers.SAFETY) == [], outcome.summary()
     assert any(each.status == 200 for each in outcome.seen.asked)
     assert outcome.seen.ran and outcome.seen.versions
--- a/tests/world.py
+++ b/tests/world.py
@@ -506,7 +506,7 @@
             if each.verdict == "whole":
                 assert_answer_complete(each)
 
-    async def play(self, seconds, callers):
+    async def run_scenario(self, seconds, callers):
         """Run callers under faults, then end the faults, wait until all is idle and check."""
         injecting = self.loop.create_task(self.inject_faults(seconds))
         calls = []
@@ -582,11 +582,11 @@
     assert answer.body.endswith(DONE_EVENT)
 
 
-def play(seed, seconds=40, callers=120, chaos=1.0):
+def run_seed(seed, seconds=40, callers=120, chaos=1.0):
     """Run one seed and return the counts of answers and faults by name."""
     from tests.virtual import run
 
     async def main():
-        return await World(seed, chaos).play(seconds, callers)
+        return await World(seed, chaos).run_scenario(seconds, callers)
 
     return run(main)
