--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -81,6 +81,7 @@
     assert all(count <= MAX_LATE_ARRIVALS for count in late_arrivals.values()), late_arrivals
 
 
+# Guards against crashes that count once because the restarted replica keeps its id.
 def test_crashes_of_a_replica_that_restarts_under_its_id_count_separately():
     async def check(fleet):
         # Only one replica is left, so that all crashes have the same replica id.
@@ -95,6 +96,7 @@
     run_check(check, replicas=3)
 
 
+# Guards against callers that are invited to send a held-back request again.
 def test_a_held_back_request_is_refused_at_once_without_retry_after():
     async def check(fleet):
         crash_on_body(fleet.models, CRASHING_BODY)
@@ -109,6 +111,7 @@
     run_check(check)
 
 
+# Guards against attempts that waited before the quarantine decided and reach a replica after it.
 def test_waiting_attempts_are_refused_once_their_request_is_held_back():
     async def check(fleet):
         loop = asyncio.get_running_loop()
@@ -135,6 +138,7 @@
     run_check(check)
 
 
+# Guards against a popular request that is blamed because it runs on most crashing replicas.
 def test_a_popular_request_is_served_while_another_one_crashes_replicas():
     popular = b"what many ask"
     served = []
@@ -156,6 +160,7 @@
     assert served.count(200) == len(served) == 300
 
 
+# Guards against a node that restarts without the evidence of its peers.
 def test_a_restarted_node_learns_which_requests_are_held_back():
     async def check(fleet):
         crash_on_body(fleet.models, CRASHING_BODY)
@@ -172,6 +177,7 @@
     run_check(check)
 
 
+# Guards against evidence that exists only in the memory of the nodes.
 def test_held_back_requests_survive_the_loss_of_all_nodes():
     async def check(fleet):
         crash_on_body(fleet.models, CRASHING_BODY)
@@ -190,6 +196,7 @@
     run_check(check)
 
 
+# Guards against requests that are blamed for running on replicas that crash for other reasons.
 def test_replicas_that_crash_on_their_own_hold_no_request_back():
     async def check(fleet):
         async def end_in_turn():
@@ -214,6 +221,7 @@
     run_check(check)
 
 
+# Guards against a broken answer that counts as a crash although the replica still runs.
 def test_broken_answers_of_live_replicas_are_no_evidence():
     async def check(fleet):
         for replica in fleet.models:
@@ -224,6 +232,7 @@
     run_check(check)
 
 
+# Guards against a node that waits on the open but silent connection to a replica's former start.
 def test_a_run_moves_off_a_restarted_replica_although_its_connection_stays_open():
     async def check(fleet):
         loop = asyncio.get_running_loop()
--- a/tests/test_leaving_and_rest.py
+++ b/tests/test_leaving_and_rest.py
@@ -94,6 +94,7 @@
     return max_requests_in_rest(turned_away, rest_s)
 
 
+# Guards against nodes that forward the announcement in an answer without applying it.
 def test_no_requests_reach_a_replica_whose_answers_announce_leaving():
     late, served = {}, {}
 
@@ -114,6 +115,7 @@
     assert all(share > 0.99 for share in served.values()), served
 
 
+# Guards against a declining replica that is always free and so attracts the requests of its pool.
 def test_requests_pause_for_the_rest_time_that_a_replica_asks_for():
     most = {}
 
@@ -144,6 +146,7 @@
     return sum(each.whole and each.status == 200 for each in got) / len(got)
 
 
+# Guards against callers that use up their attempts on replicas that decline at once.
 def test_callers_are_served_while_two_of_six_replicas_decline_everything():
     served, tried = {}, {}
 
@@ -167,6 +170,7 @@
     assert all(count <= 2 * (DURATION_S - 1) + 2 for count in tried.values()), tried
 
 
+# Guards against callers that wait for replicas which are known to be resting.
 def test_callers_are_refused_promptly_while_all_replicas_rest():
     async def check_path(fleet, path):
         replicas = replicas_of_path(fleet, path)
@@ -190,6 +194,7 @@
         run_check(lambda fleet, path=path: check_path(fleet, path))
 
 
+# Guards against a record that contradicts the announcement and makes the replica usable again.
 def test_only_a_restart_clears_the_leaving_state_of_a_replica():
     async def check(fleet):
         replica = fleet.models[0]
@@ -215,6 +220,7 @@
     run_check(check)
 
 
+# Guards against a node that restarts without the announcements that it had forwarded before.
 def test_a_restarted_node_learns_which_replicas_are_leaving():
     async def check(fleet):
         replica = fleet.seats[0]
@@ -232,6 +238,7 @@
     run_check(check)
 
 
+# Guards against an announcement that a node assigns by address instead of by replica id.
 def test_answers_of_another_replica_at_the_address_do_not_mark_this_one_as_leaving():
     async def check(fleet):
         # The replica is gone, and its address belongs to another one that is leaving.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -42,12 +42,14 @@
     return found[0]
 
 
+# Guards against nodes that each use the whole limit of a replica.
 def test_a_limit_holds_across_all_nodes_and_other_replicas_serve_the_callers():
     found = {path: run_with_limits(path, 2, LIMIT_PER_S) for path in PATHS}
     assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
+# Guards against a fraction of a request that each node rounds up to one.
 def test_a_limit_below_one_request_per_second_holds():
     found = {path: run_with_limits(path, 2, 0.4) for path in ("/chat/1", "/find/1")}
     assert all(most <= most_allowed(0.4) for most, _ in found.values()), found
@@ -88,6 +90,7 @@
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
+# Guards against a limit that stays in force after the replica has withdrawn it.
 def test_a_limit_ends_when_answers_no_longer_announce_one():
     # Without a limit, the replicas share the load evenly: each gets a sixth of 50 to 60 requests
     # per second.
@@ -96,6 +99,7 @@
     assert served >= 0.99
 
 
+# Guards against a limit of zero that never ends, since no answer can withdraw it.
 def test_a_replica_with_a_limit_of_zero_is_probed_until_the_limit_ends():
     found = {
         path: run_with_limit_change(path, 0.0, -1.0, seconds=20.0)
@@ -104,6 +108,7 @@
     assert all(most > 2 * most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
 
 
+# Guards against a limit that is exceeded when the nodes that keep count of it are lost.
 def test_a_limit_holds_while_nodes_are_killed_and_restarted():
     most = {}
 
@@ -136,6 +141,7 @@
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
+# Guards against limits that are split evenly among nodes although one node has all callers.
 def test_a_single_node_with_all_callers_uses_the_full_limits():
     used = {}
 
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -212,6 +212,7 @@
     run_check(check, nodes, domains, replicas)
 
 
+# Guards against evidence that reaches only the nodes on one side of a partition.
 def test_both_sides_of_a_partition_agree_soon_after_it_heals():
     async def check(fleet):
         loop = asyncio.get_running_loop()
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -130,6 +130,7 @@
     )
 
 
+# Guards against a schema check that accepts incompatible changes.
 def test_the_check_finds_schemas_that_do_more_than_add_optional_fields_at_the_end():
     nested = [["a", "int", True], ["b", "str", False]]
     before = [["x", ["tuple", nested, "Ellipsis"], True]]
@@ -146,6 +147,7 @@
     assert not only_adds([["x", nested, True]], before)
 
 
+# Guards against messages of a kind that an older node cannot decode.
 def test_a_node_that_does_not_announce_its_message_kinds_gets_those_of_its_version_only():
     kinds = set(RECORDED[VERSION_WITHOUT_KINDS]["messages"])
     assert {*LEGACY_KINDS, *(str(each.__struct_config__.tag) for each in HANDSHAKE)} == kinds
