--- a/packages/chalkyoke-ctl/src/chalkyokectl/client.py
+++ b/packages/chalkyoke-ctl/src/chalkyokectl/client.py
@@ -1,7 +1,7 @@
 """
 chalkyokectl.client
 
-Calls on the administration API of nodes.
+Client of the administration API of nodes.
 """
 
 import asyncio
@@ -10,30 +10,32 @@
 
 import aiohttp
 
-CALL_S = 15.0
+# Total time that one call may take.
+CALL_TIMEOUT_S = 15.0
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """One answer of a node.
+class Response:
+    """Response of a node to one call.
 
-    :param status: HTTP status; 0 where the node was not reached.
+    :param status: HTTP status; 0 if the node was not reached or its response was no JSON.
+    :param body: the decoded JSON document; if ``status`` is 0, its ``detail`` names the error.
     """
 
     status: int
     body: dict[str, Any]
 
     @property
-    def good(self) -> bool:
-        """Whether the call did what it was for."""
+    def is_success(self) -> bool:
+        """Whether the HTTP status is 2xx."""
         return 200 <= self.status < 300
 
 
 class AdministrationClient:
-    """Call one node, and through its status all others.
+    """Call one node directly, and the other live nodes at the addresses that its status lists.
 
-    :param server: ``ip:port`` of a node's administration listener, with ``https://`` before it
-        where the listeners have certificates; authorities are those of ``SSL_CERT_FILE``.
+    :param server: ``ip:port`` of a node's administration listener, with ``https://`` before it if
+        the listeners have certificates; the trusted authorities are those of ``SSL_CERT_FILE``.
     :param token: the operator's token.
     """
 
@@ -43,48 +45,50 @@
         self.server = address
         self._headers = {"Authorization": f"Bearer {token}"}
 
-    async def get(self, path: str, server: str = "", **params: str) -> Answer:
-        """Read a page.
+    async def get(self, path: str, server: str = "", **params: str) -> Response:
+        """Send a GET request.
 
-        :param server: another node than the usual one.
-        :rtype: Answer
+        :param server: address of another node; empty selects the configured one.
+        :param params: query parameters.
+        :rtype: Response
         """
         return await self._call("GET", path, server, params=params)
 
-    async def post(self, path: str, body: dict[str, Any], server: str = "") -> Answer:
-        """Post a document.
+    async def post(self, path: str, body: dict[str, Any], server: str = "") -> Response:
+        """Send a POST request with a JSON body.
 
-        :rtype: Answer
+        :param server: address of another node; empty selects the configured one.
+        :rtype: Response
         """
         return await self._call("POST", path, server, json=body)
 
     async def nodes(self) -> dict[str, str]:
-        """List the live nodes.
+        """List the live nodes that the configured node sees.
 
-        :return: administration address by host.
+        :return: administration address by host; empty if the call failed.
         """
         status = await self.get("/v1/status")
         return {each["host"]: each["administration"] for each in status.body.get("nodes", [])}
 
-    async def everywhere(self, path: str, **params: str) -> dict[str, Answer]:
-        """Read a page of every live node.
+    async def get_from_all(self, path: str, **params: str) -> dict[str, Response]:
+        """Send a GET request to all live nodes concurrently.
 
-        :return: answers by host.
+        :return: responses by host.
         """
         nodes = await self.nodes()
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(self.get(path, address, **params) for address in nodes.values())
         )
-        return dict(zip(nodes, answers, strict=True))
+        return dict(zip(nodes, responses, strict=True))
 
-    async def _call(self, method: str, path: str, server: str, **options: Any) -> Answer:
+    async def _call(self, method: str, path: str, server: str, **options: Any) -> Response:
         url = f"{self._scheme}://{server or self.server}{path}"
-        timeout = aiohttp.ClientTimeout(total=CALL_S)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with (
                 aiohttp.ClientSession(headers=self._headers, timeout=timeout) as session,
                 session.request(method, url, **options) as response,
             ):
-                return Answer(response.status, await response.json(content_type=None))
+                return Response(response.status, await response.json(content_type=None))
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            return Answer(0, {"detail": f"{url}: {type(error).__name__}: {error}"})
+            return Response(0, {"detail": f"{url}: {type(error).__name__}: {error}"})
--- a/packages/chalkyoke-ctl/src/chalkyokectl/limitstory.py
+++ b/packages/chalkyoke-ctl/src/chalkyokectl/limitstory.py
@@ -1,95 +1,103 @@
 """
 chalkyokectl.limitstory
 
-Tell which limits replicas have named, who counts what they get and what they got, from the
-collected log lines of several nodes.
+Report the rate limits that replicas announced, which processes count the attempts against them and
+how many attempts were sent, from the collected log lines of several nodes.
 """
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from chalkyokectl.story import Line
+from chalkyokectl.story import LogLine
 
-# What is counted as one window, in seconds.
+# Length of the sliding window over which the largest number of attempts is reported.
 WINDOW_S = 4.0
 
 
 @dataclass(slots=True)
-class NamedLimit:
-    """What the logs say of one replica's limits.
-
-    :ivar values: what it took from when on, in requests a second; nothing where it named none.
-    :ivar believed: what each node believed last, by host.
-    :ivar keepers: what each node gave out last, as a part of the limit, by host.
-    :ivar sends: when requests were sent to it from its first word on, and the host that sent them.
-    :ivar counted_by: how many of these each process had counted; empty for a node alone.
+class ReplicaLimit:
+    """Rate limits that one replica announced, and the attempts sent to it.
+
+    :ivar changes: time of each change of the limit, the new limit in requests a second (None if the
+        replica no longer announces one) and the host that logged it first.
+    :ivar latest_values: limit in requests a second that each node logged last, by host.
+    :ivar shares: fraction of the limit that each node granted last, by host.
+    :ivar sends: time and host of each attempt sent since the replica first announced a limit.
+    :ivar counted_sends: number of these attempts that each process counted; the empty name stands
+        for nodes that counted alone.
+    :ivar uncounted_sends: number of these attempts that were sent before their node knew the limit.
     """
 
     replica: str
-    values: list[tuple[float, float | None, str]] = field(default_factory=list)
-    believed: dict[str, float | None] = field(default_factory=dict)
-    keepers: dict[str, float] = field(default_factory=dict)
+    changes: list[tuple[float, float | None, str]] = field(default_factory=list)
+    latest_values: dict[str, float | None] = field(default_factory=dict)
+    shares: dict[str, float] = field(default_factory=dict)
     sends: list[tuple[float, str]] = field(default_factory=list)
-    counted_by: Counter[str] = field(default_factory=Counter)
-    uncounted: int = 0
+    counted_sends: Counter[str] = field(default_factory=Counter)
+    uncounted_sends: int = 0
 
     @property
-    def most(self) -> int:
-        """The most requests that were sent within a window."""
+    def max_window_sends(self) -> int:
+        """Largest number of attempts sent within any WINDOW_S seconds."""
         times = sorted(at for at, _ in self.sends)
         return max(
-            (sum(1 for at in times if began <= at < began + WINDOW_S) for began in times),
+            (sum(1 for at in times if start <= at < start + WINDOW_S) for start in times),
             default=0,
         )
 
 
-def limits(lines: Iterable[Line], replica: str = "") -> list[NamedLimit]:
-    """Gather what is said of each replica that has named a limit.
+def collect_limits(lines: Iterable[LogLine], replica: str = "") -> list[ReplicaLimit]:
+    """Collect the limits of each replica that announced one.
 
-    :param replica: only of this start of a replica; empty is all.
+    :param replica: selects one start of a replica; empty selects all.
     """
-    found: dict[str, NamedLimit] = {}
+    found: dict[str, ReplicaLimit] = {}
     for line in sorted(lines, key=lambda each: each.at):
         name = str(line.fields.get("replica", ""))
         if line.event == "replica_limit" and replica in ("", name):
-            _note_word(found.setdefault(name, NamedLimit(name)), line)
+            _record_limit(found.setdefault(name, ReplicaLimit(name)), line)
         elif name in found and line.event == "limit_kept":
-            found[name].keepers[line.host] = float(line.fields["share"])
+            found[name].shares[line.host] = float(line.fields["share"])
         elif name in found and line.event == "sent":
-            _note_sent(found[name], line)
+            _record_send(found[name], line)
     return list(found.values())
 
 
-def _note_word(limit: NamedLimit, line: Line) -> None:
+def _record_limit(limit: ReplicaLimit, line: LogLine) -> None:
     value = line.fields.get("limit_per_s")
-    limit.believed[line.host] = value
-    if not limit.values or limit.values[-1][1] != value:
-        limit.values.append((line.at, value, line.host))
+    limit.latest_values[line.host] = value
+    if not limit.changes or limit.changes[-1][1] != value:
+        limit.changes.append((line.at, value, line.host))
 
 
-def _note_sent(limit: NamedLimit, line: Line) -> None:
+def _record_send(limit: ReplicaLimit, line: LogLine) -> None:
     limit.sends.append((line.at, line.host))
-    keeper = line.fields.get("limit_kept_by")
-    if keeper is None:
-        limit.uncounted += 1
+    counting_process = line.fields.get("limit_kept_by")
+    if counting_process is None:
+        limit.uncounted_sends += 1
     else:
-        limit.counted_by[str(keeper)] += 1
+        limit.counted_sends[str(counting_process)] += 1
 
 
-def show(found: Iterable[NamedLimit]) -> Iterator[str]:
-    """Word what is known of each."""
+def format_limits(found: Iterable[ReplicaLimit]) -> Iterator[str]:
+    """Format the limits of each replica as lines of text."""
     for each in found:
-        yield f"{each.replica}: {len(each.sends)} sends, {each.most} at most in {WINDOW_S:.0f} s"
-        for at, value, host in each.values:
-            word = "names no limit any more" if value is None else f"takes {value:g} a second"
-            yield f"  {at:.3f} {word}, first heard by {host}"
-        differ = {host for host, value in each.believed.items() if value != each.values[-1][1]}
+        yield (
+            f"{each.replica}: {len(each.sends)} sends,"
+            f" {each.max_window_sends} at most in {WINDOW_S:.0f} s"
+        )
+        for at, value, host in each.changes:
+            announced = "names no limit any more" if value is None else f"takes {value:g} a second"
+            yield f"  {at:.3f} {announced}, first heard by {host}"
+        differ = {
+            host for host, value in each.latest_values.items() if value != each.changes[-1][1]
+        }
         if differ:
             yield f"  believed otherwise by {', '.join(sorted(differ))}"
-        for host, share in each.keepers.items():
+        for host, share in each.shares.items():
             yield f"  {host} gives out {share:.0%} of it"
-        for process, count in each.counted_by.most_common():
+        for process, count in each.counted_sends.most_common():
             yield f"  {count} counted by {process or 'nodes alone'}"
-        if each.uncounted:
-            yield f"  {each.uncounted} not counted: sent before their node had heard"
+        if each.uncounted_sends:
+            yield f"  {each.uncounted_sends} not counted: sent before their node had heard"
--- a/packages/chalkyoke-ctl/src/chalkyokectl/output.py
+++ b/packages/chalkyoke-ctl/src/chalkyokectl/output.py
@@ -1,7 +1,7 @@
 """
 chalkyokectl.output
 
-Show answers as tables, JSON or a picture of the time line.
+Print responses as tables or JSON, and draw the time line of events as an HTML page.
 """
 
 import html
@@ -14,26 +14,30 @@
 from rich.console import Console
 from rich.table import Table
 
+# Layout of the time line.
 LANE_PX = 180
 ROW_PX = 22
 TOP_PX = 50
 LEFT_PX = 110
 
 
-class Form(StrEnum):
-    """How answers are shown."""
+class OutputFormat(StrEnum):
+    """Formats in which the commands print responses."""
 
     TABLE = "table"
     JSON = "json"
     HTML = "html"
 
 
-def show(rows: list[dict[str, Any]], columns: list[str], form: Form, raw: Any = None) -> None:
-    """Show rows.
+def print_rows(
+    rows: list[dict[str, Any]], columns: list[str], output_format: OutputFormat, raw: Any = None
+) -> None:
+    """Print rows as JSON, or else as a table (also for HTML).
 
-    :param raw: what JSON shows instead of the rows.
+    :param columns: the keys of the rows that the table shows, in order.
+    :param raw: the value that JSON output prints instead of the rows.
     """
-    if form is Form.JSON:
+    if output_format is OutputFormat.JSON:
         typer.echo(json.dumps(rows if raw is None else raw, indent=2))
         return
     table = Table(*columns)
@@ -42,27 +46,30 @@
     Console(soft_wrap=True).print(table)
 
 
-def at(wall_ms: int) -> str:
-    """Write a wall time.
+def format_time(wall_ms: int) -> str:
+    """Format a wall time as the UTC time of day, with milliseconds.
 
-    :param wall_ms: milliseconds since 1970.
+    :param wall_ms: milliseconds since the start of 1970, UTC.
     :rtype: str
     """
     return datetime.fromtimestamp(wall_ms / 1000, UTC).strftime("%H:%M:%S.%f")[:-3]
 
 
-def facts(event: dict[str, Any]) -> str:
-    """Write an event's details on one line.
+def format_facts(event: dict[str, Any]) -> str:
+    """Format the details of an event as ``name=value`` on one line.
 
     :rtype: str
     """
     return " ".join(f"{name}={value}" for name, value in event["facts"].items())
 
 
-def picture(events: list[dict[str, Any]]) -> str:
-    """Draw a time line: a lane for each host, a row for each event, causes above effects.
+def render_timeline(events: list[dict[str, Any]]) -> str:
+    """Draw a time line with a lane for each host and a row for each event.
 
-    :return: a whole HTML page.
+    Lines join the successive events of a request.
+
+    :param events: the events in the order of their rows, causes before effects.
+    :return: a complete HTML page.
     """
     hosts = sorted({event["host"] for event in events})
     lanes = {host: LEFT_PX + LANE_PX // 2 + index * LANE_PX for index, host in enumerate(hosts)}
@@ -73,17 +80,17 @@
             f'<text x="{x}" y="20" text-anchor="middle" class="host">{html.escape(host)}</text>'
         )
         parts.append(f'<line x1="{x}" y1="30" x2="{x}" y2="{height}" class="lane"/>')
-    before: dict[str, tuple[int, int]] = {}
+    last_positions: dict[str, tuple[int, int]] = {}
     for index, event in enumerate(events):
         x, y = lanes[event["host"]], TOP_PX + ROW_PX * index
         request = event["request"]
-        if request and request in before:
-            x0, y0 = before[request]
+        if request and request in last_positions:
+            x0, y0 = last_positions[request]
             parts.append(f'<line x1="{x0}" y1="{y0}" x2="{x}" y2="{y}" class="flow"/>')
         if request:
-            before[request] = (x, y)
-        parts.append(f'<text x="4" y="{y + 4}" class="at">{at(event["wall_ms"])}</text>')
-        title = html.escape(f"{request} {facts(event)}")
+            last_positions[request] = (x, y)
+        parts.append(f'<text x="4" y="{y + 4}" class="at">{format_time(event["wall_ms"])}</text>')
+        title = html.escape(f"{request} {format_facts(event)}")
         label = html.escape(event["kind"])
         parts.append(
             f'<g><title>{title}</title><circle cx="{x}" cy="{y}" r="4"/>'
--- a/packages/chalkyoke-ctl/src/chalkyokectl/rolloutstory.py
+++ b/packages/chalkyoke-ctl/src/chalkyokectl/rolloutstory.py
@@ -1,50 +1,52 @@
 """
 chalkyokectl.rolloutstory
 
-Tell how a roll-out went, from the collected log lines of several nodes.
+Report the course of roll-outs from the collected log lines of several nodes.
 """
 
 from collections.abc import Iterable, Iterator
 
-from chalkyokectl.story import Line
+from chalkyokectl.story import LogLine
 
-SLICE = "chalkyoke.rollouts"
-# What each node says for itself; one line stands for all nodes that say the same.
-SAID_BY_ALL = frozenset(("ordered", "withdrawn", "phase"))
+# Log channel of roll-outs, the ``slice`` of their lines.
+ROLLOUT_CHANNEL = "chalkyoke.rollouts"
+# Events that every node logs. Equal ones of several nodes are printed as one line.
+EVENTS_OF_EVERY_NODE = frozenset(("ordered", "withdrawn", "phase"))
 
 
-def rollout_lines(lines: Iterable[Line], service: str = "") -> list[Line]:
-    """Pick what was said of roll-outs, oldest first.
+def select_rollout_lines(lines: Iterable[LogLine], service: str = "") -> list[LogLine]:
+    """Select the lines about roll-outs, oldest first.
 
-    :param service: only of this one; empty is all.
+    :param service: selects the roll-outs of one service; empty selects all.
     """
     found = [
         line
         for line in lines
-        if line.fields.get("slice") == SLICE and service in ("", line.fields.get("service"))
+        if line.fields.get("slice") == ROLLOUT_CHANNEL
+        and service in ("", line.fields.get("service"))
     ]
     return sorted(found, key=lambda line: line.at)
 
 
-def show(lines: Iterable[Line]) -> Iterator[str]:
-    """Word the lines: the leader's one by one, the others' with the number of nodes."""
-    counts: dict[tuple[object, ...], list[Line]] = {}
+def format_rollout_lines(lines: Iterable[LogLine]) -> Iterator[str]:
+    """Format the lines as text; equal events of several nodes become one line with their number."""
+    groups: dict[tuple[object, ...], list[LogLine]] = {}
     for line in lines:
-        counts.setdefault(_kind(line), []).append(line)
-    for same in counts.values():
-        first, last = same[0], same[-1]
+        groups.setdefault(_group_key(line), []).append(line)
+    for group in groups.values():
+        first, last = group[0], group[-1]
         service = first.fields.get("service")
-        if len(same) == 1:
-            yield f"{first.at:.3f} {first.host} {service} {first.event}: {first.facts()}"
+        if len(group) == 1:
+            yield f"{first.at:.3f} {first.host} {service} {first.event}: {first.format_details()}"
         else:
-            hosts = len({line.host for line in same})
+            hosts = len({line.host for line in group})
             where = f"{hosts} nodes within {last.at - first.at:.3f} s"
-            yield f"{first.at:.3f} {where} {service} {first.event}: {first.facts()}"
+            yield f"{first.at:.3f} {where} {service} {first.event}: {first.format_details()}"
 
 
-def _kind(line: Line) -> tuple[object, ...]:
-    """Tell which lines say the same: those of one event of one order, else each for itself."""
-    if line.event not in SAID_BY_ALL:
+def _group_key(line: LogLine) -> tuple[object, ...]:
+    """Return a key that equal events of one roll-out order share; other lines have a key each."""
+    if line.event not in EVENTS_OF_EVERY_NODE:
         return (id(line),)
     fields = line.fields
     return line.event, fields.get("service"), fields.get("to"), fields.get("phase")
--- a/packages/chalkyoke-ctl/src/chalkyokectl/story.py
+++ b/packages/chalkyoke-ctl/src/chalkyokectl/story.py
@@ -1,7 +1,7 @@
 """
 chalkyokectl.story
 
-Tell what happened to one request, from the collected log lines of several nodes.
+Reconstruct the timeline of one request from the collected log lines of several nodes.
 """
 
 import json
@@ -10,9 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-AROUND_S = 1.5
-BEFORE_JSON = re.compile(r"^\s*(-?\d+\.\d+)?\s*[^{]*(\{.*\})\s*$")
-BELIEFS = frozenset(
+# Time before the first and after the last line of a request in which other lines are its context.
+CONTEXT_MARGIN_S = 1.5
+# Matches the collector's optional time stamp, in seconds, and the JSON object of the line.
+LOG_LINE_PATTERN = re.compile(r"^\s*(-?\d+\.\d+)?\s*[^{]*(\{.*\})\s*$")
+# Events about a node itself and about what it knows of other nodes, replicas, upstreams and the
+# store.
+NODE_STATE_EVENTS = frozenset(
     (
         "member_joined",
         "member_left",
@@ -38,16 +42,20 @@
         "fatal",
     )
 )
-FRAME = frozenset(("at", "up_s", "host", "level", "slice", "event", "request", "seen_at"))
-ENDS = frozenset(("held_back", "refused", "given_up", "expired", "over_quota", "left", "rejected"))
+# Fields that the timeline prints elsewhere or leaves out; all others are details of the event.
+COMMON_FIELDS = frozenset(("at", "up_s", "host", "level", "slice", "event", "request", "seen_at"))
+# Events that finish a request. ``ended`` also does, unless its ``follows`` is ``send_again``.
+FINAL_EVENTS = frozenset(
+    ("held_back", "refused", "given_up", "expired", "over_quota", "left", "rejected")
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One log line.
 
-    :param at: for the order over all nodes: the collector's time stamp where there is one, else the
-        node's own wall time, as text that sorts.
+    :param at: the time in seconds that orders the lines of all nodes: the collector's time stamp if
+        the line has one, else the node's wall time, else the node's uptime.
     """
 
     at: float
@@ -55,44 +63,44 @@
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """Name of the log event; empty if the line has none."""
         return str(self.fields.get("event", ""))
 
     @property
     def host(self) -> str:
-        """Where."""
+        """Host of the node that wrote the line; empty if the line has none."""
         return str(self.fields.get("host", ""))
 
-    def facts(self) -> str:
-        """Give what is beside the frame, as text."""
-        kept = {name: value for name, value in self.fields.items() if name not in FRAME}
+    def format_details(self) -> str:
+        """Format the fields outside COMMON_FIELDS as ``name=value``, without empty values."""
+        kept = {name: value for name, value in self.fields.items() if name not in COMMON_FIELDS}
         return " ".join(
             f"{name}={value}" for name, value in kept.items() if value not in ("", None)
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """What the logs say of one request.
+class Timeline:
+    """Timeline of one request.
 
-    :param lines: its own lines, oldest first.
-    :param around: what nodes believed or did meanwhile.
-    :param missing: what the logs do not say.
+    :param lines: lines that name the request, oldest first.
+    :param context: lines of node events and of failed requests at the same replicas in that time.
+    :param missing: descriptions of what the logs lack.
     """
 
     request: str
-    lines: tuple[Line, ...]
-    around: tuple[Line, ...]
+    lines: tuple[LogLine, ...]
+    context: tuple[LogLine, ...]
     missing: tuple[str, ...]
 
 
-def read(texts: Iterable[str]) -> Iterator[Line]:
-    """Read log lines; what stands before the JSON object may be a collector's time stamp.
+def parse_log_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+    """Parse log lines of a JSON object each, with or without a collector's time stamp before it.
 
-    Lines that are no JSON objects are passed over.
+    Lines without a JSON object, or whose object has no ``event``, are skipped.
     """
     for text in texts:
-        found = BEFORE_JSON.match(text)
+        found = LOG_LINE_PATTERN.match(text)
         if found is None:
             continue
         try:
@@ -100,44 +108,45 @@
         except ValueError:
             continue
         if isinstance(fields, dict) and "event" in fields:
-            yield Line(_moment(found.group(1), fields), fields)
+            yield LogLine(_timestamp_s(found.group(1), fields), fields)
 
 
-def tell(request: str, lines: Iterable[Line]) -> Story:
-    """Join what several nodes wrote about one request.
+def build_timeline(request: str, lines: Iterable[LogLine]) -> Timeline:
+    """Join the log lines of several nodes about one request.
 
-    :param request: its id.
+    :param request: id of the request.
     """
-    everything = sorted(lines, key=lambda line: line.at)
-    own = [line for line in everything if line.fields.get("request") == request]
+    all_lines = sorted(lines, key=lambda line: line.at)
+    own = [line for line in all_lines if line.fields.get("request") == request]
     if not own:
-        return Story(request, (), (), ("no line names this request",))
+        return Timeline(request, (), (), ("no line names this request",))
     replicas = {line.fields.get("replica") for line in own} - {None, ""}
-    start = own[0].at - float(own[0].fields.get("age_s", 0)) - AROUND_S
-    end = own[-1].at + AROUND_S
-    around = [
+    start = own[0].at - float(own[0].fields.get("age_s", 0)) - CONTEXT_MARGIN_S
+    end = own[-1].at + CONTEXT_MARGIN_S
+    context = [
         line
-        for line in everything
-        if start <= line.at <= end and (line.event in BELIEFS or _touches(line, replicas, request))
+        for line in all_lines
+        if start <= line.at <= end
+        and (line.event in NODE_STATE_EVENTS or _reports_other_failure(line, replicas, request))
     ]
-    return Story(request, tuple(own), tuple(around), tuple(_missing(own, everything)))
+    return Timeline(request, tuple(own), tuple(context), tuple(_describe_gaps(own, all_lines)))
 
 
-def show(story: Story) -> Iterator[str]:
-    """Word a story, line by line."""
-    if story.lines:
-        yield f"request {story.request}, at {story.lines[0].host}:"
-    for line in story.lines:
-        yield f"  {line.at:.3f} {line.event}: {line.facts()}"
-    if story.around:
+def format_timeline(timeline: Timeline) -> Iterator[str]:
+    """Format a timeline as lines of text."""
+    if timeline.lines:
+        yield f"request {timeline.request}, at {timeline.lines[0].host}:"
+    for line in timeline.lines:
+        yield f"  {line.at:.3f} {line.event}: {line.format_details()}"
+    if timeline.context:
         yield "meanwhile:"
-    for line in story.around:
-        yield f"  {line.at:.3f} {line.host} {line.event}: {line.facts()}"
-    for each in story.missing:
-        yield f"missing: {each}"
+    for line in timeline.context:
+        yield f"  {line.at:.3f} {line.host} {line.event}: {line.format_details()}"
+    for gap in timeline.missing:
+        yield f"missing: {gap}"
 
 
-def _moment(stamp: str | None, fields: dict[str, Any]) -> float:
+def _timestamp_s(stamp: str | None, fields: dict[str, Any]) -> float:
     if stamp is not None:
         return float(stamp)
     from datetime import datetime
@@ -148,32 +157,32 @@
         return float(fields.get("up_s", 0.0))
 
 
-def _touches(line: Line, replicas: set[Any], request: str) -> bool:
-    """Tell whether another request met trouble at the same replica."""
+def _reports_other_failure(line: LogLine, replicas: set[Any], request: str) -> bool:
+    """Return whether the line reports a failed attempt of another request at these replicas."""
     if line.fields.get("request") in (request, None) or line.fields.get("replica") not in replicas:
         return False
     return line.fields.get("end") not in (None, "delivered")
 
 
-def _missing(own: list[Line], everything: list[Line]) -> Iterator[str]:
+def _describe_gaps(own: list[LogLine], all_lines: list[LogLine]) -> Iterator[str]:
     events = {line.event for line in own}
     last = own[-1]
-    ended = last.event in ENDS or (
+    ended = last.event in FINAL_EVENTS or (
         last.event == "ended" and last.fields.get("follows") != "send_again"
     )
     if not ended:
         host = last.host
         stopped = any(
             line.host == host and line.at > last.at and line.event == "started"
-            for line in everything
+            for line in all_lines
         )
         why = "its node started again after this" if stopped else "its node's log may be cut"
         yield f"how it ended: {why}"
     if "ended" in events and "sent" not in events:
-        yield "its sends (suppressed lines, or an older log)"
+        yield "its attempts (suppressed lines, or the log of an older version)"
     suppressed = sum(
         int(line.fields.get("suppressed", 0)) + int(line.fields.get("dropped", 0))
-        for line in everything
+        for line in all_lines
         if line.host == last.host
     )
     if suppressed:
