--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,8 +1,8 @@
 """
 scripts.demo
 
-Start a fleet on loopback addresses, send a few dozen requests, kill a node in the middle, and
-print what each caller got.
+Start a fleet on loopback addresses, send a few dozen requests, kill a node halfway, and print the
+outcome of each request.
 """
 
 import argparse
@@ -23,60 +23,73 @@
 from chalkyoke_fakes.fleet import LocalFleet
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
-REQUESTS = 48
-KILL_AFTER = 20
-EXTRA = 2
-LEAD_S = 0.6
+REQUEST_COUNT = 48
+# Number of the request after which a node is killed.
+KILL_AFTER_REQUEST = 20
+# Requests sent to the node that is killed, besides REQUEST_COUNT.
+EXTRA_REQUEST_COUNT = 2
+# Pauses after the long request and after the purchase is sent, before the node is killed.
+LONG_REQUEST_LEAD_S = 0.6
 PURCHASE_LEAD_S = 0.02
-SEED = 7
-PLATFORM = "platform"
+RANDOM_SEED = 7
+# Name that starts the demo of the platform instead of an example fleet.
+PLATFORM_DEMO = "platform"
+# Sizes of prompts, one of which is drawn for each request.
 PROMPT_TOKENS = (40, 200, 800, 4000)
-ARRIVAL_S = 0.12
+# Time between two requests.
+ARRIVAL_INTERVAL_S = 0.12
 
 
 class Demo:
-    """One run of the demo."""
+    """One run of the demo against a started fleet.
+
+    :param plan: contents of the ``demo.toml`` of the example.
+    """
 
     def __init__(self, fleet: LocalFleet, plan: dict[str, Any], session: aiohttp.ClientSession):
         self.fleet = fleet
         self.plan = plan
         self.session = session
-        self.random = random.Random(SEED)
-        self.told: collections.Counter[Told] = collections.Counter()
-        self.wrong: list[str] = []
-        self.refused: dict[str, int] = {}
-        self.alive = list(fleet.nodes)
+        self.random = random.Random(RANDOM_SEED)
+        self.outcomes: collections.Counter[Told] = collections.Counter()
+        self.violations: list[str] = []
+        self.not_run_requests: dict[str, int] = {}
+        self.live_hosts = list(fleet.nodes)
 
     async def run(self) -> None:
-        """Send all requests, with a kill in the middle."""
+        """Send all requests, kill a node after KILL_AFTER_REQUEST, and verify the outcomes."""
         tasks = []
-        for number in range(REQUESTS):
-            tasks.append(asyncio.create_task(self.send(number)))
-            await asyncio.sleep(ARRIVAL_S)
-            if number == KILL_AFTER:
-                await self.kill_in_the_middle(tasks)
+        for number in range(REQUEST_COUNT):
+            tasks.append(asyncio.create_task(self.send_request(number)))
+            await asyncio.sleep(ARRIVAL_INTERVAL_S)
+            if number == KILL_AFTER_REQUEST:
+                await self.kill_node(tasks)
         await asyncio.gather(*tasks)
-        await self.check()
-
-    async def kill_in_the_middle(self, tasks: list["asyncio.Task[None]"]) -> None:
-        """Kill one node while it has a long answer and a seat purchase under way."""
-        victim = self.alive[-1]
-        long_one = asyncio.create_task(self.send(REQUESTS, victim, plain=False, size=4000))
-        await asyncio.sleep(LEAD_S)
-        purchase = asyncio.create_task(self.send(REQUESTS + 1, victim, plain=True, size=40))
+        await self.verify_counts()
+
+    async def kill_node(self, tasks: list["asyncio.Task[None]"]) -> None:
+        """Kill one node while a long answer and a seat purchase are in flight on it."""
+        victim = self.live_hosts[-1]
+        long_request = asyncio.create_task(
+            self.send_request(REQUEST_COUNT, victim, plain=False, size=4000)
+        )
+        await asyncio.sleep(LONG_REQUEST_LEAD_S)
+        purchase = asyncio.create_task(
+            self.send_request(REQUEST_COUNT + 1, victim, plain=True, size=40)
+        )
         await asyncio.sleep(PURCHASE_LEAD_S)
-        self.alive.remove(victim)
+        self.live_hosts.remove(victim)
         print(f"-- killing {victim} (SIGKILL)", flush=True)
         self.fleet.nodes[victim].send(signal.SIGKILL)
-        tasks += [long_one, purchase]
+        tasks += [long_request, purchase]
 
-    async def send(
+    async def send_request(
         self, number: int, host: str = "", plain: bool | None = None, size: int = 0
     ) -> None:
-        """Send one request, and a retry with the same token where a node died on it."""
+        """Send one request, and retry it with the same token on a live node if none answered."""
         spec = self.plan["caller"][number % len(self.plan["caller"])]
         caller = Caller(self.session, spec["key"])
-        host = host or self.random.choice(self.alive)
+        host = host or self.random.choice(self.live_hosts)
         plain = number % 3 == 2 if plain is None else plain
         size = size or self.random.choice(PROMPT_TOKENS)
         headers = {"Chalkyoke_Tier": spec["tier"]}
@@ -86,16 +99,16 @@
         try:
             headers["Chalkyoke_Token"] = await caller.take_token(address)
         except aiohttp.ClientError:
-            host = self.random.choice(self.alive)
+            host = self.random.choice(self.live_hosts)
             address = self.fleet.nodes[host].address
             headers["Chalkyoke_Token"] = await caller.take_token(address)
         reply = await self._post(caller, address, number, plain, size, headers)
         if reply.told is Told.NOTHING:
-            other = self.random.choice(self.alive)
+            other = self.random.choice(self.live_hosts)
             print(f"#{number:02d} {host} gave no answer; asking {other} with the same token")
             address = self.fleet.nodes[other].address
             reply = await self._post(caller, address, number, plain, size, headers)
-        self.note(number, spec, host, plain, size, reply)
+        self.report_reply(number, spec, host, plain, size, reply)
 
     async def _post(
         self,
@@ -119,11 +132,11 @@
         }
         return await caller.complete(address, body_json, **headers)
 
-    def note(
+    def report_reply(
         self, number: int, spec: dict[str, Any], host: str, plain: bool, size: int, reply: Reply
     ) -> None:
-        """Print and count what a caller got."""
-        self.told[reply.told] += 1
+        """Print and count the reply to one request."""
+        self.outcomes[reply.told] += 1
         kind = self.plan["plain"] if plain else f"{self.plan['service']} ({size} tokens)"
         why = f" {reply.reason}" if reply.told is not Told.WHOLE else ""
         print(
@@ -132,32 +145,38 @@
             flush=True,
         )
         if reply.told in (Told.BAD, Told.NOTHING):
-            self.wrong.append(f"#{number} was not accounted for: {reply.told} {reply.reason}")
+            self.violations.append(f"#{number} was not accounted for: {reply.told} {reply.reason}")
         if reply.told is Told.NOT_RUN:
-            self.refused[request_id_of(reply.token)] = number
+            self.not_run_requests[request_id_of(reply.token)] = number
+
+    async def verify_counts(self) -> None:
+        """Compare the outcomes that callers saw with the runs that the upstreams counted.
 
-    async def check(self) -> None:
-        """Compare what callers were told with what the upstreams counted."""
+        Prints the totals, and exits with 1 if a request ran twice, is unaccounted for, or ran
+        although its caller was told that it had not.
+        """
         counts = await self.fleet.counts()
         seen: collections.Counter[str] = collections.Counter()
         for each in counts.values():
             seen.update(each["seen"])
         doubled = sum(1 for count in seen.values() if count > 1)
-        sent = sum(self.told.values())
-        for request, number in self.refused.items():
+        sent = sum(self.outcomes.values())
+        for request, number in self.not_run_requests.items():
             if seen[request]:
-                self.wrong.append(f"#{number} was told 'not run' and ran")
+                self.violations.append(f"#{number} was told 'not run' and ran")
         print(
-            f"demo: {sent} sent, {self.told[Told.WHOLE]} whole, {self.told[Told.NOT_RUN]} not run, "
-            f"{self.told[Told.FAILED]} failed, {self.told[Told.UNKNOWN]} unknown, {doubled} doubled"
+            f"demo: {sent} sent, {self.outcomes[Told.WHOLE]} whole, "
+            f"{self.outcomes[Told.NOT_RUN]} not run, "
+            f"{self.outcomes[Told.FAILED]} failed, "
+            f"{self.outcomes[Told.UNKNOWN]} unknown, {doubled} doubled"
         )
-        if doubled or sent != REQUESTS + EXTRA or self.wrong:
-            print("\n".join(self.wrong))
+        if doubled or sent != REQUEST_COUNT + EXTRA_REQUEST_COUNT or self.violations:
+            print("\n".join(self.violations))
             sys.exit(1)
 
 
 async def main(name: str) -> None:
-    if name == PLATFORM:
+    if name == PLATFORM_DEMO:
         await platformdemo.main()
         return
     folder = EXAMPLES / name
--- a/scripts/proofs.py
+++ b/scripts/proofs.py
@@ -1,8 +1,8 @@
 """
 scripts.proofs
 
-The long form of the proofs: more seeds than the tests, printed with what happened in them.
-``SEEDS=40 FIRST=1000 make proofs`` changes how many and which.
+Run the randomized checks of the tests with more seeds, and print the totals of their counts.
+``SEEDS=40 FIRST=1000 make proofs`` sets the number of seeds and the first one.
 """
 
 import os
@@ -16,11 +16,12 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 
-Played = tuple[int, dict[str, int], str]
+# Seed, counts by name, and the failure; the failure is empty if the seed passed.
+SeedResult = tuple[int, dict[str, int], str]
 
 
-def world(seed: int) -> Played:
-    """Play one seed of kills, cuts, holds and planned stops."""
+def run_world(seed: int) -> SeedResult:
+    """Simulate a fleet for one seed with kills, link cuts, holds and planned stops."""
     from tests.world import play
 
     try:
@@ -29,8 +30,8 @@
         return seed, {}, f"{type(error).__name__}: {error}"
 
 
-def shedding(seed: int) -> Played:
-    """Drive one scheduler under random overload, with the naive check."""
+def run_overload(seed: int) -> SeedResult:
+    """Drive one scheduler under random overload, and check every refusal and grant naively."""
     from tests.overload import overload
 
     try:
@@ -39,29 +40,29 @@
         return seed, {}, f"{type(error).__name__}: {error}"
 
 
-def run(name: str, work: Callable[[int], Played], seeds: range) -> int:
-    """Run one proof over all seeds and print it; give the number of red ones."""
+def run_proof(name: str, run_seed: Callable[[int], SeedResult], seeds: range) -> int:
+    """Run one check over all seeds, print the result, and return the number of failed seeds."""
     started = time.monotonic()
     total: Counter[str] = Counter()
-    red = 0
+    failed = 0
     with ProcessPoolExecutor() as pool:
-        for seed, counts, fault in pool.map(work, seeds):
+        for seed, counts, failure in pool.map(run_seed, seeds):
             total.update(counts)
-            if fault:
-                red += 1
-                print(f"{name}: seed {seed} is red: {fault}", flush=True)
+            if failure:
+                failed += 1
+                print(f"{name}: seed {seed} is red: {failure}", flush=True)
     seconds = time.monotonic() - started
-    print(f"{name}: seeds {seeds.start} to {seeds.stop - 1}, {red} red, {seconds:.0f} s")
+    print(f"{name}: seeds {seeds.start} to {seeds.stop - 1}, {failed} red, {seconds:.0f} s")
     print(f"  {dict(sorted(total.items()))}", flush=True)
-    return red
+    return failed
 
 
 def main() -> None:
-    """Run all proofs."""
+    """Run all checks, and exit with 1 if any seed failed."""
     first, count = int(os.environ.get("FIRST", "100")), int(os.environ.get("SEEDS", "20"))
     seeds = range(first, first + count)
-    red = run("promises", world, seeds) + run("shedding", shedding, seeds)
-    sys.exit(1 if red else 0)
+    failed = run_proof("promises", run_world, seeds) + run_proof("shedding", run_overload, seeds)
+    sys.exit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/scripts/record_version.py
+++ b/scripts/record_version.py
@@ -1,11 +1,12 @@
 """
-Record what a version of chalkyoke says on its links and writes to the store, as data for the tests.
+Record the messages that a version of chalkyoke sends on its links and the records that it writes to
+the store, as data for the tests.
 
     git worktree add out/old COMMIT
     python scripts/record_version.py out/old > tests/versions/COMMIT.json
 
-It imports the version's own code from the checkout that is named, makes a message of each kind with
-values for all fields, and writes it as that version does.
+The script imports the code of that version from the named checkout, builds a message of each kind
+with values for all fields, and encodes it as that version does.
 """
 
 import enum
@@ -35,7 +36,7 @@
 
 
 def sample_value(kind: Any, number: int) -> Any:
-    """Make a value of a type, another one for another number."""
+    """Build a value of a type; different numbers give different values where the type allows."""
     origin, parts = typing.get_origin(kind), typing.get_args(kind)
     if origin in (typing.Union, types.UnionType):
         return sample_value(parts[0], number)
@@ -60,30 +61,30 @@
 
 
 def _named_tuple_types(kind: Any) -> Iterable[Any]:
-    """List the types of a named tuple's fields."""
+    """Return the types of the fields of a named tuple."""
     return typing.get_type_hints(kind, include_extras=True).values()
 
 
 def build_message(kind: Any, number: int) -> Any:
-    """Make a message with a value in each field."""
+    """Build a message with a value in each field."""
     hints = typing.get_type_hints(kind, include_extras=True)
     names = [field.name for field in msgspec.structs.fields(kind)]
     return kind(*(sample_value(hints[name], number + place) for place, name in enumerate(names)))
 
 
 def message_schema(kind: Any) -> list[Any]:
-    """Name the fields of a message with their types and whether they may be left out."""
+    """List the name and type of each field of a message, and whether the field is required."""
     hints = typing.get_type_hints(kind, include_extras=True)
-    told = []
+    fields = []
     for field in msgspec.structs.fields(kind):
         required = field.default is msgspec.NODEFAULT
         required = required and field.default_factory is msgspec.NODEFAULT
-        told.append([field.name, describe_type(hints[field.name]), required])
-    return told
+        fields.append([field.name, describe_type(hints[field.name]), required])
+    return fields
 
 
 def describe_type(kind: Any) -> Any:
-    """Word a type, a nested message by its fields, so that nothing hangs on module names."""
+    """Describe a type without module names, and a nested message by its fields."""
     origin, parts = typing.get_origin(kind), typing.get_args(kind)
     if parts:
         return [str(getattr(origin, "__name__", origin)), *(describe_type(each) for each in parts)]
@@ -97,7 +98,7 @@
 
 
 def main() -> None:
-    """Write the record to standard output."""
+    """Write the recorded messages and store records to standard output as JSON."""
     assert CHECKOUT is not None
     assert Path(str(node.__file__)).is_relative_to(CHECKOUT), node.__file__
     kinds: tuple[type[msgspec.Struct], ...] = (*LINK_MESSAGES, Challenge, Hello, Received, Welcome)
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -1,8 +1,8 @@
 """
 scripts.soak
 
-Play random faults against real node processes, seed after seed. Logs of seeds that broke something
-are kept under ``out/soak``.
+Inject random faults into real node processes, one seed after the other. The logs of seeds that
+broke a promise are kept under ``out/soak``.
 """
 
 import argparse
@@ -13,36 +13,40 @@
 
 from chalkyoke_fakes.soak.play import Shape, callers_of, play
 
-KEEP = Path("out/soak")
+KEPT_LOGS_FOLDER = Path("out/soak")
 
 
 def main() -> int:
-    """Play the seeds that the command line names."""
+    """Run the seeds that the command line names; return 1 if any of them broke a promise."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", type=int, default=10, help="how many")
+    parser.add_argument("--seeds", type=int, default=10, help="number of seeds")
     parser.add_argument("--first", type=int, default=int(time.time()), help="the first seed")
-    parser.add_argument("--seconds", type=float, default=15.0, help="of faults, for each seed")
+    parser.add_argument(
+        "--seconds", type=float, default=15.0, help="duration of the faults of each seed"
+    )
     parser.add_argument("--nodes", type=int, default=3)
-    parser.add_argument("--replicas", type=int, default=1, help="of each service and zone")
+    parser.add_argument("--replicas", type=int, default=1, help="replicas of each service and zone")
     parser.add_argument(
-        "--old", type=Path, help="checkout of another version, from which nodes are rolled to this"
+        "--old",
+        type=Path,
+        help="checkout of another version, from which the nodes are rolled to this one",
     )
-    parser.add_argument("--calm", action="store_true", help="no faults but the roll")
-    chosen = parser.parse_args()
-    zones = tuple("abc"[number % 3] for number in range(chosen.nodes))
-    old = chosen.old and chosen.old.resolve() / "packages/chalkyoke/src"
-    shape = Shape(zones, chosen.replicas, chosen.seconds, old=old, calm=chosen.calm)
-    red = 0
-    for seed in range(chosen.first, chosen.first + chosen.seeds):
-        outcome = asyncio.run(play(seed, shape, KEEP))
+    parser.add_argument("--calm", action="store_true", help="inject no faults besides the roll")
+    arguments = parser.parse_args()
+    zones = tuple("abc"[number % 3] for number in range(arguments.nodes))
+    old = arguments.old and arguments.old.resolve() / "packages/chalkyoke/src"
+    shape = Shape(zones, arguments.replicas, arguments.seconds, old=old, calm=arguments.calm)
+    failed = 0
+    for seed in range(arguments.first, arguments.first + arguments.seeds):
+        outcome = asyncio.run(play(seed, shape, KEPT_LOGS_FOLDER))
         print(outcome.summary(), flush=True)
-        if chosen.calm:
+        if arguments.calm:
             print(f"    callers: {callers_of(outcome.seen)}", flush=True)
         for broken in outcome.broken:
             print(f"    {broken.promise}: {broken.what}", flush=True)
-        red += bool(outcome.broken)
-    print(f"soak: {chosen.seeds} seeds, {red} red")
-    return 1 if red else 0
+        failed += bool(outcome.broken)
+    print(f"soak: {arguments.seeds} seeds, {failed} red")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
