--- a/packages/chalkyoke/src/chalkyoke/administration/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/administration/__init__.py
@@ -1,5 +1,5 @@
 """
 chalkyoke.administration
 
-Operator API, events and metrics.
+Events and metrics for operators.
 """
--- a/packages/chalkyoke/src/chalkyoke/administration/events.py
+++ b/packages/chalkyoke/src/chalkyoke/administration/events.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.administration.events
 
-The time line: a bounded ring of typed events in each process, stamped so that a cause stands
-before its effect over all processes.
+The timeline: a bounded ring of typed events in each process. Their timestamps order a cause before
+its effect across all processes.
 """
 
 from collections import deque
@@ -13,12 +13,12 @@
 
 from chalkyoke.clock import HybridClock, Stamp
 
-# Events that a process keeps, in number: the oldest go first.
+# Number of events that a process keeps; the oldest are dropped first.
 RING_LENGTH = 4096
 
 
 class EventKind(StrEnum):
-    """What can be seen on the time line."""
+    """Kinds of events on the timeline."""
 
     ARRIVED = "arrived"
     JOINED = "joined"
@@ -47,8 +47,8 @@
 class Event(msgspec.Struct, frozen=True):
     """One event.
 
-    :param wall_ms: with ``logical`` the event's stamp.
-    :param request: id of the request that it belongs to, or empty.
+    :param wall_ms: wall time in milliseconds; together with ``logical`` the event's timestamp.
+    :param request: id of the request that the event belongs to, or empty.
     :param facts: details, as text.
     """
 
@@ -63,7 +63,7 @@
 class EventRing:
     """Keep the latest events of one process.
 
-    :param wall_ms: source of wall time, in milliseconds.
+    :param wall_ms: returns the wall time, in milliseconds.
     """
 
     def __init__(self, host: str, clock: HybridClock, wall_ms: Callable[[], int]) -> None:
@@ -73,20 +73,21 @@
         self._ring: deque[Event] = deque(maxlen=RING_LENGTH)
 
     def stamp(self) -> Stamp:
-        """Stamp an outgoing message.
+        """Return the timestamp of an outgoing message.
 
         :rtype: Stamp
         """
         return self._clock.tick(self._wall_ms())
 
     def observe(self, stamp: Stamp) -> None:
-        """Learn the stamp of an incoming message."""
+        """Advance the clock to the timestamp of an incoming message."""
         self._clock.observe(stamp, self._wall_ms())
 
     def add(self, kind: EventKind, request: str = "", **facts: object) -> Event:
-        """Add an event.
+        """Append an event.
 
-        :return: the event, with its stamp.
+        :param facts: details; each is stored as text.
+        :return: the event with its timestamp.
         """
         stamp = self.stamp()
         texts = {name: str(value) for name, value in facts.items()}
@@ -97,9 +98,9 @@
     def select(self, request: str = "", since_ms: int = 0, limit: int = RING_LENGTH) -> list[Event]:
         """List events, oldest first.
 
-        :param request: only those of one request.
-        :param since_ms: only those at or after this wall time, in milliseconds.
-        :param limit: the latest so many.
+        :param request: only events of the request with this id; empty selects all.
+        :param since_ms: only events at or after this wall time, in milliseconds.
+        :param limit: highest number of events; the latest are returned.
         :rtype: list[Event]
         """
         found = [
@@ -111,7 +112,7 @@
 
 
 def event_id(event: Event) -> str:
-    """Name an event over the whole fleet.
+    """Return the id of an event, unique in the fleet.
 
     :rtype: str
     """
--- a/packages/chalkyoke/src/chalkyoke/administration/exposition.py
+++ b/packages/chalkyoke/src/chalkyoke/administration/exposition.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.administration.exposition
 
-Write metrics in the common text exposition format.
+Rendering of metrics in the Prometheus text exposition format.
 """
 
 import resource
@@ -20,11 +20,12 @@
 from chalkyoke.administration.metrics import Labels, Metrics
 
 PREFIX = "chalkyoke_"
+# Exported quantiles of histograms, in percent.
 QUANTILES = (50.0, 90.0, 95.0, 99.0, 99.9)
 
 
 def write(metrics: Metrics) -> bytes:
-    """Write a page.
+    """Render all metrics and the processor time of the process.
 
     :rtype: bytes
     """
@@ -38,7 +39,7 @@
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Give all metrics, for the exposition library."""
+        """Yield all metrics to the exposition library."""
         for name, table in self._metrics.counters.items():
             names = _label_names(table)
             counter = CounterMetricFamily(PREFIX + name, name.replace("_", " "), labels=names)
@@ -62,8 +63,8 @@
 
 
 def _label_values(names: list[str], key: Labels) -> list[str]:
-    held = dict(key)
-    return [held.get(name, "") for name in names]
+    labels = dict(key)
+    return [labels.get(name, "") for name in names]
 
 
 def _quantiles(
--- a/packages/chalkyoke/src/chalkyoke/administration/metricspage.py
+++ b/packages/chalkyoke/src/chalkyoke/administration/metricspage.py
@@ -1,15 +1,15 @@
 """
 chalkyoke.administration.metricspage
 
-The page of metrics. The library that writes it is loaded only when the page is asked for: it costs
-some megabytes that most processes never need.
+The metrics page. The library that renders it is imported at the first request for the page, because
+it takes several megabytes that most processes never need.
 """
 
 from chalkyoke.administration.metrics import Metrics
 
 
 def metrics_page(metrics: Metrics) -> bytes:
-    """Write all metrics in the text exposition format.
+    """Render all metrics in the text exposition format.
 
     :rtype: bytes
     """
--- a/packages/chalkyoke/src/chalkyoke/cli.py
+++ b/packages/chalkyoke/src/chalkyoke/cli.py
@@ -14,7 +14,7 @@
 from chalkyoke.exceptions import InvariantBroken, SettingsError
 from chalkyoke.node.process import Node
 
-# What the program ends with: bad settings, an address that is taken, a broken promise.
+# Exit codes: invalid settings, an address that can't be listened on, a violated invariant.
 EXIT_SETTINGS = 2
 EXIT_ADDRESS = 3
 EXIT_INVARIANT = 70
--- a/packages/chalkyoke/src/chalkyoke/decimals.py
+++ b/packages/chalkyoke/src/chalkyoke/decimals.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.decimals
 
-Numbers as headers have them.
+Parsers for the numbers in headers.
 """
 
 from collections.abc import Iterable
@@ -9,10 +9,10 @@
 
 
 class SmallestDecimal(NamedTuple):
-    """The least of several numbers.
+    """The smallest of several numbers.
 
-    :ivar least: nothing where none of them could be read.
-    :ivar unreadable: whether one could not be read.
+    :ivar value: the smallest number; ``None`` when no text is a number.
+    :ivar unreadable: whether at least one text is not a number.
     """
 
     value: float | None
@@ -20,24 +20,24 @@
 
 
 def parse_integer(text: str) -> int:
-    """Read a number of digits; 0 where it is none."""
+    """Parse a whole number of ASCII digits; return 0 for any other text."""
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
 def parse_decimal(text: str) -> float | None:
-    """Read a number of digits with or without a fraction.
+    """Parse a number of ASCII digits with or without a fraction.
 
-    :return: nothing for a sign, an exponent or anything else that is no such number.
+    :return: ``None`` for any other text, such as one with a sign or an exponent.
     """
-    whole, _, part = text.strip().partition(".")
-    digits = whole + part
+    whole, _, fraction = text.strip().partition(".")
+    digits = whole + fraction
     if not whole or not digits.isascii() or not digits.isdigit():
         return None
-    return float(f"{whole}.{part or 0}")
+    return float(f"{whole}.{fraction or 0}")
 
 
 def parse_smallest_decimal(texts: Iterable[str]) -> SmallestDecimal:
-    """Read a header that may stand there more than once; the least is the safe one to keep to."""
-    read = [parse_decimal(text) for text in texts]
-    found = [each for each in read if each is not None]
-    return SmallestDecimal(min(found, default=None), len(found) < len(read))
+    """Parse the values of a repeated header; the smallest number is the safe one to respect."""
+    parsed = [parse_decimal(text) for text in texts]
+    numbers = [each for each in parsed if each is not None]
+    return SmallestDecimal(min(numbers, default=None), len(numbers) < len(parsed))
--- a/packages/chalkyoke/src/chalkyoke/eventloop.py
+++ b/packages/chalkyoke/src/chalkyoke/eventloop.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.eventloop
 
-The event loop of a node: its clock counts the time for which the host was suspended.
+The event loop of a node. Its clock includes the time during which the host was suspended.
 """
 
 import asyncio
@@ -11,26 +11,27 @@
 
 T = TypeVar("T")
 
-# The system's steady clock stands still while a host is suspended, so that after a sleep of 20 s
-# leases, quota windows, signs of life and news all look as fresh as before, and a node would spend
-# and promise on them. This one goes on. Where a system has no such clock, it is the steady one.
+# The monotonic clock stops while the host is suspended. After a suspension of 20 s, leases, quota
+# windows, heartbeats and reports would look as fresh as before, and a node would still grant and
+# spend on them. The boot-time clock keeps running; a system without it uses the monotonic clock.
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class BootTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop by whose clock all of a node reckons: timers, leases, idle times, ages.
+    """An event loop whose clock a node uses for all timers, leases, idle times and ages.
 
-    To a node, having been suspended is then the same as having been frozen. A timer that was
-    waited for meanwhile fires up to its own length after the host wakes, a quarter of a second for
-    the shortest that runs all the time, and by a clock that has gone on.
+    For a node, a suspension is therefore the same as a freeze. A timer that is pending during the
+    suspension fires after the host wakes up, with a delay of up to its own length: a quarter of a
+    second for the shortest permanent timer. Its callback reads a clock that includes the
+    suspension.
     """
 
     def time(self) -> float:
-        """Give the seconds since the host was started, those of its suspensions included."""
+        """Return the seconds since the host booted, including its suspensions."""
         return time.clock_gettime(_CLOCK)
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine in such a loop to its end."""
+    """Run a coroutine to its end in a :class:`BootTimeLoop`."""
     with asyncio.Runner(loop_factory=BootTimeLoop) as runner:
         return runner.run(main)
--- a/packages/chalkyoke/src/chalkyoke/exceptions.py
+++ b/packages/chalkyoke/src/chalkyoke/exceptions.py
@@ -1,21 +1,24 @@
 """
 chalkyoke.exceptions
 
-Every exception of chalkyoke, under one base. Outcomes of requests are values
-(:mod:`chalkyoke.outcomes`); what stands here ends a call or, for a broken invariant, the process.
+All exceptions of chalkyoke, under one base class. Outcomes of requests are values
+(:mod:`chalkyoke.outcomes`); an exception ends a call or, for a broken invariant, the process.
 """
 
 
 class ChalkyokeError(Exception):
-    """The base of every exception that chalkyoke raises."""
+    """Base class of all exceptions that chalkyoke raises."""
 
 
 class InvariantBroken(ChalkyokeError):
-    """A promise of the program does not hold; the process must stop with this report."""
+    """An invariant is violated; the process must stop and print the message."""
 
 
 class SettingsError(ChalkyokeError):
-    """The settings file is not usable; holds one line for each mistake."""
+    """The settings file is invalid.
+
+    :ivar problems: one line for each mistake.
+    """
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("\n".join(problems))
@@ -27,23 +30,23 @@
 
 
 class StoreError(ChalkyokeError):
-    """The platform's key-value service gave no usable answer."""
+    """The platform's key-value service returned no usable answer."""
 
 
 class StoreUnavailable(StoreError):
-    """The call did not take effect: the service was not reached or refused it."""
+    """The call has not taken effect: the service was unreachable or refused the call."""
 
 
 class StoreAnswerLost(StoreError):
-    """The call may or may not have taken effect: its answer was lost."""
+    """The answer was lost, so the call may or may not have taken effect."""
 
 
 class ProtocolError(ChalkyokeError):
-    """A peer or an upstream sent bytes that do not follow its protocol."""
+    """A peer or an upstream sent bytes that violate its protocol."""
 
 
 class UnknownKind(ProtocolError):
-    """A whole frame of a kind that this version does not know; the link goes on."""
+    """A complete frame has a kind that this version doesn't know; the link stays open."""
 
     def __init__(self, kind: str) -> None:
         super().__init__(f"unreadable frame: of unknown kind {kind!r}")
--- a/packages/chalkyoke/src/chalkyoke/gatewayd.py
+++ b/packages/chalkyoke/src/chalkyoke/gatewayd.py
@@ -1,8 +1,9 @@
 """
 chalkyoke.gatewayd
 
-Start a gateway node: ``python3 -m chalkyoke.gatewayd``. It loads as little as it can, because a
-start costs processor time just when requests wait for it; ``chalkyoke gateway`` does the same.
+Start a gateway node: ``python3 -m chalkyoke.gatewayd``. The module imports as little as possible,
+because a start uses processor time while requests wait for it. ``chalkyoke gateway`` starts the
+same node.
 """
 
 import asyncio
@@ -19,15 +20,19 @@
 from chalkyoke.platform.start import platform_parts
 
 SETTINGS_VARIABLE = "CHALKYOKE_BOOT"
-# What the program ends with: bad settings, an address that is taken, a broken promise.
+# Exit codes: invalid settings, an address that can't be listened on, a violated invariant.
 EXIT_SETTINGS = 2
 EXIT_ADDRESS = 3
 EXIT_INVARIANT = 70
+# File descriptor of standard output.
 STANDARD_OUTPUT = 1
 
 
 async def serve(settings: GatewaySettings, path: Path) -> None:
-    """Serve until a planned stop is through."""
+    """Run the node and its log until a planned stop is complete.
+
+    :param path: the settings file, for a reload.
+    """
     loop = asyncio.get_running_loop()
     started = loop.time()
     writer = LineWriter(STANDARD_OUTPUT, loop.call_later)
@@ -47,9 +52,9 @@
 
 
 def check(path: Path) -> int:
-    """Check the settings of a gateway node, and print each mistake.
+    """Check the settings of a gateway node and print each mistake to standard error.
 
-    :return: the process's exit status.
+    :return: exit code of the process.
     """
     try:
         load(path)
@@ -61,10 +66,10 @@
 
 
 def run(path: Path) -> int:
-    """Run a gateway node.
+    """Run a gateway node until a planned stop.
 
-    :param path: of its settings.
-    :return: the process's exit status.
+    :param path: the settings file.
+    :return: exit code of the process.
     """
     status = check(path)
     if status:
@@ -81,7 +86,7 @@
 
 
 def main() -> None:
-    """Run the node whose settings the environment or the first argument names."""
+    """Run the node with the settings file from the first argument or :data:`SETTINGS_VARIABLE`."""
     path = sys.argv[1] if len(sys.argv) > 1 else os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         print(f"name the settings file, or set {SETTINGS_VARIABLE}", file=sys.stderr)
--- a/packages/chalkyoke/src/chalkyoke/http1/calls.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/calls.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.http1.calls
 
-Short calls whose answer is read whole, as on a store.
+Short HTTP calls whose answer is read completely, such as calls to a store.
 """
 
 import asyncio
@@ -12,18 +12,19 @@
 from chalkyoke.http1.messages import AnswerHead, Headers, encode_request_head
 from chalkyoke.http1.pool import ConnectFailure, ConnectionPool
 
-# How long opening a connection may take, in seconds: some round trips to another region.
+# Longest time to open a connection, in seconds: several round trips to another region.
 CONNECT_TIMEOUT_S = 0.5
-# Connections to one address at most: a watch, a lease and a listing at once, and as many lost.
+# Highest number of connections to one address: a watch, a lease and a listing at the same time, and
+# as many that are lost.
 MAX_CONNECTIONS = 8
-# How old a kept connection may be, in seconds: below what servers usually keep.
+# Longest idle time of a reused connection, in seconds: less than servers usually keep one open.
 MAX_IDLE_S = 8.0
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
-    """A whole answer.
+    """A complete answer.
 
-    :param headers: in their order, names as they were sent.
+    :param headers: in the order received, with their names as sent.
     """
 
     status: int
@@ -32,9 +33,9 @@
 
 
 class CallFailed(msgspec.Struct, frozen=True):
-    """No whole answer.
+    """A call without a complete answer.
 
-    :param sent: whether the call may have been carried out.
+    :param sent: whether the server may have carried out the call.
     """
 
     reason: str
@@ -42,7 +43,7 @@
 
 
 class _AnswerCollector:
-    """Collects an answer."""
+    """Collects an answer and resolves the future with it."""
 
     def __init__(self, future: "asyncio.Future[CallAnswer | CallFailed]") -> None:
         self._future = future
@@ -67,7 +68,7 @@
 
 
 class HttpClient:
-    """Make calls on one address; every outcome is a value.
+    """Make calls to one address; a failed call returns :class:`CallFailed` and raises nothing.
 
     :param address: ``ip:port``.
     """
@@ -83,8 +84,9 @@
     ) -> CallAnswer | CallFailed:
         """Make one call.
 
-        :param body: JSON, or nothing.
-        :param timeout_s: for the whole call, connecting included.
+        :param body: JSON, or ``None`` for a call without a body.
+        :param timeout_s: limit for connecting, which also ends after :data:`CONNECT_TIMEOUT_S`, and
+            again for the exchange, in seconds.
         """
         connection = await self._pool.connect(
             self._ip,
@@ -111,8 +113,8 @@
             async with asyncio.timeout(timeout_s):
                 answer = await future
         except TimeoutError:
-            # A connection on which an answer was lost says nothing further, and the other ones may
-            # have gone silent with it: the next call takes a new one.
+            # The connection can't be reused after a lost answer, and the idle connections to the
+            # address may be dead too, so the next call opens a new one.
             connection.cancel()
             self._pool.abort_idle(self._ip, self._port)
             return CallFailed("timed out", sent=True)
--- a/packages/chalkyoke/src/chalkyoke/http1/client.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/client.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.http1.client
 
-The upstreams' side: one connection to an upstream, one request at a time on it.
+The client side of HTTP/1.1: a connection to an upstream, with one request at a time.
 """
 
 import asyncio
@@ -13,16 +13,16 @@
 
 from chalkyoke.http1.messages import AnswerHead, Headers, connection_options
 
-# The last status that announces another answer (RFC 9110).
+# Highest status of an interim answer, which another answer follows (RFC 9110).
 MAX_INFORMATIONAL_STATUS = 199
 BODILESS_STATUSES = frozenset((204, 304))
-# An answer with a longer head, in bytes, is not read: a bound on memory, four times what callers
-# may send.
+# Largest answer head, in bytes; an answer with a larger head is skipped. It bounds memory at four
+# times the head that callers may send.
 MAX_ANSWER_HEAD_BYTES = 65_536
 
 
 class BreakReason(StrEnum):
-    """How an exchange ended without a whole answer."""
+    """Why an exchange ended without a complete answer."""
 
     CLOSED = "closed"
     RESET = "reset"
@@ -31,19 +31,22 @@
 
 
 class AnswerSink(Protocol):
-    """Takes one answer as it comes. ``answer_end`` or ``answer_broken`` is called once, last."""
+    """Receives one answer as a stream. The last call is one ``answer_end`` or ``answer_broken``."""
 
     def answer_head(self, head: AnswerHead) -> None:
-        """Take the head."""
+        """Receive the head."""
 
     def answer_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Receive a part of the body."""
 
     def answer_end(self) -> None:
-        """Learn that the answer is whole."""
+        """Handle the end of a complete answer."""
 
     def answer_broken(self, how: BreakReason) -> None:
-        """Learn that no more of the answer comes."""
+        """Handle the end of an incomplete answer.
+
+        :param how: why the exchange broke.
+        """
 
 
 AnswerMatcher = Callable[[Headers], bool]
@@ -52,12 +55,13 @@
 class ClientConnection(asyncio.Protocol):
     """One connection to an upstream.
 
-    An answer that belongs to another request is skipped, and bytes that come while no request is
-    in progress close the connection: they belong to no request.
+    An answer to another request is skipped. Bytes that arrive while no request is in progress
+    abort the connection, because they belong to no request.
 
     :ivar idle_since: when the last answer ended, on the loop's clock.
-    :ivar keep_alive_s: how long the upstream says that it keeps the connection; 0 where it does
-        not say.
+    :ivar keep_alive_s: seconds for which the upstream announces to keep an idle connection; 0
+        when it announces nothing.
+    :ivar on_close: called once when the connection has closed.
     """
 
     def __init__(self) -> None:
@@ -78,14 +82,17 @@
         self._skipping = False
         self._until_close = False
 
-    # The connection.
+    # Connection events.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what is in progress; an answer that ends with its connection may be whole."""
+        """End the exchange in progress.
+
+        An answer without a length is complete when the upstream closes without an error.
+        """
         self.closed = True
         if self.on_close is not None:
             self.on_close(self)
@@ -98,11 +105,11 @@
             self._break_exchange(BreakReason.CLOSED if exc is None else BreakReason.RESET)
 
     def eof_received(self) -> bool:
-        """Close this side too."""
+        """Close this side too when the upstream closes its side."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received bytes, or abort the connection when no request is in progress."""
         if self._sink is None:
             self._unusable = True
             self.transport.abort()
@@ -112,17 +119,17 @@
         except httptools.HttpParserUpgrade:
             self._abort_garbled()
         except httptools.HttpParserError:
-            # Bytes after a whole answer belong to nobody; the answer itself stands.
+            # Bytes after a complete answer belong to no request; the answer stays valid.
             if self._sink is None:
                 self.transport.abort()
             else:
                 self._abort_garbled()
 
-    # One exchange.
+    # Exchanges.
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent."""
+        """Whether the connection can carry another request."""
         return (
             self._sink is None
             and not self._unusable
@@ -131,64 +138,72 @@
         )
 
     def send(
-        self, data: bytes, sink: AnswerSink, belongs: AnswerMatcher, *, bodiless: bool = False
+        self,
+        data: bytes,
+        sink: AnswerSink,
+        matches_request: AnswerMatcher,
+        *,
+        bodiless: bool = False,
     ) -> None:
-        """Send a request; from here on it may have run.
+        """Send a request; from this call on the upstream may have run it.
 
         :param data: head and body.
-        :param belongs: tells by its headers whether an answer belongs to the request.
+        :param matches_request: tests by its headers whether an answer belongs to the request.
         :param bodiless: whether the answer has no body whatever its head says (``HEAD``).
         """
-        self._sink, self._matches_request, self._bodiless = sink, belongs, bodiless
+        self._sink, self._matches_request, self._bodiless = sink, matches_request, bodiless
         self._reset_message()
         self.transport.write(data)
 
     def cancel(self) -> None:
-        """Drop the exchange and the connection; the sink is told nothing more."""
+        """Abort the connection without any further call to the sink."""
         self._sink = None
         self.transport.abort()
 
     def abort_as_reset(self) -> None:
-        """End the exchange as one that the upstream broke off: it has ended, if silently."""
+        """Abort the connection and report the exchange as reset by the upstream.
+
+        This is for an upstream whose process has ended without closing its connections.
+        """
         self._break_exchange(BreakReason.RESET)
         self.transport.abort()
 
     def pause(self) -> None:
-        """Stop to read."""
+        """Pause reading."""
         if not self.transport.is_closing():
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
     # Parser events.
 
     def on_message_begin(self) -> None:
-        """Begin an answer; one that comes after the expected one is stray."""
+        """Start an answer; one after the expected answer makes the connection unusable."""
         if self._sink is None:
             self._unusable = True
         self._reset_message()
 
     def on_status(self, status: bytes) -> None:
-        """Take a part of the reason phrase."""
+        """Append a part of the reason phrase."""
         self._reason += status
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Append a header, up to :data:`MAX_ANSWER_HEAD_BYTES` in all."""
         self._head_size += len(name) + len(value)
         if self._head_size <= MAX_ANSWER_HEAD_BYTES:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on, if the answer belongs to the request."""
-        sink, belongs = self._sink, self._matches_request
+        """Pass the head to the sink if the answer belongs to the request, else skip the answer."""
+        sink, matches_request = self._sink, self._matches_request
         status = self._parser.get_status_code()
-        if sink is None or belongs is None or status <= MAX_INFORMATIONAL_STATUS:
+        if sink is None or matches_request is None or status <= MAX_INFORMATIONAL_STATUS:
             self._skipping = True
             return
-        if self._head_size > MAX_ANSWER_HEAD_BYTES or not belongs(self._headers):
+        if self._head_size > MAX_ANSWER_HEAD_BYTES or not matches_request(self._headers):
             self._skipping = True
             return
         length = self._declared_length(status)
@@ -196,12 +211,12 @@
         sink.answer_head(self._head)
 
     def on_body(self, body: bytes) -> None:
-        """Pass a part of the body on."""
+        """Pass a part of the body to the sink."""
         if self._sink is not None and not self._skipping:
             self._sink.answer_data(body)
 
     def on_message_complete(self) -> None:
-        """End an answer; after a skipped one the expected one may still come."""
+        """End the exchange; after a skipped answer the expected one may still follow."""
         if not self._skipping and self._sink is not None:
             self._finish(whole=True)
 
@@ -227,7 +242,7 @@
         self._skipping = False
         self._until_close = False
 
-    # Ends.
+    # Ends of exchanges.
 
     def _finish(self, *, whole: bool) -> None:
         sink, self._sink = self._sink, None
--- a/packages/chalkyoke/src/chalkyoke/http1/connection_limit.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/connection_limit.py
@@ -1,23 +1,23 @@
 """
 chalkyoke.http1.connection_limit
 
-Room for new callers: where their connections come near the bound, those that have been at rest
-for the longest close, so that a process that says it is ready can take new ones.
+The limit on callers' connections. Above it, the connections that have been idle for the longest
+are closed, so that a process that reports itself ready can accept new callers.
 """
 
 import heapq
 from collections.abc import Collection
 from typing import Protocol
 
-# The part of a process's descriptors that callers' connections may use. The rest is for upstreams,
-# links, the store and files.
+# Share of a process's file descriptors that callers' connections may use. The rest is for
+# upstreams, links, the store and files.
 CALLER_DESCRIPTOR_SHARE = 0.6
-# The part of the bound that is made free at once, so that the search is not made for each caller.
+# Share of the limit that is freed in addition, so that not every new connection causes a search.
 FREED_CONNECTIONS_SHARE = 0.02
 
 
 class IdleClosable(Protocol):
-    """A caller's connection."""
+    """A caller's connection that can be closed while it is idle."""
 
     @property
     def idle(self) -> bool:
@@ -28,28 +28,31 @@
         """When the last answer ended, in seconds on the loop's clock."""
 
     def close_gracefully(self) -> None:
-        """Close; at once where it is at rest."""
+        """Close after the request in progress, or at once if the connection is idle."""
 
 
 def max_caller_connections(descriptors: int) -> int:
-    """Bound the callers' connections of a process.
+    """Return the highest number of callers' connections of a process; at least 1.
 
-    :param descriptors: how many descriptors it may have open.
+    :param descriptors: number of file descriptors that the process may have open.
     :rtype: int
     """
     return max(1, int(descriptors * CALLER_DESCRIPTOR_SHARE))
 
 
-def close_idle_connections(connections: Collection[IdleClosable], most: int) -> int:
-    """Close connections at rest, the longest first, where there are more than the bound.
+def close_idle_connections(connections: Collection[IdleClosable], limit: int) -> int:
+    """Close the connections that have been idle for the longest while the limit is exceeded.
 
-    :return: how many were closed; callers in the middle of a request are never among them.
+    Connections with a request in progress stay open.
+
+    :param limit: highest number of connections.
+    :return: the number of closed connections.
     """
-    if len(connections) <= most:
+    if len(connections) <= limit:
         return 0
-    wanted = len(connections) - most + int(most * FREED_CONNECTIONS_SHARE)
-    at_rest = (each for each in connections if each.idle)
-    longest = heapq.nsmallest(wanted, at_rest, key=lambda each: each.idle_since)
-    for each in longest:
-        each.close_gracefully()
-    return len(longest)
+    excess = len(connections) - limit + int(limit * FREED_CONNECTIONS_SHARE)
+    idle = (each for each in connections if each.idle)
+    longest_idle = heapq.nsmallest(excess, idle, key=lambda each: each.idle_since)
+    for connection in longest_idle:
+        connection.close_gracefully()
+    return len(longest_idle)
--- a/packages/chalkyoke/src/chalkyoke/http1/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/messages.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.http1.messages
 
-Requests and answers as they are on the wire, without any meaning.
+HTTP/1.1 requests and answers in their wire form, without interpretation of the headers' meaning.
 """
 
 from http import HTTPStatus
@@ -29,10 +29,10 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """One request, read whole.
+    """A complete request.
 
     :param target: the request target, byte for byte.
-    :param headers: in their order, names as they were sent.
+    :param headers: in the order received, with their names as sent.
     """
 
     method: bytes
@@ -44,7 +44,7 @@
 class AnswerHead(msgspec.Struct, frozen=True):
     """Status line and headers of an answer.
 
-    :param length: length of the body in bytes, where the head tells it.
+    :param length: length of the body in bytes, or ``None`` when the head does not state it.
     """
 
     status: int
@@ -54,7 +54,7 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Find the first header of a name.
+    """Return the value of the first header with a name.
 
     :param name: in lower case.
     :rtype: bytes or None
@@ -65,22 +65,22 @@
     return None
 
 
-def find_integer(headers: Headers, name: bytes, most: int) -> int:
-    """Read the first header of a name as a whole number; 0 where it is none.
+def find_integer(headers: Headers, name: bytes, maximum: int) -> int:
+    """Parse the first header with a name as a whole number; 0 when it is absent or not a number.
 
     :param name: in lower case.
-    :param most: a larger number is taken for none.
+    :param maximum: a larger number counts as absent.
     :rtype: int
     """
-    found = find_header(headers, name)
-    number = 0 if found is None else parse_integer(found.decode("latin-1"))
-    return number if number <= most else 0
+    text = find_header(headers, name)
+    number = 0 if text is None else parse_integer(text.decode("latin-1"))
+    return number if number <= maximum else 0
 
 
 def end_to_end_headers(headers: Headers, keep: frozenset[bytes] = frozenset()) -> Headers:
-    """Leave out the headers that concern a single connection only.
+    """Remove the hop-by-hop headers.
 
-    :param keep: names in lower case that a ``Connection`` header can't take away.
+    :param keep: names in lower case that stay even if a ``Connection`` header lists them.
     :rtype: Headers
     """
     named = connection_options(headers) - keep
@@ -92,7 +92,7 @@
 
 
 def connection_options(headers: Headers) -> frozenset[bytes]:
-    """List what the ``Connection`` headers name, in lower case.
+    """Return the options of all ``Connection`` headers, in lower case.
 
     :rtype: frozenset[bytes]
     """
@@ -108,9 +108,9 @@
 def encode_request_head(
     method: bytes, target: bytes, headers: Headers, length: int | None
 ) -> bytes:
-    """Write the head of a request.
+    """Encode the head of a request.
 
-    :param length: length of the body; ``None`` where there is none.
+    :param length: length of the body in bytes; ``None`` when there is no body.
     :rtype: bytes
     """
     parts = [method, b" ", target, b" HTTP/1.1\r\n"]
@@ -122,10 +122,10 @@
 
 
 def encode_answer_head(head: AnswerHead, *, close: bool, chunked: bool) -> bytes:
-    """Write the head of an answer.
+    """Encode the head of an answer.
 
-    :param close: whether the connection ends after the answer.
-    :param chunked: whether the body comes in chunks; else its length is ``head.length``.
+    :param close: whether the connection closes after the answer.
+    :param chunked: whether the body is sent in chunks; else its length is ``head.length``.
     :rtype: bytes
     """
     parts = [b"HTTP/1.1 %d " % head.status, head.reason, b"\r\n"]
@@ -141,7 +141,7 @@
 
 
 def reason_phrase(status: int) -> bytes:
-    """Give the usual reason phrase of a status.
+    """Return the standard reason phrase of a status, or ``Unknown``.
 
     :rtype: bytes
     """
--- a/packages/chalkyoke/src/chalkyoke/http1/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/pool.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.http1.pool
 
-Kept connections to upstreams, by address.
+A pool of idle connections to upstreams, by address.
 """
 
 import asyncio
@@ -12,17 +12,18 @@
 from chalkyoke.http1.client import ClientConnection
 from chalkyoke.sockets import set_user_timeout
 
-# How long a connection is kept whose upstream does not say how long it keeps it, in seconds.
+# Longest idle time of a connection whose upstream announces no keep-alive time, in seconds.
 DEFAULT_IDLE_LIMIT_S = 20.0
-# How much sooner than an upstream says a connection is given up, in seconds: it tells whole ones.
+# Seconds by which an idle connection is closed before the time that its upstream announces, because
+# upstreams announce whole seconds.
 KEEP_ALIVE_MARGIN_S = 1.0
-# How long bytes may stay unconfirmed before the system gives a connection up, in milliseconds: less
-# than the 3 s that operators forgive a disturbed connection.
+# Milliseconds that sent bytes may stay unacknowledged before the operating system closes a
+# connection: less than the 3 s of disturbance that operators tolerate on a connection.
 USER_TIMEOUT_MS = 2500
 
 
 class ConnectFailure(StrEnum):
-    """Why there is no connection. Nothing was sent in any of these cases."""
+    """Why no connection was obtained. Nothing has been sent in any of these cases."""
 
     REFUSED = "refused"
     TIMED_OUT = "timed_out"
@@ -35,7 +36,9 @@
 
 
 class ConnectionPool:
-    """Keep connections to upstreams.
+    """Open connections to upstreams and keep idle ones for reuse.
+
+    :ivar opened_connections: number of connections opened so far.
 
     Usage::
 
@@ -50,25 +53,25 @@
     async def connect(
         self, ip: str, port: int, *, limit: int, timeout_s: float, fresh_s: float
     ) -> ClientConnection | ConnectFailure:
-        """Take a kept connection, or open one.
+        """Reuse an idle connection, or open a new one.
 
-        :param limit: connections at most to this address.
-        :param timeout_s: how long the opening may take.
-        :param fresh_s: a kept connection is taken only if it was used within this time.
+        :param limit: highest number of open connections to this address.
+        :param timeout_s: limit for opening a connection, in seconds.
+        :param fresh_s: longest idle time of a reused connection, in seconds.
         """
         entry = self._addresses.setdefault((ip, port), _AddressEntry())
-        kept = self._take_idle(entry, fresh_s)
-        if kept is not None:
-            return kept
+        idle = self._take_idle(entry, fresh_s)
+        if idle is not None:
+            return idle
         return await self.open(ip, port, limit=limit, timeout_s=timeout_s)
 
     async def open(
         self, ip: str, port: int, *, limit: int, timeout_s: float
     ) -> ClientConnection | ConnectFailure:
-        """Open a connection, also where some are kept.
+        """Open a new connection even if idle ones exist.
 
-        :param limit: connections at most to this address.
-        :param timeout_s: how long the opening may take.
+        :param limit: highest number of open connections to this address.
+        :param timeout_s: limit for opening the connection, in seconds.
         """
         entry = self._addresses.setdefault((ip, port), _AddressEntry())
         if entry.open >= limit:
@@ -95,7 +98,7 @@
         return connection
 
     def release(self, ip: str, port: int, connection: ClientConnection) -> None:
-        """Keep a connection whose answer has ended, if it can serve again."""
+        """Return a connection to the pool after its exchange, or close it if it can't be reused."""
         entry = self._addresses.get((ip, port))
         if entry is None or not connection.reusable:
             if not connection.closed:
@@ -104,7 +107,7 @@
         entry.idle.append(connection)
 
     def abort_idle(self, ip: str, port: int) -> None:
-        """Close the kept connections to an address, since they may have gone silent."""
+        """Abort the idle connections to an address, because they may be dead."""
         entry = self._addresses.get((ip, port))
         if entry is None:
             return
@@ -113,7 +116,7 @@
         entry.idle.clear()
 
     def close_expired(self) -> None:
-        """Close what has been idle for too long; call about once a second."""
+        """Close connections that have been idle for too long; call about once a second."""
         now = self._loop.time()
         for key, entry in list(self._addresses.items()):
             for connection in list(entry.idle):
@@ -126,7 +129,7 @@
                 del self._addresses[key]
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Abort all idle connections."""
         for entry in self._addresses.values():
             for connection in entry.idle:
                 connection.transport.abort()
--- a/packages/chalkyoke/src/chalkyoke/http1/server.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/server.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.http1.server
 
-The callers' side: one connection of a caller, its requests one after the other.
+The server side of HTTP/1.1: reads the requests of a caller's connection and answers them in order.
 """
 
 import asyncio
@@ -21,12 +21,14 @@
     reason_phrase,
 )
 
-# Requests that may wait on one connection, in number; beyond it is not read on.
+# Number of complete requests that may wait on one connection; at this number the connection stops
+# reading.
 MAX_PIPELINED_REQUESTS = 16
-# How long a connection stays open after its last answer, in seconds, so that the caller reads it
-# before the close reaches it.
+# Seconds that a connection stays open after its last answer, so that the caller can read the answer
+# before it sees the close.
 LINGER_S = 1.0
-# The slowest upload that is waited for, in bytes a second: a bound on held connections.
+# Lowest accepted upload rate, in bytes per second. It bounds how long a slow upload occupies a
+# connection.
 MIN_BODY_BYTES_PER_S = 20_000
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
@@ -34,10 +36,12 @@
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send.
+    """Limits for the requests and the connections of callers.
 
-    :param header_timeout_s: from the first byte of a request to the end of its head.
-    :param idle_timeout_s: how long a connection may be at rest.
+    :param header_bytes: largest request head, in bytes.
+    :param body_bytes: largest request body, in bytes.
+    :param header_timeout_s: seconds from the first byte of a request to the end of its head.
+    :param idle_timeout_s: seconds that a connection may stay idle before it is closed.
     """
 
     header_bytes: int = 16_384
@@ -47,20 +51,28 @@
 
 
 class RequestHandler(Protocol):
-    """A request that is being answered."""
+    """Handles one request while its answer is in progress."""
 
     def caller_left(self) -> None:
-        """Learn that nobody waits for the answer any more."""
+        """Stop the work, because the caller has closed its connection."""
 
     def caller_can_read(self, can_read: bool) -> None:
-        """Learn that the caller reads too slowly, or that it has caught up."""
+        """Pause or resume the work by the state of the caller's write buffer.
+
+        :param can_read: false while the caller reads more slowly than the answer is sent.
+        """
 
 
 StartHandler = Callable[[Request, "ResponseWriter"], RequestHandler]
 
 
 class ResponseWriter:
-    """The way back to the caller of one request."""
+    """Write the answer to one request.
+
+    :param bodiless: whether the answer has no body whatever its head says (``HEAD``).
+    :ivar head_sent: whether the head has been sent.
+    :ivar finished: whether the answer is finished or aborted; later calls have no effect.
+    """
 
     __slots__ = ("_bodiless", "_chunked", "_connection", "_unsent_bytes", "finished", "head_sent")
 
@@ -73,7 +85,7 @@
         self.finished = False
 
     def send_head(self, head: AnswerHead, data: bytes = b"") -> None:
-        """Send the head, and the first bytes of the body with it."""
+        """Send the head together with the first bytes of the body."""
         if self.finished:
             return
         self.head_sent = True
@@ -87,7 +99,7 @@
             self.send_body(data)
 
     def send_body(self, data: bytes) -> None:
-        """Send more of the body."""
+        """Send the next part of the body."""
         if self.finished or self._bodiless or not data:
             return
         if self._chunked:
@@ -97,7 +109,7 @@
         self._connection.write(data)
 
     def finish(self) -> None:
-        """End the answer; one whose length does not fit ends visibly broken."""
+        """Finish the answer, or abort it when the body does not have the announced length."""
         if self.finished:
             return
         if not self._chunked and not self._bodiless and self._unsent_bytes != 0:
@@ -107,7 +119,7 @@
         self._connection.finish_answer(LAST_CHUNK if self._chunked else b"")
 
     def abort(self) -> None:
-        """Break the answer off, so that it can't be taken for a whole one."""
+        """Abort the connection, so that the caller doesn't accept a partial answer as complete."""
         if self.finished:
             return
         self.finished = True
@@ -115,13 +127,15 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a caller.
+    """Serve one connection of a caller.
 
-    :param start: begins the work on one request.
-    :param limits: gives the limits in force.
-    :param connections: the set in which the connection lists itself while it is open.
-    :param opened: called when the connection is open and listed.
+    :param start: starts the handler of one request.
+    :param limits: returns the limits in force.
+    :param connections: the set of open connections; it contains the connection while it is open.
+    :param opened: called when the connection is open and in the set.
     :ivar idle_since: when the last answer ended, in seconds on the loop's clock.
+    :ivar closes_after_answer: whether the connection closes after the answer in progress.
+    :ivar stopping: whether a planned stop has begun.
     """
 
     def __init__(
@@ -158,17 +172,17 @@
         self._headers: Headers = []
         self._body: list[bytes] = []
 
-    # The connection.
+    # Connection events.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin."""
+        """Register the connection and start its idle timeout."""
         self.transport = cast(asyncio.Transport, transport)
         self._connections.add(self)
         self._on_opened()
         self._set_timer(self._limits().idle_timeout_s)
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Tell the work in progress that its caller has left."""
+        """Notify the handler in progress that the caller has disconnected."""
         self._connections.discard(self)
         self._cancel_timer()
         self._waiting_requests.clear()
@@ -179,21 +193,21 @@
             work.caller_left()
 
     def eof_received(self) -> bool:
-        """Take a caller that closes its side for one that has left."""
+        """Close the connection when the caller closes its side."""
         return False
 
     def pause_writing(self) -> None:
-        """Hold the work back while the caller reads too slowly."""
+        """Pause the handler while the caller reads too slowly."""
         if self._handler is not None:
             self._handler.caller_can_read(False)
 
     def resume_writing(self) -> None:
-        """Let the work go on."""
+        """Resume the handler."""
         if self._handler is not None:
             self._handler.caller_can_read(True)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received bytes; after a refusal or the last request they are ignored."""
         if self._refused or self._last_request_read:
             return
         if not self._in_message:
@@ -219,7 +233,10 @@
         return self._handler is None and not self._waiting_requests and not self._in_message
 
     def close_gracefully(self) -> None:
-        """Announce the end with the next answer; a connection at rest closes at once."""
+        """Close after the request in progress; an idle connection closes at once.
+
+        The answer in progress announces the close with ``Connection: close``.
+        """
         self.stopping = True
         if self._handler is not None:
             self.closes_after_answer = True
@@ -229,21 +246,21 @@
     # Parser events.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Mark the start of a request."""
         self._in_message = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
         self._head_size += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Append a header to the request."""
         self._head_size += len(name) + len(value) + 4
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head as a whole."""
+        """Check the complete head and refuse the request when it breaks a limit or a rule."""
         self._head_complete = True
         limits = self._limits()
         if self._head_size > limits.header_bytes:
@@ -263,7 +280,7 @@
             self.write(CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body, or refuse the request when the body is too large."""
         if self._refused:
             return
         self._body_size += len(body)
@@ -273,7 +290,7 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Queue a whole request."""
+        """Queue the complete request, and start it when no other is in progress."""
         if self._refused:
             return
         request = Request(
@@ -282,10 +299,10 @@
             self._headers,
             b"".join(self._body),
         )
-        keep = self._parser.should_keep_alive() and not self._last_request_read
+        keep_alive = self._parser.should_keep_alive() and not self._last_request_read
         if b"close" in connection_options(self._headers):
-            keep = False
-        self._waiting_requests.append((request, keep, request.method == b"HEAD"))
+            keep_alive = False
+        self._waiting_requests.append((request, keep_alive, request.method == b"HEAD"))
         self._reset_message()
         if self._handler is None:
             self._start_next_request()
@@ -316,22 +333,25 @@
             self._set_timer(self._limits().idle_timeout_s)
             return
         self._cancel_timer()
-        request, keep, bodiless = self._waiting_requests.popleft()
+        request, keep_alive, bodiless = self._waiting_requests.popleft()
         if self._paused and len(self._waiting_requests) < MAX_PIPELINED_REQUESTS:
             self._paused = False
             self.transport.resume_reading()
-        self.closes_after_answer = not keep or self.stopping
+        self.closes_after_answer = not keep_alive or self.stopping
         self._response_writer = ResponseWriter(self, bodiless)
         self._handler = self._start_handler(request, self._response_writer)
         if self._response_writer.finished:
             self._handler = None
 
-    def finish_answer(self, rest: bytes) -> None:
-        """End the answer in progress, and go on with the next request."""
+    def finish_answer(self, final_bytes: bytes) -> None:
+        """Finish the answer in progress, then start the next request or close the connection.
+
+        :param final_bytes: the last bytes of the answer.
+        """
         self._handler = None
         self.idle_since = self._loop.time()
-        if rest:
-            self.write(rest)
+        if final_bytes:
+            self.write(final_bytes)
         if self.closes_after_answer:
             self._close_after_linger()
             return
@@ -345,13 +365,13 @@
             self._start_next_request()
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Abort the connection and discard unsent bytes."""
         self._handler = None
         self._write_buffer.clear()
         self.transport.abort()
 
     def write(self, data: bytes) -> None:
-        """Send bytes; what comes in one turn of the loop goes out in one call."""
+        """Buffer bytes; one loop iteration's bytes are written in one call."""
         self._write_buffer.append(data)
         if not self._flushing:
             self._flushing = True
@@ -364,12 +384,15 @@
         self._write_buffer.clear()
 
     def _refuse(self, status: int) -> None:
-        """Answer a request that can't be taken, then close; nothing of it is passed on."""
+        """Answer an unacceptable request with an error status and close.
+
+        No part of the request reaches a handler.
+        """
         if self._refused:
             return
         self._refused = True
         if self._handler is not None:
-            # An earlier request is still being answered; what follows it is not taken.
+            # An earlier request is still being answered; the requests after it are discarded.
             self.closes_after_answer = True
             self._waiting_requests.clear()
             return
@@ -378,7 +401,11 @@
         self._close_after_linger()
 
     def _close_after_linger(self) -> None:
-        """Close after the caller had time to read: closing over unread bytes would reset."""
+        """Close after :data:`LINGER_S`.
+
+        Closing a socket with unread input resets the connection, and the caller could lose the
+        answer.
+        """
         self._refused = True
         self._flush()
         if self.transport.is_closing():
@@ -388,7 +415,7 @@
         self._cancel_timer()
         self._timer = self._loop.call_later(LINGER_S, self.transport.close)
 
-    # Time.
+    # Timeouts.
 
     def _set_timer(self, seconds: float) -> None:
         self._cancel_timer()
--- a/packages/chalkyoke/src/chalkyoke/http1/tests/test_calls.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/tests/test_calls.py
@@ -5,20 +5,20 @@
 
 from tests import virtual
 
-from .transports import KeptTransport
+from .transports import RecordingTransport
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class Server:
-    """Opens connections that answer each call, until they go silent."""
+    """Opens connections that answer each call until they are listed in ``silent``."""
 
     def __init__(self):
         self.opened = []
         self.silent = set()
 
     async def create_connection(self, factory, ip, port):
-        connection, transport = factory(), KeptTransport()
+        connection, transport = factory(), RecordingTransport()
         connection.connection_made(transport)
         self.opened.append(connection)
         write = transport.write
@@ -32,7 +32,7 @@
         return transport, connection
 
 
-def test_a_call_after_a_silent_one_takes_a_new_connection():
+def test_call_after_a_timeout_opens_a_new_connection():
     async def main():
         server, pool = Server(), ConnectionPool()
         asyncio.get_running_loop().create_connection = server.create_connection
--- a/packages/chalkyoke/src/chalkyoke/http1/tests/test_server.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/tests/test_server.py
@@ -6,13 +6,13 @@
 
 from tests import virtual
 
-from .transports import KeptTransport
+from .transports import RecordingTransport
 
 LIMITS = ServerLimits(header_bytes=400, body_bytes=50, header_timeout_s=0.02, idle_timeout_s=5)
 GOOD = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-class Work:
+class Handler:
     def __init__(self):
         self.left = False
         self.readable = []
@@ -25,28 +25,28 @@
 
 
 class Caller:
-    """One connection whose requests are kept; answers are given by hand."""
+    """A caller on one connection; the test answers its recorded requests itself."""
 
     def __init__(self, limits=LIMITS):
         self.requests = []
-        self.works = []
+        self.handlers = []
         self.connection = ServerConnection(self._start, lambda: limits, set())
-        self.transport = KeptTransport()
+        self.transport = RecordingTransport()
         self.connection.connection_made(self.transport)
 
-    def _start(self, request, answering):
-        self.requests.append((request, answering))
-        self.works.append(Work())
-        return self.works[-1]
+    def _start(self, request, writer):
+        self.requests.append((request, writer))
+        self.handlers.append(Handler())
+        return self.handlers[-1]
 
     async def send(self, data):
         self.connection.data_received(data)
         await settle()
 
     async def answer(self, number, body=b"ok", status=200):
-        _, answering = self.requests[number]
-        answering.send_head(AnswerHead(status, b"OK", [], len(body)), body)
-        answering.finish()
+        _, writer = self.requests[number]
+        writer.send_head(AnswerHead(status, b"OK", [], len(body)), body)
+        writer.finish()
         await settle()
 
 
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("name", HOSTILE)
-def test_a_hostile_request_is_refused_and_never_passed_on(name):
+def test_hostile_request_is_refused_and_never_reaches_a_handler(name):
     data, status = HOSTILE[name]
 
     async def check():
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("name", HOSTILE)
-def test_a_hostile_request_is_refused_however_it_is_cut(name):
+def test_hostile_request_is_refused_when_it_arrives_byte_by_byte(name):
     data, status = HOSTILE[name]
 
     async def check():
@@ -122,7 +122,7 @@
     run(check)
 
 
-def test_a_slow_head_is_answered_with_408():
+def test_slow_head_is_answered_with_408():
     async def check():
         caller = Caller()
         await caller.send(b"GET /a HTTP/1.1\r\nHo")
@@ -134,7 +134,7 @@
     run(check)
 
 
-def test_requests_on_one_connection_are_answered_in_their_order():
+def test_pipelined_requests_are_answered_in_order():
     async def check():
         caller = Caller()
         await caller.send(GOOD + GOOD.replace(b"/a", b"/b"))
@@ -149,7 +149,7 @@
     run(check)
 
 
-def test_a_request_is_kept_byte_for_byte():
+def test_target_and_body_are_preserved_byte_for_byte():
     async def check():
         caller = Caller()
         head = b"PUT /a%2Fb/../c?q=%20;x HTTP/1.1\r\nHost: h\r\n"
@@ -162,27 +162,27 @@
     run(check)
 
 
-def test_an_answer_that_is_shorter_than_its_length_breaks_the_connection():
+def test_answer_shorter_than_its_length_aborts_the_connection():
     async def check():
         caller = Caller()
         await caller.send(GOOD)
-        _, answering = caller.requests[0]
-        answering.send_head(AnswerHead(200, b"OK", [], 10), b"half")
-        answering.finish()
+        _, writer = caller.requests[0]
+        writer.send_head(AnswerHead(200, b"OK", [], 10), b"half")
+        writer.finish()
         await settle()
         assert caller.transport.aborted
 
     run(check)
 
 
-def test_an_aborted_answer_in_chunks_has_no_last_chunk():
+def test_aborted_chunked_answer_has_no_last_chunk():
     async def check():
         caller = Caller()
         await caller.send(GOOD)
-        _, answering = caller.requests[0]
-        answering.send_head(AnswerHead(200, b"OK", [], None), b"half")
+        _, writer = caller.requests[0]
+        writer.send_head(AnswerHead(200, b"OK", [], None), b"half")
         await settle()
-        answering.abort()
+        writer.abort()
         assert b"Transfer-Encoding: chunked" in caller.transport.written
         assert not caller.transport.written.endswith(b"0\r\n\r\n")
         assert caller.transport.aborted
@@ -190,28 +190,28 @@
     run(check)
 
 
-def test_the_work_learns_at_once_that_its_caller_left():
+def test_handler_is_notified_when_its_caller_disconnects():
     async def check():
         caller = Caller()
         await caller.send(GOOD)
         caller.connection.connection_lost(None)
-        assert caller.works[0].left
+        assert caller.handlers[0].left
 
     run(check)
 
 
-def test_the_work_is_held_back_while_its_caller_reads_too_slowly():
+def test_handler_is_paused_while_its_caller_reads_too_slowly():
     async def check():
         caller = Caller()
         await caller.send(GOOD)
         caller.connection.pause_writing()
         caller.connection.resume_writing()
-        assert caller.works[0].readable == [False, True]
+        assert caller.handlers[0].readable == [False, True]
 
     run(check)
 
 
-def test_a_planned_stop_announces_the_end_with_the_answer():
+def test_planned_stop_announces_the_close_in_the_answer():
     async def check():
         caller = Caller()
         await caller.send(GOOD)
@@ -224,7 +224,7 @@
     run(check)
 
 
-def test_a_planned_stop_answers_what_was_sent_before_it():
+def test_planned_stop_answers_a_partly_received_request():
     async def check():
         caller = Caller()
         await caller.send(GOOD)
@@ -240,7 +240,7 @@
     run(check)
 
 
-def test_a_planned_stop_closes_a_connection_at_rest():
+def test_planned_stop_closes_an_idle_connection():
     async def check():
         caller = Caller()
         caller.connection.close_gracefully()
--- a/packages/chalkyoke/src/chalkyoke/http1/tests/transports.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/tests/transports.py
@@ -1,7 +1,7 @@
-"""A transport that keeps what is written, for protocols without sockets."""
+"""A transport that records written bytes, for tests of protocols without sockets."""
 
 
-class KeptTransport:
+class RecordingTransport:
     def __init__(self):
         self.written = b""
         self.closed = False
--- a/packages/chalkyoke/src/chalkyoke/invariants.py
+++ b/packages/chalkyoke/src/chalkyoke/invariants.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.invariants
 
-Checks that stay on in production. A broken one raises
+Invariant checks that are also active in production. A violation raises
 :class:`~chalkyoke.exceptions.InvariantBroken`, which stops the process.
 """
 
@@ -9,11 +9,11 @@
 
 
 def require(holds: bool, promise: str, **facts: object) -> None:
-    """Stop the process when a promise does not hold.
+    """Stop the process when an invariant is violated.
 
-    :param holds: whether the promise holds.
-    :param promise: the promise in words, for the report.
-    :param facts: what was seen, for the report.
+    :param holds: whether the invariant holds.
+    :param promise: description of the invariant, for the report.
+    :param facts: observed values, for the report.
     :raises InvariantBroken: when ``holds`` is false.
 
     Usage::
--- a/packages/chalkyoke/src/chalkyoke/linelog.py
+++ b/packages/chalkyoke/src/chalkyoke/linelog.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.linelog
 
-Structured lines on standard output: one JSON object each, bounded in number and never waiting for
-whoever reads them.
+Structured log lines on a file descriptor: one JSON object a line, limited in rate, without ever
+blocking on the reader.
 """
 
 import os
@@ -11,20 +11,21 @@
 import logbook
 import msgspec
 
-# Lines that wait for a slow reader, in bytes; what is beyond that is dropped and counted.
+# Largest buffer of lines for a slow reader, in bytes; further lines are dropped and counted.
 MAX_BUFFERED_BYTES = 262_144
-# How long a line waits for others to be written with it, in seconds.
+# Delay before buffered lines are written, in seconds, so that several lines share one write.
 FLUSH_DELAY_S = 0.05
-# For how many seconds a quota of lines may be saved up.
+# Largest burst of lines, as seconds of the permitted rate.
 BURST_S = 2.0
 PRIORITY_LEVEL = logbook.NOTICE
 
 
 class LineWriter:
-    """Write lines to a descriptor that may be slow, stuck or closed.
+    """Write lines to a file descriptor whose reader may be slow, stuck or gone.
 
-    :param descriptor: it is set not to block.
-    :param call_later: runs a function after some seconds.
+    :param descriptor: the file descriptor; it is set to non-blocking mode.
+    :param call_later: schedules a function after a delay in seconds.
+    :ivar dropped: number of lines dropped since the last one was reported.
     """
 
     def __init__(self, descriptor: int, call_later: Callable[[float, Callable[[], None]], object]):
@@ -36,7 +37,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Take a line; it is dropped and counted where too much is held."""
+        """Buffer a line, or drop and count it when the buffer is full."""
         if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
@@ -46,7 +47,7 @@
             self._call_later(FLUSH_DELAY_S, self.flush)
 
     def flush(self) -> None:
-        """Write what can be written now."""
+        """Write as much as the descriptor accepts; discard the buffer when the reader is gone."""
         self._flush_scheduled = False
         try:
             written = os.write(self._descriptor, self._buffer)
@@ -62,9 +63,10 @@
 
 
 class LineTokenBucket:
-    """A token bucket of lines.
+    """A token bucket that limits the rate of lines.
 
-    :param per_s: lines each second.
+    :param per_s: permitted lines per second.
+    :param now: current time, in seconds.
     """
 
     def __init__(self, per_s: float, now: float) -> None:
@@ -73,12 +75,13 @@
         self._updated_at = now
 
     def try_take(self, now: float) -> bool:
-        """Take one line.
+        """Consume the token of one line; return False when none is left.
 
+        :param now: current time, in seconds.
         :rtype: bool
         """
-        earned = (now - self._updated_at) * self._per_s
-        self._available_lines = min(self._per_s * BURST_S, self._available_lines + earned)
+        refill = (now - self._updated_at) * self._per_s
+        self._available_lines = min(self._per_s * BURST_S, self._available_lines + refill)
         self._updated_at = now
         if self._available_lines < 1:
             return False
@@ -87,12 +90,12 @@
 
 
 class LineHandler(logbook.Handler):  # type: ignore[misc]
-    """Send log records to a :class:`LineWriter`, within an allowance by level.
+    """Write log records to a :class:`LineWriter`, limited in rate by level.
 
-    Records of level ``NOTICE`` and above have an allowance of their own, so that failures are kept
-    when successes are suppressed.
+    Records of level ``NOTICE`` and above have a rate limit of their own, so that failures are still
+    logged when successes are suppressed.
 
-    :param lines_per_s: for each of the two allowances.
+    :param lines_per_s: rate of each of the two limits, in lines per second.
     :param now: the node's clock, in seconds.
     """
 
@@ -113,11 +116,9 @@
         self.suppressed = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count it as suppressed."""
-        allowance = (
-            self._priority_bucket if record.level >= PRIORITY_LEVEL else self._routine_bucket
-        )
-        if not allowance.try_take(self._now()):
+        """Write a record, or count it as suppressed when its rate limit is exceeded."""
+        bucket = self._priority_bucket if record.level >= PRIORITY_LEVEL else self._routine_bucket
+        if not bucket.try_take(self._now()):
             self.suppressed += 1
             return
         line = {
@@ -129,7 +130,7 @@
             "event": record.message,
         }
         for name, value in record.kwargs.items():
-            # A record's field never hides one that every line has.
+            # A field of the record doesn't overwrite a field that every line has.
             line[f"{name}_" if name in line else name] = value
         if self.suppressed:
             line["suppressed"] = self.suppressed
--- a/packages/chalkyoke/src/chalkyoke/logs.py
+++ b/packages/chalkyoke/src/chalkyoke/logs.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.logs
 
-Log lines by logbook: one for each change of state, plain or as JSON.
+Set-up of logbook: one line for each change of state, as plain text or JSON.
 """
 
 import sys
@@ -24,10 +24,10 @@
 
 
 def set_up(form: str, level: str) -> None:
-    """Send this process's log lines to standard error.
+    """Write this process's log lines to standard error.
 
     :param form: ``plain`` or ``json``.
-    :param level: the lowest level that is written.
+    :param level: lowest level that is written.
     """
     handler = logbook.StreamHandler(sys.stderr, level=level, format_string=PLAIN)
     if form == "json":
@@ -36,7 +36,9 @@
 
 
 def logger(name: str) -> logbook.Logger:
-    """Give the logger of a slice.
+    """Return the logger of a package.
+
+    :param name: last part of the channel name ``chalkyoke.NAME``.
 
     :rtype: logbook.Logger
     """
--- a/packages/chalkyoke/src/chalkyoke/outcomes.py
+++ b/packages/chalkyoke/src/chalkyoke/outcomes.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.outcomes
 
-What a caller can be told when it gets no whole answer. These are values, never exceptions.
+The outcomes that a caller receives instead of a complete answer. They are values, not exceptions.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Verdict(StrEnum):
-    """The three things a caller can be told."""
+    """What a caller may conclude about the execution of its request."""
 
     NOT_RUN = "not_run"
     FAILED = "failed"
@@ -18,7 +18,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request got no whole answer; each is counted apart."""
+    """Why a request got no complete answer; each reason has its own count in the metrics."""
 
     HOPELESS = "hopeless"
     EXPIRED = "expired"
@@ -41,13 +41,13 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A final answer that is no whole answer.
+    """The final outcome of a request that got no complete answer.
 
     :param verdict: what the caller may conclude.
-    :param reason: why.
-    :param detail: one sentence for a person.
-    :param retry_after_s: when to come back, in seconds; ``None`` where coming back is no use.
-    :param delivered_bytes: how far the answer got before it failed.
+    :param reason: why the answer is missing or incomplete.
+    :param detail: one sentence for a human reader.
+    :param retry_after_s: seconds after which to retry; ``None`` when a retry is useless.
+    :param delivered_bytes: bytes of the answer delivered before it failed.
     """
 
     verdict: Verdict
@@ -58,11 +58,11 @@
 
 
 def not_run(reason: Reason, detail: str, retry_after_s: float | None = None) -> Refusal:
-    """Build the refusal of a request that was proved not to have run.
+    """Build the refusal of a request that provably has not run.
 
-    :param reason: why it was not run.
-    :param detail: one sentence for a person.
-    :param retry_after_s: when to come back, in seconds.
+    :param reason: why the request was not run.
+    :param detail: one sentence for a human reader.
+    :param retry_after_s: seconds after which to retry.
     :rtype: Refusal
     """
     return Refusal(Verdict.NOT_RUN, reason, detail, retry_after_s)
--- a/packages/chalkyoke/src/chalkyoke/problems.py
+++ b/packages/chalkyoke/src/chalkyoke/problems.py
@@ -28,21 +28,28 @@
 
 
 def document(status: int, kind: str, detail: str, **members: object) -> dict[str, Any]:
-    """Make a problem document.
+    """Build a problem document.
 
-    :param kind: end of its type, for example ``not_run``.
+    :param kind: last part of the type URN, for example ``not_run``.
+    :param members: further members; those that are ``None`` are left out.
     :rtype: dict
     """
-    held = {name: value for name, value in members.items() if value is not None}
+    present = {name: value for name, value in members.items() if value is not None}
     title = kind.replace("_", " ")
-    return {"type": TYPE_PREFIX + kind, "title": title, "status": status, "detail": detail, **held}
+    return {
+        "type": TYPE_PREFIX + kind,
+        "title": title,
+        "status": status,
+        "detail": detail,
+        **present,
+    }
 
 
 def of_refusal(refusal: Refusal, token: str, event: str) -> dict[str, Any]:
-    """Make the problem document of a refusal.
+    """Build the problem document of a refusal.
 
     :param token: the request's token, for a retry.
-    :param event: id of the event at which to look on the time line.
+    :param event: id of the event that describes the refusal.
     :rtype: dict
     """
     status = STATUS_BY_REASON.get(refusal.reason, STATUS_BY_VERDICT[refusal.verdict])
@@ -60,9 +67,9 @@
 
 
 def stop_on_broken_invariants(app: Any) -> None:
-    """Let a broken invariant reach the loop's exception handler, which stops the process.
+    """Pass a broken invariant to the event loop's exception handler, which stops the process.
 
-    Without this, falcon would answer 500 and the process would live on.
+    Otherwise falcon would answer with status 500 and the process would keep running.
 
     :param app: a falcon application.
     """
@@ -81,10 +88,10 @@
 
 
 def respond(response: falcon.asgi.Response, problem: dict[str, Any]) -> None:
-    """Answer with a problem document, and ``Retry-After`` where it says when to come back."""
+    """Answer with a problem document, and with ``Retry-After`` if it has a retry time."""
     response.status = problem["status"]
     response.content_type = MEDIA_TYPE
     response.data = msgspec.json.encode(problem)
-    retry = problem.get("retry_after_s")
-    if retry is not None:
-        response.set_header("Retry-After", str(max(1, round(retry))))
+    retry_after_s = problem.get("retry_after_s")
+    if retry_after_s is not None:
+        response.set_header("Retry-After", str(max(1, round(retry_after_s))))
--- a/packages/chalkyoke/src/chalkyoke/settings.py
+++ b/packages/chalkyoke/src/chalkyoke/settings.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.settings
 
-The settings of one node: a TOML file, overridden by the environment, checked as a whole.
+The settings of one node: a TOML file with overrides from the environment, validated as a whole.
 """
 
 import difflib
@@ -28,7 +28,7 @@
 
 
 class NodeSection(_Section):
-    """Who this node is."""
+    """Identity of this node."""
 
     host: str
     failure_domain: str
@@ -66,14 +66,14 @@
 
 
 class PlatformSection(_Section):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     store_url: str = Field(pattern=r"^https?://")
     hosts_url: str = Field(pattern=r"^https?://")
 
 
 class FleetSection(_Section):
-    """What all nodes of the fleet share."""
+    """Values that all nodes of the fleet share."""
 
     key_hex: str
 
@@ -110,7 +110,7 @@
 
 
 class TimingSection(_Section):
-    """How often things are done."""
+    """Intervals of periodic tasks, in seconds."""
 
     heartbeat_interval_s: float = Field(default=0.25, ge=0.05, le=5)
     hosts_interval_s: float = Field(default=1.0, ge=0.1, le=60)
@@ -119,14 +119,14 @@
 
 
 class LimitsSection(_Section):
-    """Bounds of what this node keeps."""
+    """Limits of the state that this node keeps."""
 
     token_lifetime_s: float = Field(default=900.0, ge=1, le=86_400)
     tokens_kept: int = Field(default=100_000, ge=100)
 
 
 class PolicySection(_Section):
-    """Parts of the scheduling policy; each can be switched off, to see what it earns."""
+    """Parts of the scheduling policy; each can be switched off to measure its effect."""
 
     hold: bool = True
     prefix: bool = True
@@ -142,7 +142,7 @@
 
 
 class TlsSection(_Section):
-    """Certificate and key files; empty is plain HTTP."""
+    """Certificate and key files; empty paths mean plain HTTP."""
 
     callers_certificate: str = ""
     callers_key: str = ""
@@ -151,7 +151,7 @@
 
 
 class LogsSection(_Section):
-    """How lines are logged."""
+    """Format and lowest level of log lines."""
 
     form: Literal["plain", "json"] = "plain"
     level: Literal["DEBUG", "INFO", "NOTICE", "WARNING", "ERROR"] = "INFO"
@@ -177,7 +177,7 @@
 
     :param path: the TOML file.
     :param environment: ``CHALKYOKE_SECTION__KEY`` overrides ``key`` of ``[section]``.
-    :raises SettingsError: with every mistake at once.
+    :raises SettingsError: with all mistakes at once.
 
     Usage::
 
@@ -204,7 +204,7 @@
 
 
 def _override(document: dict[str, Any], environment: Mapping[str, str]) -> Iterator[str]:
-    """Put values of the environment over the file's; yield those that fit nowhere."""
+    """Apply overrides from the environment; yield a problem for each unknown section."""
     for name, value in sorted(environment.items()):
         section, separator, key = name.removeprefix(ENVIRONMENT_PREFIX).lower().partition("__")
         if not name.startswith(ENVIRONMENT_PREFIX) or not separator:
--- a/packages/chalkyoke/src/chalkyoke/sockets.py
+++ b/packages/chalkyoke/src/chalkyoke/sockets.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.sockets
 
-Options of connections that all slices set alike.
+Socket options that all packages set in the same way.
 """
 
 import asyncio
@@ -11,11 +11,14 @@
 def set_user_timeout(
     connection: asyncio.BaseTransport | asyncio.StreamWriter, milliseconds: int
 ) -> None:
-    """Let the system end a connection whose peer acknowledges nothing for so long, as behind a cut.
+    """Make the operating system close a connection whose peer stops acknowledging data.
 
-    :param connection: a transport, or a writer over one.
+    This detects a network partition. It has no effect where the system lacks ``TCP_USER_TIMEOUT``.
+
+    :param connection: a transport, or a stream writer.
+    :param milliseconds: longest time without an acknowledgement of sent data.
     """
-    found = connection.get_extra_info("socket")
+    tcp_socket = connection.get_extra_info("socket")
     option = getattr(socket, "TCP_USER_TIMEOUT", None)
-    if found is not None and option is not None:
-        found.setsockopt(socket.IPPROTO_TCP, option, milliseconds)
+    if tcp_socket is not None and option is not None:
+        tcp_socket.setsockopt(socket.IPPROTO_TCP, option, milliseconds)
--- a/packages/chalkyoke/src/chalkyoke/tests/test_eventloop.py
+++ b/packages/chalkyoke/src/chalkyoke/tests/test_eventloop.py
@@ -1,4 +1,4 @@
-"""A node's clock goes on while its host is suspended."""
+"""Tests that a node's clock includes the time during which its host is suspended."""
 
 import asyncio
 import re
@@ -9,21 +9,21 @@
 from chalkyoke import eventloop
 
 SOURCES = Path(eventloop.__file__).parent
-# A clock read other than the loop's would know nothing of a suspension.
+# Reads of clocks other than the event loop's, which don't include suspensions.
 OTHER_CLOCKS = re.compile(r"\b(monotonic|perf_counter|time\.time)(_ns)?\(|clock_gettime")
-# The time of day stamps lines and events for readers; nothing is decided by it.
-STAMPS = {"node/process.py", "node/gateway.py", "eventloop.py"}
+# These modules read the time of day to timestamp log lines and events; no decision depends on it.
+TIMESTAMP_MODULES = {"node/process.py", "node/gateway.py", "eventloop.py"}
 
 
 class Host:
-    """Clocks of a host that can be suspended: only its steady clock stands still."""
+    """Clocks of a host that can be suspended: only its monotonic clock stops."""
 
     def __init__(self):
-        self.slept_s = 0.0
+        self.suspended_s = 0.0
 
     def gettime(self, clock):
         since_boot = clock == time.CLOCK_BOOTTIME
-        return time.monotonic() + (self.slept_s if since_boot else 0.0)
+        return time.monotonic() + (self.suspended_s if since_boot else 0.0)
 
 
 @pytest.fixture
@@ -33,14 +33,14 @@
     return made
 
 
-def test_what_was_promised_before_a_suspension_has_run_out_after_it(host):
+def test_timer_set_before_a_suspension_has_expired_after_it(host):
     async def main():
         loop = asyncio.get_running_loop()
         fired = []
         loop.call_later(20.0, lambda: fired.append(loop.time()))
         began = loop.time()
         await asyncio.sleep(0)
-        host.slept_s = 21.0
+        host.suspended_s = 21.0
         await asyncio.sleep(0.001)
         assert fired
         return fired[0] - began
@@ -48,10 +48,10 @@
     assert eventloop.run(main()) >= 21.0
 
 
-def test_a_request_whose_time_ran_out_while_the_host_was_suspended_ends(host):
+def test_timeout_that_expires_during_a_suspension_ends_the_request(host):
     async def main():
         loop = asyncio.get_running_loop()
-        loop.call_soon(setattr, host, "slept_s", 5.0)
+        loop.call_soon(setattr, host, "suspended_s", 5.0)
         async with asyncio.timeout(2.0):
             await asyncio.Event().wait()
 
@@ -59,10 +59,10 @@
         eventloop.run(main())
 
 
-def test_nothing_is_decided_by_another_clock():
+def test_only_listed_modules_read_another_clock():
     found = {
         str(path.relative_to(SOURCES))
         for path in SOURCES.rglob("*.py")
         if "tests" not in path.parts and OTHER_CLOCKS.search(path.read_text(encoding="utf-8"))
     }
-    assert found <= STAMPS
+    assert found <= TIMESTAMP_MODULES
--- a/packages/chalkyoke/src/chalkyoke/tests/test_gatewayd.py
+++ b/packages/chalkyoke/src/chalkyoke/tests/test_gatewayd.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def lay(tmp_path):
+def write_settings(tmp_path):
     def write(text):
         path = tmp_path / "gateway.toml"
         path.write_text(text)
@@ -31,16 +31,16 @@
     return write
 
 
-def test_good_settings_are_taken_and_unknown_fields_let_pass(lay):
-    settings = load(lay(GOOD))
+def test_valid_settings_are_accepted_and_unknown_fields_ignored(write_settings):
+    settings = load(write_settings(GOOD))
     assert settings.node.host == "n1" and settings.scheduling.pooled
-    assert gatewayd.check(lay(GOOD)) == 0
+    assert gatewayd.check(write_settings(GOOD)) == 0
 
 
-def test_other_nodes_are_told_the_advertised_address(lay):
-    assert load(lay(GOOD)).listen.links_reached_at == "127.0.0.1:3"
+def test_advertised_link_address_replaces_the_listening_address(write_settings):
+    assert load(write_settings(GOOD)).listen.links_reached_at == "127.0.0.1:3"
     advertised = GOOD.replace('links = "', 'links_advertised = "127.0.0.1:9"\nlinks = "')
-    assert load(lay(advertised)).listen.links_reached_at == "127.0.0.1:9"
+    assert load(write_settings(advertised)).listen.links_reached_at == "127.0.0.1:9"
 
 
 @pytest.mark.parametrize(
@@ -56,28 +56,28 @@
         GOOD.replace("00112233445566778899aabbccddeeff", "no hex"),
     ],
 )
-def test_each_mistake_is_told_and_nothing_starts(lay, bad, capsys):
-    path = lay(bad)
+def test_each_mistake_is_reported_and_the_node_does_not_start(write_settings, bad, capsys):
+    path = write_settings(bad)
     assert gatewayd.run(path) == gatewayd.EXIT_SETTINGS
     assert "settings: " in capsys.readouterr().err
     shown = CliRunner().invoke(app, ["gateway", "--settings", str(path), "--check"])
     assert shown.exit_code == gatewayd.EXIT_SETTINGS
 
 
-def test_parts_of_the_policy_are_switched_off_by_name(lay):
-    path = lay(GOOD + '[scheduling]\noff = ["hold", "guard"]\n')
+def test_policy_parts_are_switched_off_by_name(write_settings):
+    path = write_settings(GOOD + '[scheduling]\noff = ["hold", "guard"]\n')
     features = load(path).scheduling.features
     assert not features.hold and not features.guard and features.early
 
-    path = lay(GOOD + '[scheduling]\noff = ["holds"]\n')
+    path = write_settings(GOOD + '[scheduling]\noff = ["holds"]\n')
     with pytest.raises(SettingsError, match="no part is called 'holds'; there are"):
         load(path)
 
 
-def test_parts_of_the_policy_are_switched_on_by_name(lay):
-    assert not load(lay(GOOD)).scheduling.features.spare
-    path = lay(GOOD + '[scheduling]\non = ["spare"]\n')
+def test_policy_parts_are_switched_on_by_name(write_settings):
+    assert not load(write_settings(GOOD)).scheduling.features.spare
+    path = write_settings(GOOD + '[scheduling]\non = ["spare"]\n')
     assert load(path).scheduling.features.spare
     for wrong in ('on = ["spares"]', 'on = ["spare"]\noff = ["spare"]'):
         with pytest.raises(SettingsError):
-            load(lay(GOOD + f"[scheduling]\n{wrong}\n"))
+            load(write_settings(GOOD + f"[scheduling]\n{wrong}\n"))
--- a/packages/chalkyoke/src/chalkyoke/tests/test_linelog.py
+++ b/packages/chalkyoke/src/chalkyoke/tests/test_linelog.py
@@ -5,53 +5,53 @@
 from chalkyoke.linelog import MAX_BUFFERED_BYTES, LineHandler, LineWriter
 
 
-class Later:
+class DeferredCalls:
     def __init__(self):
-        self.planned = []
+        self.calls = []
 
     def __call__(self, _, function):
-        self.planned.append(function)
+        self.calls.append(function)
 
     def run(self):
-        planned, self.planned = self.planned, []
-        for function in planned:
+        calls, self.calls = self.calls, []
+        for function in calls:
             function()
 
 
 def pipe():
     reader, writer = os.pipe()
-    later = Later()
-    return reader, writer, later, LineWriter(writer, later)
+    deferred = DeferredCalls()
+    return reader, writer, deferred, LineWriter(writer, deferred)
 
 
-def test_a_reader_that_stops_blocks_nothing_and_what_is_lost_is_counted():
-    reader, writer, later, lines = pipe()
+def test_stuck_reader_does_not_block_and_dropped_lines_are_counted():
+    reader, writer, deferred, lines = pipe()
     line = b"x" * 1000 + b"\n"
     for _ in range(2000):
         lines.write(line)
-        later.run()
+        deferred.run()
     assert lines.dropped > 0
     assert len(lines._buffer) <= MAX_BUFFERED_BYTES
-    taken = os.read(reader, 1 << 20)
-    later.run()
-    taken += os.read(reader, 1 << 20)
-    assert set(taken.split(b"\n")[:-1]) == {line[:-1]}
+    received = os.read(reader, 1 << 20)
+    deferred.run()
+    received += os.read(reader, 1 << 20)
+    assert set(received.split(b"\n")[:-1]) == {line[:-1]}
     os.close(reader)
     os.close(writer)
 
 
-def test_a_reader_that_is_gone_ends_nothing():
-    reader, writer, later, lines = pipe()
+def test_closed_reader_raises_no_error():
+    reader, writer, deferred, lines = pipe()
     os.close(reader)
     lines.write(b"x\n")
-    later.run()
+    deferred.run()
     lines.write(b"y\n")
-    later.run()
+    deferred.run()
     os.close(writer)
 
 
-def test_failures_are_kept_when_successes_are_suppressed():
-    reader, writer, later, lines = pipe()
+def test_failures_are_logged_while_successes_are_suppressed():
+    reader, writer, deferred, lines = pipe()
     now = [0.0]
     handler = LineHandler(lines, "INFO", 10.0, "h1", lambda: now[0])
     log = logbook.Logger("chalkyoke.request")
@@ -62,7 +62,7 @@
             log.notice("refused", request=f"f{number}")
         now[0] = 1.0
         log.info("ended", request="last")
-    later.run()
+    deferred.run()
     records = [json.loads(line) for line in os.read(reader, 1 << 20).splitlines()]
     assert sum(each["event"] == "ended" for each in records) == 21
     assert sum(each["event"] == "refused" for each in records) == 5
@@ -72,12 +72,12 @@
     os.close(writer)
 
 
-def test_a_field_never_hides_one_that_every_line_has():
-    reader, writer, later, lines = pipe()
+def test_record_field_does_not_overwrite_a_common_field():
+    reader, writer, deferred, lines = pipe()
     handler = LineHandler(lines, "INFO", 10.0, "n1", lambda: 1.0)
     with handler:
         logbook.Logger("chalkyoke.catalog").info("replicas", at=7, count=3)
-    later.run()
+    deferred.run()
     line = json.loads(os.read(reader, 1 << 16))
     assert (line["at_"], line["count"], line["host"]) == (7, 3, "n1")
     assert line["at"].endswith("Z")
--- a/packages/chalkyoke/src/chalkyoke/tomlfile.py
+++ b/packages/chalkyoke/src/chalkyoke/tomlfile.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.tomlfile
 
-Read a settings file.
+Reader of TOML settings files.
 """
 
 import tomllib
@@ -14,7 +14,7 @@
 def read(path: Path) -> dict[str, Any]:
     """Read a TOML file.
 
-    :raises SettingsError: when there is none or it is no TOML.
+    :raises SettingsError: when the file can't be read or is not valid TOML.
     """
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
