--- a/packages/chalkyoke/src/chalkyoke/administration/exposition.py
+++ b/packages/chalkyoke/src/chalkyoke/administration/exposition.py
@@ -30,11 +30,11 @@
     :rtype: bytes
     """
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(_Reader(metrics))
+    registry.register(_MetricsCollector(metrics))
     return generate_latest(registry)
 
 
-class _Reader(Collector):
+class _MetricsCollector(Collector):
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
--- a/packages/chalkyoke/src/chalkyoke/cli.py
+++ b/packages/chalkyoke/src/chalkyoke/cli.py
@@ -23,7 +23,7 @@
 SettingsFile = Annotated[Path, typer.Option("--settings", help="TOML file of this node.")]
 
 
-def _load(path: Path) -> settings.Settings:
+def _load_settings(path: Path) -> settings.Settings:
     try:
         return settings.load(path, os.environ)
     except SettingsError as error:
@@ -39,7 +39,7 @@
 @app.command()
 def serve(settings_file: SettingsFile) -> None:
     """Run a node until SIGTERM; a planned stop finishes what is in progress."""
-    loaded = _load(settings_file)
+    loaded = _load_settings(settings_file)
     logs.set_up(loaded.logs.form, loaded.logs.level)
     try:
         eventloop.run(_serve(loaded))
@@ -67,7 +67,7 @@
     settings_file: Annotated[Path, typer.Argument(help="TOML file of a node.")],
 ) -> None:
     """Check a settings file without starting anything."""
-    loaded = _load(settings_file)
+    loaded = _load_settings(settings_file)
     typer.echo(f"{settings_file}: good, for host {loaded.node.host}")
 
 
--- a/packages/chalkyoke/src/chalkyoke/http1/connection_limit.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/connection_limit.py
@@ -41,9 +41,10 @@
 
 
 def close_idle_connections(connections: Collection[IdleClosable], limit: int) -> int:
-    """Close the connections that have been idle for the longest while the limit is exceeded.
+    """Close the connections that have been idle for the longest if the limit is exceeded.
 
-    Connections with a request in progress stay open.
+    They are closed down to :data:`FREED_CONNECTIONS_SHARE` below the limit. Connections with a
+    request in progress stay open.
 
     :param limit: highest number of connections.
     :return: the number of closed connections.
--- a/packages/chalkyoke/src/chalkyoke/http1/server.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/server.py
@@ -158,16 +158,16 @@
         self._write_buffer: list[bytes] = []
         self._flushing = False
         self._timer: asyncio.TimerHandle | None = None
-        self._refused = False
+        self._ignores_input = False
         self._last_request_read = False
-        self._paused = False
+        self._reading_paused = False
         self.closes_after_answer = False
         self.stopping = False
         self._in_message = False
         self._head_complete = False
-        self._unparsed = 0
-        self._head_size = 0
-        self._body_size = 0
+        self._unparsed_bytes = 0
+        self._head_bytes_read = 0
+        self._body_bytes_read = 0
         self._target = bytearray()
         self._headers: Headers = []
         self._body: list[bytes] = []
@@ -208,12 +208,12 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; after a refusal or the last request they are ignored."""
-        if self._refused or self._last_request_read:
+        if self._ignores_input or self._last_request_read:
             return
         if not self._in_message:
             self._set_timer(self._limits().header_timeout_s)
         if not self._head_complete:
-            self._unparsed += len(data)
+            self._unparsed_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -222,10 +222,10 @@
             self._refuse(400)
             return
         if self._in_message and not self._head_complete:
-            if self._unparsed > self._limits().header_bytes:
+            if self._unparsed_bytes > self._limits().header_bytes:
                 self._refuse(431)
         elif not self._in_message:
-            self._unparsed = 0
+            self._unparsed_bytes = 0
 
     @property
     def idle(self) -> bool:
@@ -252,18 +252,18 @@
     def on_url(self, url: bytes) -> None:
         """Append a part of the request target."""
         self._target += url
-        self._head_size += len(url)
+        self._head_bytes_read += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header to the request."""
-        self._head_size += len(name) + len(value) + 4
+        self._head_bytes_read += len(name) + len(value) + 4
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         """Check the complete head and refuse the request when it breaks a limit or a rule."""
         self._head_complete = True
         limits = self._limits()
-        if self._head_size > limits.header_bytes:
+        if self._head_bytes_read > limits.header_bytes:
             self._refuse(431)
             return
         hosts = sum(1 for name, _ in self._headers if name.lower() == b"host")
@@ -281,17 +281,17 @@
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body, or refuse the request when the body is too large."""
-        if self._refused:
+        if self._ignores_input:
             return
-        self._body_size += len(body)
-        if self._body_size > self._limits().body_bytes:
+        self._body_bytes_read += len(body)
+        if self._body_bytes_read > self._limits().body_bytes:
             self._refuse(413)
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
         """Queue the complete request, and start it when no other is in progress."""
-        if self._refused:
+        if self._ignores_input:
             return
         request = Request(
             self._parser.get_method(),
@@ -307,7 +307,7 @@
         if self._handler is None:
             self._start_next_request()
         elif len(self._waiting_requests) >= MAX_PIPELINED_REQUESTS:
-            self._paused = True
+            self._reading_paused = True
             self.transport.pause_reading()
 
     def _declared_length(self) -> int | None:
@@ -319,9 +319,9 @@
     def _reset_message(self) -> None:
         self._in_message = False
         self._head_complete = False
-        self._unparsed = 0
-        self._head_size = 0
-        self._body_size = 0
+        self._unparsed_bytes = 0
+        self._head_bytes_read = 0
+        self._body_bytes_read = 0
         self._target = bytearray()
         self._headers = []
         self._body = []
@@ -334,8 +334,8 @@
             return
         self._cancel_timer()
         request, keep_alive, bodiless = self._waiting_requests.popleft()
-        if self._paused and len(self._waiting_requests) < MAX_PIPELINED_REQUESTS:
-            self._paused = False
+        if self._reading_paused and len(self._waiting_requests) < MAX_PIPELINED_REQUESTS:
+            self._reading_paused = False
             self.transport.resume_reading()
         self.closes_after_answer = not keep_alive or self.stopping
         self._response_writer = ResponseWriter(self, bodiless)
@@ -388,9 +388,9 @@
 
         No part of the request reaches a handler.
         """
-        if self._refused:
+        if self._ignores_input:
             return
-        self._refused = True
+        self._ignores_input = True
         if self._handler is not None:
             # An earlier request is still being answered; the requests after it are discarded.
             self.closes_after_answer = True
@@ -406,7 +406,7 @@
         Closing a socket with unread input resets the connection, and the caller could lose the
         answer.
         """
-        self._refused = True
+        self._ignores_input = True
         self._flush()
         if self.transport.is_closing():
             return
--- a/packages/chalkyoke/src/chalkyoke/invariants.py
+++ b/packages/chalkyoke/src/chalkyoke/invariants.py
@@ -8,11 +8,11 @@
 from chalkyoke.exceptions import InvariantBroken
 
 
-def require(holds: bool, promise: str, **facts: object) -> None:
+def require(holds: bool, invariant: str, **facts: object) -> None:
     """Stop the process when an invariant is violated.
 
     :param holds: whether the invariant holds.
-    :param promise: description of the invariant, for the report.
+    :param invariant: description of the invariant, for the report.
     :param facts: observed values, for the report.
     :raises InvariantBroken: when ``holds`` is false.
 
@@ -24,4 +24,4 @@
         return
 
     seen = ", ".join(f"{name}={value!r}" for name, value in facts.items())
-    raise InvariantBroken(f"broken invariant: {promise} ({seen})")
+    raise InvariantBroken(f"broken invariant: {invariant} ({seen})")
--- a/packages/chalkyoke/src/chalkyoke/settings.py
+++ b/packages/chalkyoke/src/chalkyoke/settings.py
@@ -184,11 +184,11 @@
       >>> settings = load(Path("node.toml"), os.environ)
     """
     document = tomlfile.read(path)
-    problems = list(_override(document, environment))
-    return _check(document, problems)
+    problems = list(_apply_environment(document, environment))
+    return _validate(document, problems)
 
 
-def _check(document: dict[str, Any], problems: list[str]) -> Settings:
+def _validate(document: dict[str, Any], problems: list[str]) -> Settings:
     try:
         settings = Settings.model_validate(document)
     except ValidationError as error:
@@ -203,7 +203,7 @@
     return settings
 
 
-def _override(document: dict[str, Any], environment: Mapping[str, str]) -> Iterator[str]:
+def _apply_environment(document: dict[str, Any], environment: Mapping[str, str]) -> Iterator[str]:
     """Apply overrides from the environment; yield a problem for each unknown section."""
     for name, value in sorted(environment.items()):
         section, separator, key = name.removeprefix(ENVIRONMENT_PREFIX).lower().partition("__")
