--- a/packages/chalkyoke/src/chalkyoke/http1/client.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/client.py
@@ -77,7 +77,7 @@
         self.on_close: Callable[[ClientConnection], None] | None = None
         self._head: AnswerHead | None = None
         self._headers: Headers = []
-        self._head_size = 0
+        self._head_bytes_read = 0
         self._reason = bytearray()
         self._skipping = False
         self._until_close = False
@@ -192,8 +192,8 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header, up to :data:`MAX_ANSWER_HEAD_BYTES` in all."""
-        self._head_size += len(name) + len(value)
-        if self._head_size <= MAX_ANSWER_HEAD_BYTES:
+        self._head_bytes_read += len(name) + len(value)
+        if self._head_bytes_read <= MAX_ANSWER_HEAD_BYTES:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -203,7 +203,7 @@
         if sink is None or matches_request is None or status <= MAX_INFORMATIONAL_STATUS:
             self._skipping = True
             return
-        if self._head_size > MAX_ANSWER_HEAD_BYTES or not matches_request(self._headers):
+        if self._head_bytes_read > MAX_ANSWER_HEAD_BYTES or not matches_request(self._headers):
             self._skipping = True
             return
         length = self._declared_length(status)
@@ -237,7 +237,7 @@
     def _reset_message(self) -> None:
         self._head = None
         self._headers = []
-        self._head_size = 0
+        self._head_bytes_read = 0
         self._reason = bytearray()
         self._skipping = False
         self._until_close = False
--- a/packages/chalkyoke/src/chalkyoke/http1/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/pool.py
@@ -31,8 +31,8 @@
 
 
 class _AddressEntry(msgspec.Struct):
-    idle: list[ClientConnection] = msgspec.field(default_factory=list)
-    open: int = 0
+    idle_connections: list[ClientConnection] = msgspec.field(default_factory=list)
+    open_connections: int = 0
 
 
 class ConnectionPool:
@@ -74,21 +74,21 @@
         :param timeout_s: limit for opening the connection, in seconds.
         """
         entry = self._addresses.setdefault((ip, port), _AddressEntry())
-        if entry.open >= limit:
+        if entry.open_connections >= limit:
             return ConnectFailure.AT_LIMIT
 
-        entry.open += 1
+        entry.open_connections += 1
         try:
             async with asyncio.timeout(timeout_s):
                 _, connection = await self._loop.create_connection(ClientConnection, ip, port)
         except TimeoutError:
-            entry.open -= 1
+            entry.open_connections -= 1
             return ConnectFailure.TIMED_OUT
         except OSError:
-            entry.open -= 1
+            entry.open_connections -= 1
             return ConnectFailure.REFUSED
         except BaseException:
-            entry.open -= 1
+            entry.open_connections -= 1
             raise
         self.opened_connections += 1
         set_user_timeout(connection.transport, USER_TIMEOUT_MS)
@@ -104,40 +104,40 @@
             if not connection.closed:
                 connection.transport.close()
             return
-        entry.idle.append(connection)
+        entry.idle_connections.append(connection)
 
     def abort_idle(self, ip: str, port: int) -> None:
         """Abort the idle connections to an address, because they may be dead."""
         entry = self._addresses.get((ip, port))
         if entry is None:
             return
-        for connection in entry.idle:
+        for connection in entry.idle_connections:
             connection.transport.abort()
-        entry.idle.clear()
+        entry.idle_connections.clear()
 
     def close_expired(self) -> None:
         """Close connections that have been idle for too long; call about once a second."""
         now = self._loop.time()
         for key, entry in list(self._addresses.items()):
-            for connection in list(entry.idle):
+            for connection in list(entry.idle_connections):
                 if not connection.reusable or now - connection.idle_since > _idle_limit_s(
                     connection
                 ):
-                    entry.idle.remove(connection)
+                    entry.idle_connections.remove(connection)
                     connection.transport.close()
-            if entry.open == 0 and not entry.idle:
+            if entry.open_connections == 0 and not entry.idle_connections:
                 del self._addresses[key]
 
     def close(self) -> None:
         """Abort all idle connections."""
         for entry in self._addresses.values():
-            for connection in entry.idle:
+            for connection in entry.idle_connections:
                 connection.transport.abort()
 
     def _take_idle(self, entry: _AddressEntry, fresh_s: float) -> ClientConnection | None:
         now = self._loop.time()
-        while entry.idle:
-            connection = entry.idle.pop()
+        while entry.idle_connections:
+            connection = entry.idle_connections.pop()
             age = now - connection.idle_since
             if connection.reusable and age <= min(fresh_s, _idle_limit_s(connection)):
                 return connection
@@ -149,9 +149,9 @@
         entry = self._addresses.get(key)
         if entry is None:
             return
-        entry.open -= 1
-        if connection in entry.idle:
-            entry.idle.remove(connection)
+        entry.open_connections -= 1
+        if connection in entry.idle_connections:
+            entry.idle_connections.remove(connection)
 
 
 def _idle_limit_s(connection: ClientConnection) -> float:
--- a/packages/chalkyoke/src/chalkyoke/http1/server.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/server.py
@@ -186,11 +186,11 @@
         self._connections.discard(self)
         self._cancel_timer()
         self._waiting_requests.clear()
-        work, self._handler = self._handler, None
-        if work is not None:
+        handler, self._handler = self._handler, None
+        if handler is not None:
             if self._response_writer is not None:
                 self._response_writer.finished = True
-            work.caller_left()
+            handler.caller_left()
 
     def eof_received(self) -> bool:
         """Close the connection when the caller closes its side."""
