--- a/packages/chalkyoke/src/chalkyoke/tests/test_gatewayd.py
+++ b/packages/chalkyoke/src/chalkyoke/tests/test_gatewayd.py
@@ -38,9 +38,9 @@
 
 
 def test_advertised_link_address_replaces_the_listening_address(write_settings):
-    assert load(write_settings(GOOD)).listen.links_reached_at == "127.0.0.1:3"
+    assert load(write_settings(GOOD)).listen.advertised_links_address == "127.0.0.1:3"
     advertised = GOOD.replace('links = "', 'links_advertised = "127.0.0.1:9"\nlinks = "')
-    assert load(write_settings(advertised)).listen.links_reached_at == "127.0.0.1:9"
+    assert load(write_settings(advertised)).listen.advertised_links_address == "127.0.0.1:9"
 
 
 @pytest.mark.parametrize(
