--- a/packages/chalkyoke/src/chalkyoke/invariants.py
+++ b/packages/chalkyoke/src/chalkyoke/invariants.py
@@ -1,19 +1,19 @@
 """
 chalkyoke.invariants
 
-Checks that stay on in production. A broken one raises
+Invariant checks that are also active in production. A violation raises
 :class:`~chalkyoke.exceptions.InvariantBroken`, which stops the process.
 """
 
 from chalkyoke.exceptions import InvariantBroken
 
 
-def require(holds: bool, promise: str, **facts: object) -> None:
-    """Stop the process when a promise does not hold.
+def require(holds: bool, invariant: str, **facts: object) -> None:
+    """Stop the process when an invariant is violated.
 
-    :param holds: whether the promise holds.
-    :param promise: the promise in words, for the report.
-    :param facts: what was seen, for the report.
+    :param holds: whether the invariant holds.
+    :param invariant: description of the invariant, for the report.
+    :param facts: observed values, for the report.
     :raises InvariantBroken: when ``holds`` is false.
 
     Usage::
@@ -24,4 +24,4 @@
         return
 
     seen = ", ".join(f"{name}={value!r}" for name, value in facts.items())
-    raise InvariantBroken(f"broken invariant: {promise} ({seen})")
+    raise InvariantBroken(f"broken invariant: {invariant} ({seen})")
