--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -544,7 +544,7 @@
             self._connection.cancel()
         if self._granted is not None and self._granted.started_at:
             # A stream that is cut off here was slow or long, which is no failure. Of any other
-            # answer nothing has been passed on.
+            # answer nothing has been forwarded.
             failed = not admission.route.is_stream
             self._feedback.record_version_outcome(admission, self._granted, failed=failed)
         self._release_cancelled(admission)
--- a/packages/chalkyoke/src/chalkyoke/gateway/settings.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/settings.py
@@ -227,13 +227,13 @@
         for name in sorted(set(scheduling.on) & set(scheduling.off))
     ]
     if settings.store.silence_ms < MIN_SILENCE_MS:
-        told = settings.store.silence_ms
-        problems.append(f"store.silence_ms: at least {MIN_SILENCE_MS}, not {told:g}")
+        value = settings.store.silence_ms
+        problems.append(f"store.silence_ms: at least {MIN_SILENCE_MS}, not {value:g}")
     if settings.node.capacity <= 0:
         problems.append("node.cores, node.cpu_share, node.link_mbps: more than 0")
     if not 0 < settings.limits.canary_share <= 1:
-        told = settings.limits.canary_share
-        problems.append(f"limits.canary_share: above 0 and up to 1, not {told:g}")
+        value = settings.limits.canary_share
+        problems.append(f"limits.canary_share: above 0 and up to 1, not {value:g}")
     if settings.limits.canary_slack < 0:
         problems.append("limits.canary_slack: a number of requests, 0 or more")
     if settings.limits.descriptors < 0:
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its end, with the parts around it made up."""
+"""Tests of one request from its arrival to its end, with stubs for the other components."""
 
 import asyncio
 from types import SimpleNamespace
@@ -39,8 +39,8 @@
         return True
 
 
-class NoOrder:
-    """No service is moved to another version."""
+class NoRollouts:
+    """Stub of the rollouts while no service moves to another version."""
 
     def claim_trial(self, admission, *, again):
         return False
@@ -58,7 +58,7 @@
 
 
 class Quarantine:
-    """No request ends its replica."""
+    """Stub of the quarantine that holds back no request."""
 
     def is_held(self, request):
         return False
@@ -83,7 +83,7 @@
 
 
 def exchange_with(acquire, connect=None, route=ROUTE, rollouts=None):
-    """Make an exchange whose grants and connections are the given coroutines."""
+    """Create an exchange that gets grants and connections from the given coroutine functions."""
     catalog = replace(CATALOG, routes=(route,))
     loop = asyncio.get_running_loop()
     quotas, answering = Quotas(), Answering()
@@ -109,7 +109,7 @@
         log_decision=lambda *_, **__: None,
         log_rejection=lambda *_: None,
         on_plain_request_ended=lambda *_: None,
-        rollouts=rollouts or NoOrder(),
+        rollouts=rollouts or NoRollouts(),
         quarantine=Quarantine(),
         announcements=SimpleNamespace(),
     )
@@ -117,7 +117,7 @@
     return Exchange(parts, request, answering), quotas, answering
 
 
-def test_a_request_that_no_replica_takes_gives_its_quota_back():
+def test_a_refused_request_gets_its_quota_refunded():
     async def main():
         async def acquire(*_):
             return Denied("shed", 0.5)
@@ -130,7 +130,7 @@
     virtual.run(main)
 
 
-def test_a_caller_that_leaves_while_it_waits_gives_its_quota_back():
+def test_a_request_abandoned_in_the_queue_gets_its_quota_refunded():
     async def main():
         async def acquire(*_):
             await asyncio.sleep(60)
@@ -161,8 +161,8 @@
     virtual.run(main)
 
 
-def test_a_repeatable_request_that_may_have_run_is_not_told_that_it_has_not():
-    """Its first run may have come to a good end whose answer was lost; then nobody takes it."""
+def test_a_repeatable_request_that_may_have_run_is_not_answered_as_not_run():
+    """The first run may have succeeded and its answer was lost; no replica takes the retry."""
 
     async def main():
         async def acquire(*_):
@@ -177,7 +177,7 @@
 
 
 class SilentConnection:
-    """A connection that takes a request and says nothing."""
+    """A connection that accepts a request and never delivers an answer."""
 
     closed = False
 
@@ -189,8 +189,8 @@
 
 
 @pytest.mark.parametrize("stage", ["quota", "queue", "connecting", "answer", "retry"])
-def test_a_caller_that_leaves_ends_its_request_at_once_wherever_it_waits(stage):
-    """Nothing of it is sent any more, and what runs is ended."""
+def test_a_disconnect_of_the_caller_ends_the_request_at_each_stage(stage):
+    """The request is not sent after the disconnect, and a running send is cancelled."""
 
     async def main():
         sent = []
@@ -228,7 +228,7 @@
     virtual.run(main)
 
 
-def test_a_fault_before_anything_was_sent_ends_with_a_true_refusal():
+def test_an_exception_before_the_first_send_ends_with_a_refusal():
     async def main():
         async def acquire(*_):
             raise ValueError("broken")
@@ -242,7 +242,7 @@
     virtual.run(main)
 
 
-def test_connections_kept_beside_one_that_stalls_without_a_word_are_not_used_again():
+def test_idle_connections_are_dropped_after_a_stall_without_an_answer_head():
     async def main():
         dropped = []
         grants = [Granted(REPLICA, 1, Source.LOCAL), Denied("no replica", 0.5)]
@@ -270,10 +270,13 @@
     virtual.run(main)
 
 
-def test_a_replica_that_is_left_between_grant_and_send_gets_nothing():
-    """An old replica may stop once its node has told that it has left it: an answer was cut so."""
+def test_a_replica_abandoned_by_a_rollout_between_grant_and_send_gets_no_request():
+    """An old replica may stop once the node has reported that it no longer uses the replica.
 
-    class Left(NoOrder):
+    A request that was sent after the report had its answer cut off.
+    """
+
+    class OldReplicasAbandoned(NoRollouts):
         def may_send(self, replica):
             return False
 
@@ -287,7 +290,7 @@
         async def connect(*_, **__):
             return SilentConnection()
 
-        exchange, _, answering = exchange_with(acquire, rollouts=Left())
+        exchange, _, answering = exchange_with(acquire, rollouts=OldReplicasAbandoned())
         exchange._parts.connections = SimpleNamespace(
             connect=connect, give_back=lambda *where: given_back.append(where)
         )
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
@@ -27,7 +27,7 @@
 
 
 class Unlimited:
-    """Permits where no replica names a limit."""
+    """Permits where no replica has a limit."""
 
     def is_limited(self, replica):
         return False
@@ -37,7 +37,7 @@
 
 
 class Schedulers:
-    """Schedulers that are silent until some moment, and then grant ``m1``."""
+    """Schedulers that send no answer until a given time, and then grant ``m1``."""
 
     def __init__(self, answers_from):
         self.answers_from = answers_from
@@ -70,7 +70,7 @@
     return Admission(f"r{number}", fields, ROUTE, POOL, None, 1, 0, 150.0, 0.0, 8.0, 0.5, patience)
 
 
-def grants_before(schedulers, pooled=True, permits=None):
+def make_grants(schedulers, pooled=True, permits=None):
     loop = asyncio.get_running_loop()
     balancer = LocalBalancer("a", lambda: 0.5)
     made = Grants(
@@ -86,10 +86,10 @@
     return made
 
 
-def test_what_waits_for_a_part_of_its_own_asks_the_next_scheduler_again():
+def test_a_request_that_waits_for_a_local_slot_asks_the_schedulers_again():
     async def main():
         schedulers = Schedulers(answers_from=0.9)
-        grants = grants_before(schedulers)
+        grants = make_grants(schedulers)
         taken = [await grants.acquire(admission(n, 2.4), 1, ()) for n in range(2)]
         assert [each.source for each in taken] == [Source.LOCAL] * 2
         found = await grants.acquire(admission(9, 2.4), 1, ())
@@ -100,10 +100,10 @@
     virtual.run(main)
 
 
-def test_silent_schedulers_are_asked_now_and_then_only_and_patience_ends_the_wait():
+def test_silent_schedulers_are_asked_rarely_and_the_wait_ends_with_the_patience():
     async def main():
         schedulers = Schedulers(answers_from=99.0)
-        grants = grants_before(schedulers)
+        grants = make_grants(schedulers)
         for number in range(2):
             await grants.acquire(admission(number, 2.4), 1, ())
         schedulers.asked.clear()
@@ -115,16 +115,16 @@
     virtual.run(main)
 
 
-def test_a_request_that_has_found_no_replica_in_reach_is_refused_at_once():
-    """Before, it tried the one replica of a cut-off domain again and again until its end."""
+def test_a_request_that_has_reached_no_replica_is_refused_at_once():
+    """A failure would be retries of the only replica of a cut-off domain until the deadline."""
 
     async def main():
-        grants = grants_before(Schedulers(answers_from=99.0), pooled=False)
+        grants = make_grants(Schedulers(answers_from=99.0), pooled=False)
         loop = asyncio.get_running_loop()
         for each in REPLICAS:
             grants._balancer.stats(each.id).record_unreachable(loop.time())
         first = await grants.acquire(admission(1, 5.0), 1, [])
-        assert isinstance(first, Granted), "one try: the list may know better than this node"
+        assert isinstance(first, Granted), "one attempt, since this node's state may be stale"
         second = await grants.acquire(admission(2, 5.0), 2, ["m0", "m1"])
         assert second == Denied("replicas out of reach", 0.5)
         assert loop.time() < 0.01
@@ -133,7 +133,7 @@
 
 
 class OneLimited:
-    """Permits where ``m1`` names a limit that is used up; what is asked and given back is noted."""
+    """Permits where ``m1`` has a limit that is used up; records requested and returned permits."""
 
     def __init__(self, opens_in_s):
         self.opens_in_s = opens_in_s
@@ -156,10 +156,10 @@
         self.returned.append(permit)
 
 
-def test_a_grant_of_a_scheduler_that_has_not_heard_of_a_limit_is_given_back():
+def test_a_grant_of_a_scheduler_that_does_not_know_the_limit_is_returned():
     async def main():
         schedulers = Schedulers(answers_from=0.0)
-        grants = grants_before(schedulers, permits=OneLimited(0.5))
+        grants = make_grants(schedulers, permits=OneLimited(0.5))
         found = await grants.acquire(admission(1, 2.4), 1, ())
         assert (found.source, found.replica.id) == (Source.LOCAL, "m0")
         assert [each.outcome for _, each in schedulers.released] == ["unused"]
@@ -167,11 +167,11 @@
     virtual.run(main)
 
 
-def test_where_all_are_at_their_limits_a_place_is_waited_for_or_its_time_is_told():
+def test_with_all_replicas_at_their_limits_a_request_waits_or_gets_a_retry_time():
     async def play(opens_in_s):
         loop = asyncio.get_running_loop()
         permits = OneLimited(opens_in_s)
-        grants = grants_before(Schedulers(answers_from=99.0), pooled=False, permits=permits)
+        grants = make_grants(Schedulers(answers_from=99.0), pooled=False, permits=permits)
         del REPLICAS[0]
         try:
             return await grants.acquire(admission(1, 2.4), 1, ()), loop.time(), permits, grants
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_reception.py
@@ -43,7 +43,7 @@
     )
 
 
-def ask(path="/chat/x", key="k1", request_id="1", host=b"A.example:80", **fields):
+def admit(path="/chat/x", key="k1", request_id="1", host=b"A.example:80", **fields):
     request = Request(b"GET", path.encode(), [(b"Host", host)], b"")
     return admit_request(
         request, RequestFields(request_id, key=key, **fields), catalog(), now=100.0
@@ -51,41 +51,41 @@
 
 
 def test_the_longest_prefix_of_the_path_decides():
-    assert ask("/chat/x?y=/open/").route.name == "chat"
-    assert ask("/chatter").route.name == "all"
-    assert ask("/open/z", key=None).route.name == "open"
+    assert admit("/chat/x?y=/open/").route.name == "chat"
+    assert admit("/chatter").route.name == "all"
+    assert admit("/open/z", key=None).route.name == "open"
 
 
-def test_each_mistake_has_its_own_status():
-    assert ask(host=b"b.example") == Rejection(404, "no route")
-    assert ask(key="nobody's").status == 401
-    assert ask(key=None).status == 401
-    assert ask(request_id="").status == 400
+def test_each_rejection_has_its_own_status():
+    assert admit(host=b"b.example") == Rejection(404, "no route")
+    assert admit(key="nobody's").status == 401
+    assert admit(key=None).status == 401
+    assert admit(request_id="").status == 400
     empty = admit_request(Request(b"GET", b"/", [], b""), RequestFields("1"), Catalog(), 0.0)
     assert empty.status == 503
 
 
-def test_time_is_bounded_by_the_caller_the_route_and_the_patience_of_streams():
-    admission = ask(deadline_s=15.0)
+def test_deadline_and_patience_follow_from_the_caller_and_the_route():
+    admission = admit(deadline_s=15.0)
     assert (admission.deadline, admission.due_at) == (104.0, 100.5)
     assert admission.patience_until == 100.0 + 2.4
-    assert ask(deadline_s=1.0).deadline == 101.0
+    assert admit(deadline_s=1.0).deadline == 101.0
 
 
-def test_a_request_costs_its_tokens_or_a_plain_cost():
-    assert ask(prompt_tokens=1000, max_output_tokens=50).cost == 1050
-    assert ask().cost == 200
+def test_a_request_costs_its_tokens_or_the_default_cost():
+    assert admit(prompt_tokens=1000, max_output_tokens=50).cost == 1050
+    assert admit().cost == 200
 
 
 def test_the_team_ranks_before_the_route():
     low, high = routes()[0], routes()[1]
     urgent = Team("urgent", (), rank=0)
     assert combined_rank(low, urgent) < combined_rank(high, CLERKS)
-    assert ask().rank == combined_rank(routes()[1], CLERKS)
+    assert admit().rank == combined_rank(routes()[1], CLERKS)
 
 
-def test_a_taken_key_a_moved_route_and_a_dropped_route_are_seen_before_the_send():
-    admission = ask()
+def test_a_revoked_key_and_a_changed_or_removed_route_are_not_allowed():
+    admission = admit()
     assert isinstance(admission, Admission)
     assert is_still_allowed(admission, catalog(2))
     assert not is_still_allowed(admission, catalog(2, teams=(Team("clerks", ("k2",)),)))
@@ -101,7 +101,7 @@
     assert (picked.count("a"), picked.count("b"), picked.count("c")) == (900, 100, 0)
 
 
-def test_prompts_that_share_parts_share_leading_blocks():
+def test_prompts_with_shared_parts_have_equal_leading_blocks():
     shared, own = PromptPart(7, 600), PromptPart(9, 300)
     one = prompt_blocks(RequestFields("1", parts=(shared, own)))
     other = prompt_blocks(RequestFields("2", parts=(shared, PromptPart(8, 300))))
@@ -110,6 +110,6 @@
 
 def test_a_retry_has_the_fingerprint_of_its_first_attempt():
     parts = (PromptPart(7, 600),)
-    first, again = (ask(request_id=each, parts=parts) for each in ("1", "2"))
+    first, again = (admit(request_id=each, parts=parts) for each in ("1", "2"))
     assert fingerprint(first) == fingerprint(again) != 0
-    assert fingerprint(ask(parts=())) == 0
+    assert fingerprint(admit(parts=())) == 0
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_verdict.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_verdict.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("end", RAN)
-def test_what_may_not_be_repeated_is_never_sent_again_after_it_may_have_run(end):
+def test_a_non_repeatable_request_is_never_sent_again_after_it_may_have_run(end):
     for (kind, resumable), begun, budget, time_left in itertools.product(
         KINDS, BOOLS, BOOLS, BOOLS
     ):
@@ -40,7 +40,7 @@
         assert follows in (NextStep.FAIL, NextStep.BREAK_OFF, NextStep.PASS_ON)
 
 
-def test_a_promise_is_given_only_where_nothing_ran():
+def test_a_request_is_refused_as_not_run_only_without_runs():
     for end, (kind, resumable), begun, budget, time_left, runs in itertools.product(
         SendEnd, KINDS, BOOLS, BOOLS, BOOLS, (0, 1)
     ):
@@ -57,7 +57,7 @@
             assert ran == 0 and not begun
 
 
-def test_a_begun_answer_is_broken_off_and_never_answered_anew():
+def test_an_answer_that_has_begun_is_never_replaced():
     for end, (kind, resumable) in itertools.product(RAN, KINDS):
         follows = decide_next_step(
             end,
@@ -70,7 +70,7 @@
         assert follows in (NextStep.BREAK_OFF, NextStep.PASS_ON)
 
 
-def test_a_send_that_never_arrived_costs_no_budget():
+def test_a_send_without_a_connection_needs_no_retry_budget():
     follows = decide_next_step(
         SendEnd.NOT_CONNECTED,
         route(RouteKind.NON_IDEMPOTENT, False, 1),
@@ -82,7 +82,7 @@
     assert follows is NextStep.SEND_AGAIN
 
 
-def test_a_declined_send_is_refused_without_budget():
+def test_a_declined_request_is_refused_without_retry_budget():
     follows = decide_next_step(
         SendEnd.DECLINED,
         route(RouteKind.NON_IDEMPOTENT, False, 1),
