--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -56,7 +56,7 @@
 class _Progress(msgspec.Struct):
     """The attempts of a request so far.
 
-    :ivar tried: replicas that were tried, one entry for each send.
+    :ivar tried: replicas that were tried, one entry for each attempt to send.
     :ivar attempt: number of the latest grant that was asked for.
     :ivar first_counted: whether the retry budget has counted the first send.
     :ivar declined: whether a replica has declined the request.
@@ -142,7 +142,8 @@
     async def run(self) -> None:
         """Answer the request.
 
-        An unexpected exception ends the request with an answer that is true, and is raised again.
+        An unexpected exception is raised again after the caller has got a refusal, or an abort if
+        the request may have run.
         """
         try:
             await self._run()
@@ -152,43 +153,43 @@
 
     async def _run(self) -> None:
         parts = self._parts
-        judged = admit_request(self._request, self._fields, parts.catalog(), parts.now())
-        if isinstance(judged, Rejection):
-            retry = RETRY_SOON_S if judged.status == 503 else None
-            parts.log_rejection(self._request, self._fields, judged)
-            self._replies.send_answer(judged.status, judged.reason, retry)
+        decision = admit_request(self._request, self._fields, parts.catalog(), parts.now())
+        if isinstance(decision, Rejection):
+            retry = RETRY_SOON_S if decision.status == 503 else None
+            parts.log_rejection(self._request, self._fields, decision)
+            self._replies.send_answer(decision.status, decision.reason, retry)
             return
-        self._admission = judged
+        self._admission = decision
         try:
-            await self._serve_in_time(judged)
+            await self._serve_in_time(decision)
         finally:
-            self._refund_charge(judged)
+            self._refund_charge(decision)
 
-    async def _serve_in_time(self, judged: Admission) -> None:
+    async def _serve_in_time(self, admission: Admission) -> None:
         parts = self._parts
         try:
-            async with asyncio.timeout_at(self._loop_time(judged.deadline)):
-                await self._serve_admitted(judged)
+            async with asyncio.timeout_at(self._loop_time(admission.deadline)):
+                await self._serve_admitted(admission)
         except TimeoutError:
-            self._expire(judged)
+            self._expire(admission)
         except asyncio.CancelledError:
-            self._release_cancelled(judged)
+            self._release_cancelled(admission)
             if self._is_held and self.task is not None and not self._caller_left:
                 self.task.uncancel()
-                self._replies.refuse_held_back(judged, self._request_digest())
+                self._replies.refuse_held_back(admission, self._request_digest())
                 return
             if not self._caller_left:
                 raise
             parts.log_decision(
                 "left",
-                judged,
+                admission,
                 sends=self._progress.sends.arrivals,
                 events=self._delivery.events,
                 silent_s=round(self._silent_s(), 4),
             )
 
     def _end_after_fault(self) -> None:
-        """Release the grant and end the request with an answer that is true."""
+        """Release the grant, and refuse or abort the request after an unexpected exception."""
         if self._admission is not None:
             self._release_cancelled(self._admission)
         self._replies.end_after_fault()
@@ -213,11 +214,11 @@
     async def _serve_admitted(self, admission: Admission) -> None:
         if self._refuse_if_held_back(admission):
             return
-        allowed = await self._parts.quotas.charge(admission)
-        if not allowed.allowed:
-            self._replies.refuse_over_quota(admission, allowed)
+        quota_decision = await self._parts.quotas.charge(admission)
+        if not quota_decision.allowed:
+            self._replies.refuse_over_quota(admission, quota_decision)
             return
-        self._charge = allowed
+        self._charge = quota_decision
         while True:
             if not is_still_allowed(admission, self._parts.catalog()):
                 self._replies.refuse(admission, "no longer allowed", RETRY_SOON_S)
@@ -300,27 +301,27 @@
         if end is SendEnd.DECLINED:
             time_left = time_left and not self._has_tried_all(admission)
         budget = parts.budget.remaining(admission.service.name, parts.node_count(), now) >= 1
-        follows = decide_next_step(
+        next_step = decide_next_step(
             end, admission.route, progress.sends, begun=begun, budget=budget, time_left=time_left
         )
-        if follows is NextStep.SEND_AGAIN:
+        if next_step is NextStep.SEND_AGAIN:
             if end is not SendEnd.NOT_CONNECTED:
                 parts.budget.try_spend(admission.service.name, parts.node_count(), now)
             self._delivery.splitter.discard_partial()
-        elif follows is NextStep.PASS_ON and self._relay is not None:
+        elif next_step is NextStep.PASS_ON and self._relay is not None:
             self._relay.pass_on()
-        elif follows is NextStep.REFUSE:
+        elif next_step is NextStep.REFUSE:
             self._replies.refuse(admission, f"replicas: {end}", RETRY_SOON_S)
-        elif follows is NextStep.FAIL:
+        elif next_step is NextStep.FAIL:
             self._replies.send_answer(502, f"replica: {end}", None)
-        elif follows is NextStep.BREAK_OFF:
+        elif next_step is NextStep.BREAK_OFF:
             self._answering.abort()
         parts.log_decision(
             "ended",
             admission,
             replica=granted.replica.id,
             end=end,
-            follows=follows,
+            follows=next_step,
             sends=progress.sends.arrivals,
             events=self._delivery.events,
             source=granted.source,
@@ -339,7 +340,7 @@
             retry_after_s=self._relay.fields.retry_after_s if self._relay else None,
             limit_per_s=self._relay.fields.limit_per_s if self._relay else None,
         )
-        return follows
+        return next_step
 
     def _has_tried_all(self, admission: Admission) -> bool:
         """Return whether all replicas have declined the request often enough to refuse it.
@@ -475,7 +476,7 @@
             for_trial=granted.for_trial,
             source=granted.source,
             scheduler=granted.scheduler,
-            limit_kept_by=_limit_kept_by(granted),
+            limit_kept_by=_limit_counting_process(granted),
             send=progress.sends.arrivals,
             expected_first_s=round(granted.expected_first_s, 4),
             deadline_s=round(forwarding.deadline_s, 3),
@@ -543,8 +544,8 @@
         if self._connection is not None:
             self._connection.cancel()
         if self._granted is not None and self._granted.started_at:
-            # A stream that is cut off here was slow or long, which is no failure. Of any other
-            # answer nothing has been forwarded.
+            # A stream that is cut off here was slow or long, which is no failure. Any other
+            # request has received no answer, which is a failure.
             failed = not admission.route.is_stream
             self._feedback.record_version_outcome(admission, self._granted, failed=failed)
         self._release_cancelled(admission)
@@ -567,7 +568,7 @@
             self._granted = None
 
 
-def _limit_kept_by(granted: Granted) -> str | None:
+def _limit_counting_process(granted: Granted) -> str | None:
     """Return the process that counts a send toward the limit of its replica, or None."""
     if granted.counted:
         return granted.scheduler
--- a/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
@@ -22,6 +22,7 @@
     SendEnd.UNUSABLE: ReleaseOutcome.FAILED,
     SendEnd.STALLED: ReleaseOutcome.FAILED,
 }
+# Weight of each end in the failure statistics of its replica; 1.0 is a full failure.
 FAILURE_WEIGHTS = {
     SendEnd.FAILURE_ANSWER: 0.3,
     SendEnd.DECLINED: 0.3,
@@ -63,15 +64,15 @@
         """
         parts = self._parts
         now = parts.now()
-        seen = parts.balancer.stats(granted.replica.id)
+        stats = parts.balancer.stats(granted.replica.id)
         if relay is not None and relay.fields.load is not None and end is not SendEnd.NOT_CONNECTED:
-            seen.record_load(relay.fields.load.running, relay.fields.load.waiting, now)
+            stats.record_load(relay.fields.load.running, relay.fields.load.waiting, now)
         if end is SendEnd.DELIVERED:
-            seen.record_answer(now - granted.started_at)
+            stats.record_answer(now - granted.started_at)
         elif end is SendEnd.NOT_CONNECTED:
-            seen.record_unreachable(now)
+            stats.record_unreachable(now)
         else:
-            seen.record_failure(FAILURE_WEIGHTS[end], now)
+            stats.record_failure(FAILURE_WEIGHTS[end], now)
         self._record_quarantine_evidence(
             admission, granted.replica, end, output_duration_s(relay), request
         )
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -141,7 +141,7 @@
         while granted is None:
             if pooled:
                 granted = await self._ask_schedulers(wanted)
-            if isinstance(granted, Granted) and not await self._is_permitted(wanted, granted):
+            if isinstance(granted, Granted) and not await self._ensure_permit(wanted, granted):
                 granted, pooled = None, False
             if granted is None:
                 wait_s = LOCAL_WAIT_S if pooled else math.inf
@@ -151,7 +151,7 @@
             self._balancer.stats(granted.replica.id).outstanding += 1
         return granted
 
-    async def _is_permitted(self, wanted: GrantRequest, granted: Granted) -> bool:
+    async def _ensure_permit(self, wanted: GrantRequest, granted: Granted) -> bool:
         """Get the permit that a scheduler's grant lacks, or return the grant if there is no permit.
 
         A scheduler that does not know a replica's limit keeps granting; one of an older version
--- a/packages/chalkyoke/src/chalkyoke/gateway/relay.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/relay.py
@@ -174,31 +174,31 @@
             return
         if head.status >= SERVER_ERROR_MIN or self.fields.not_run:
             return
-        passed = AnswerHead(head.status, head.reason, end_to_end(head.headers), head.length)
-        self._begin_answer(passed, b"".join(self._buffered), now)
+        forwarded_head = AnswerHead(head.status, head.reason, end_to_end(head.headers), head.length)
+        self._begin_answer(forwarded_head, b"".join(self._buffered), now)
         self._buffered.clear()
         self._is_forwarding = True
 
     def _forward_events(self, data: bytes, now: float) -> None:
-        cut = self._delivery.splitter.feed(data)
+        whole_events = self._delivery.splitter.feed(data)
         if self._delivery.splitter.is_too_large:
             self._finish(SendEnd.UNUSABLE)
             return
-        if not cut.count:
+        if not whole_events.count:
             return
         if not self.events:
             self._on_first_event(now - self.started_at)
         else:
             self.longest_gap_s = max(self.longest_gap_s, now - self._event_at)
         self._event_at = now
-        self.events += cut.count
-        self._delivery.events += cut.count
+        self.events += whole_events.count
+        self._delivery.events += whole_events.count
         if self._delivery.head_sent:
-            self._delivery.answering.send(cut.data)
+            self._delivery.answering.send(whole_events.data)
         elif self.head is not None:
             head = self.head
-            passed = AnswerHead(head.status, head.reason, end_to_end(head.headers), None)
-            self._begin_answer(passed, cut.data, now)
+            forwarded_head = AnswerHead(head.status, head.reason, end_to_end(head.headers), None)
+            self._begin_answer(forwarded_head, whole_events.data, now)
 
     def _begin_answer(self, head: AnswerHead, data: bytes, now: float) -> None:
         self._delivery.head_sent = True
--- a/packages/chalkyoke/src/chalkyoke/gateway/verdict.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/verdict.py
@@ -61,7 +61,7 @@
     :param begun: whether a part of the answer has been forwarded to the caller.
     :param budget: whether the retry budget allows one more arrival.
     :param time_left: whether one more send could still end in time.
-    :rtype: Next
+    :rtype: NextStep
     """
     if end is SendEnd.DELIVERED:
         return NextStep.DONE
