--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -239,7 +239,7 @@
             process,
             expected_first_s=message.expected_first_s,
             for_trial=for_trial,
-            counted=message.counts_toward_limit,
+            counted=message.counted,
         )
 
     def _acquire_message(self, wanted: GrantRequest) -> Acquire:
@@ -263,10 +263,10 @@
             goal_s=(admission.due_at - now) or -1e-3,
             likely_output=fields.estimated_output_tokens,
             gap_goal_s=admission.route.gap_goal_s,
-            answer_due_s=admission.deadline - now,
+            whole_s=admission.deadline - now,
             fingerprint=fingerprint(admission),
-            max_retry_after_s=(admission.deadline - now) * MAX_RETRY_AFTER_SHARE,
-            tried_upstreams=tuple(wanted.avoid),
+            comes_back_s=(admission.deadline - now) * MAX_RETRY_AFTER_SHARE,
+            tried=tuple(wanted.avoid),
         )
 
     # Messages from schedulers.
