--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -137,7 +137,7 @@
     _is_held = False
     task: "asyncio.Task[None] | None" = None
 
-    # Driving.
+    # Running the request.
 
     async def run(self) -> None:
         """Answer the request.
@@ -503,19 +503,19 @@
         """Wait for the end of a send; abandon a stalled replica where another one may be tried."""
         parts = self._parts
         while True:
-            wait_s = self._stalls_at(admission, relay) - parts.now()
+            wait_s = self._stall_deadline(admission, relay) - parts.now()
             done, _ = await asyncio.wait([relay.ended], timeout=max(0.001, wait_s))
             granted.events = relay.events
             if relay.first_at:
                 granted.first_s = relay.first_at - relay.started_at
             if done:
                 return relay.ended.result()
-            if parts.now() < self._stalls_at(admission, relay):
+            if parts.now() < self._stall_deadline(admission, relay):
                 continue
             connection.cancel()
             return SendEnd.STALLED
 
-    def _stalls_at(self, admission: Admission, relay: Relay) -> float:
+    def _stall_deadline(self, admission: Admission, relay: Relay) -> float:
         """Return the time at which a silent replica counts as stalled, on the node's clock."""
         route, sends = admission.route, self._progress.sends
         budget = self._parts.budget.remaining(
@@ -536,7 +536,7 @@
         self._feedback.record_end(admission, granted, end, self._relay, self._request_digest)
         self._granted = None
 
-    # Ends.
+    # Ending the request.
 
     def _expire(self, admission: Admission) -> None:
         """End a request whose deadline has passed."""
--- a/packages/chalkyoke/src/chalkyoke/gateway/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/reception.py
@@ -132,7 +132,9 @@
 
 
 def fingerprint(admission: Admission) -> int:
-    """Return a hash of a request's prompt parts that is equal for all attempts of its caller.
+    """Return a hash of the request's content, equal for all attempts of its caller.
+
+    The hash covers the team, the route, the highest output and the prompt parts.
 
     :return: 0 if the request has no prompt parts to tell it from others.
     """
@@ -154,13 +156,13 @@
     now: float,
 ) -> Admission:
     deadline = route.timeout_s if fields.deadline_s is None else fields.deadline_s
-    ends = now + min(deadline, route.timeout_s)
-    patience = ends
+    ends_at = now + min(deadline, route.timeout_s)
+    patience = ends_at
     if route.is_stream:
         gaps = max(
             MIN_PATIENCE_S, PATIENCE_GOALS * route.goal_s, PATIENCE_GAP_GOALS * route.gap_goal_s
         )
-        patience = min(ends, now + gaps)
+        patience = min(ends_at, now + gaps)
     return Admission(
         request_id=fields.request_id,
         fields=fields,
@@ -171,7 +173,7 @@
         rank=combined_rank(route, team),
         cost=_quota_cost(fields, team),
         arrived_at=now,
-        deadline=ends,
+        deadline=ends_at,
         due_at=now + route.goal_s,
         patience_until=patience,
     )
--- a/packages/chalkyoke/src/chalkyoke/gateway/statements.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/statements.py
@@ -37,12 +37,12 @@
 
     A missing limit means that there is none only in an answer that the replica has signed.
     """
-    names = fields.limit_per_s is not None
+    has_limit = fields.limit_per_s is not None
     return Statement(
         leaving=fields.leaving,
         rest_s=fields.retry_after_s if status == UNAVAILABLE else 0.0,
         limit_per_s=fields.limit_per_s,
-        reports_limit=names or (fields.signed and not fields.limit_unreadable),
+        reports_limit=has_limit or (fields.signed and not fields.limit_unreadable),
     )
 
 
