--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_grants.py
@@ -116,7 +116,7 @@
 
 
 def test_a_request_that_has_reached_no_replica_is_refused_at_once():
-    """A failure would be retries of the only replica of a cut-off domain until the deadline."""
+    """Guards against retries at the only replica of a cut-off domain until the deadline."""
 
     async def main():
         grants = make_grants(Schedulers(answers_from=99.0), pooled=False)
