--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.rollouts
 
-Orders of roll-outs on this node: which replicas its requests may go to, what it reports, and the
-orders that it leads.
+Roll-out orders on this node: selects the replicas that its requests may go to, reports their
+outcomes, and advances the orders that this node leads.
 """
 
 import math
@@ -34,41 +34,42 @@
 from chalkyoke.rollouts.standing import Eligibility, VersionEligibility
 from chalkyoke.storage.port import Store
 
-# How often orders are looked at, in seconds: a heartbeat. A bad version is left within one report,
-# one look and one telling, a sixth of what operators allow.
+# How often orders are evaluated, in seconds: a heartbeat. A bad version is abandoned after one
+# report, one evaluation and one announcement, a sixth of the time that operators allow.
 TICK_S = 0.25
-# How often a node reports, in seconds; failures of the new version are told at once.
+# How often a node reports, in seconds; failures of the new version are reported at once.
 REPORT_INTERVAL_S = 0.25
-# How often it reports all that it has met and not only what is new, in seconds: a report may be
-# lost, or come before the leader knows of the order. 35 counts, some 2 kB.
+# How often a node reports all its counts instead of the new ones only, in seconds: a report may be
+# lost, or arrive before the leader knows the order. A full report has 35 counts, about 2 kB.
 FULL_REPORT_INTERVAL_S = 2.0
-# Replicas of a pool of engines that a trial uses, at the least, and as a part of all new ones: so
-# few that they are as busy as the old ones, since some versions fail under load only.
+# The smallest number of replicas of an engine pool that a trial uses, and their share of all new
+# replicas. Both are low so that these replicas are as busy as the old ones, since some versions
+# fail only under load.
 MIN_TRIAL_REPLICAS = 6
 TRIAL_REPLICA_SHARE = 0.1
-# A request is taken to last up to so many times its expected time: callers' own estimates are right
-# at the median and spread by about that.
+# A request is assumed to last up to this multiple of its expected duration: callers' estimates are
+# right at the median and spread by about this factor.
 DURATION_FACTOR = 2.5
 
 log = logger("rollouts")
 
 
 class _ReportTimes(msgspec.Struct):
-    """When a node reported last, and when it last reported all, to which leader."""
+    """When this node sent its last report and its last full report, and to which leader."""
 
     leader: str = ""
-    at: float = float("-inf")
-    full_at: float = float("-inf")
+    sent_at: float = float("-inf")
+    full_sent_at: float = float("-inf")
 
 
 class Rollouts:
-    """A node's part in all orders.
+    """Take part in all roll-out orders as one node of the fleet.
 
     :param send: sends a message to a node by its link address.
-    :param presence: tells how much of the fleet this node sees.
-    :param guess: what engines are taken to need, to compare requests of unlike sizes.
+    :param presence: returns how much of the fleet this node sees.
+    :param engine_defaults: assumed engine speeds, to compare requests of different sizes.
     :param random: source of numbers in [0, 1).
-    :param changed: called when replicas may take other requests than before.
+    :param changed: called when the requests that replicas may take have changed.
     :param now: the node's clock, in seconds.
     """
 
@@ -79,7 +80,7 @@
         store: Store,
         write_status: WriteStatus,
         bounds: ExposureBounds,
-        guess: SchedulingSection,
+        engine_defaults: SchedulingSection,
         metrics: Metrics,
         send: Callable[[str, RolloutMessage], None],
         presence: Callable[[], Presence],
@@ -90,7 +91,7 @@
         self._view = view
         self._state = state
         self._bounds = bounds
-        self._engine_defaults = guess
+        self._engine_defaults = engine_defaults
         self._send = send
         self._presence = presence
         self._random = random
@@ -100,7 +101,7 @@
         self._shares: dict[str, NodeRollout] = {}
         self._report_times: dict[str, _ReportTimes] = {}
         self._running: Counter[tuple[str, str]] = Counter()
-        self._leads = RolloutLeads(
+        self._rollout_leads = RolloutLeads(
             view,
             state,
             store,
@@ -113,10 +114,10 @@
             now,
         )
 
-    # What the catalog tells.
+    # Changes of the catalog.
 
     def rebuild(self) -> None:
-        """Take other orders, answers or replicas."""
+        """Apply changed orders, statuses or replicas of the catalog."""
         for service, ordered in self._state.orders.items():
             share = self._shares.get(service)
             if share is not None and share.order.name == ordered.order.name:
@@ -134,7 +135,7 @@
         for service in [each for each in self._shares if each not in self._state.orders]:
             log.notice("withdrawn", service=service, to=self._shares[service].order.version)
             del self._shares[service]
-            self._leads.drop_order(service)
+            self._rollout_leads.drop_order(service)
             self._report_times.pop(service, None)
         now = self._now()
         orders = {
@@ -150,21 +151,24 @@
         return NodeRollout(ordered.order, exposure, since, now)
 
     def standing(self, replica: Replica) -> Eligibility:
-        """Tell what a replica takes."""
+        """Return which requests a replica takes."""
         return self._versions.eligibility(replica.service, replica.version)
 
     def trial_replicas(self, service: str, replicas: list[Replica]) -> list[Replica]:
-        """Choose, of the replicas of a version under trial, those that the trial uses."""
+        """Select the replicas that a trial uses from all replicas of the version under trial.
+
+        The closing phase uses all of them.
+        """
         share = self._shares.get(service)
         if share is not None and share.phase(self._now()) is Phase.CLOSING:
             return replicas
-        most = max(MIN_TRIAL_REPLICAS, math.ceil(TRIAL_REPLICA_SHARE * len(replicas)))
-        return sorted(replicas, key=lambda each: xxhash.xxh64_intdigest(each.id.encode()))[:most]
+        count = max(MIN_TRIAL_REPLICAS, math.ceil(TRIAL_REPLICA_SHARE * len(replicas)))
+        return sorted(replicas, key=lambda each: xxhash.xxh64_intdigest(each.id.encode()))[:count]
 
     # Requests.
 
     def claim_trial(self, admission: Admission, *, again: bool) -> bool:
-        """Tell whether a request is to go to the version under trial; it is counted then."""
+        """Return whether a request goes to the version under trial, and count it if so."""
         share = self._shares.get(admission.service.name)
         if share is None or share.ended is not None:
             return False
@@ -173,34 +177,34 @@
         )
 
     def return_trial(self, admission: Admission) -> None:
-        """Take back that a request goes to the version under trial."""
+        """Uncount a request that doesn't go to the version under trial after all."""
         share = self._shares.get(admission.service.name)
         if share is not None:
             share.exposure.cancel_reservation()
 
     def may_send(self, replica: Replica) -> bool:
-        """Tell whether a replica that was granted may still be sent to.
+        """Return whether a granted request may still be sent to its replica.
 
-        A grant is used a moment after it was given. Once this node has told that it has left the
-        old replicas they may stop, and what is sent to one then is cut off.
+        A grant is used a moment after it was issued. Once this node has reported that it no longer
+        uses the old replicas, they may stop, which would abort a request sent to one of them.
         """
         share = self._shares.get(replica.service)
-        if share is None or self._is_new(share, replica):
+        if share is None or self._runs_new_version(share, replica):
             return True
         return not share.has_left_old(self._now())
 
     def record_sent(self, replica: Replica) -> None:
-        """Count a request that goes to a replica."""
+        """Count a request that is sent to a replica."""
         self._running[replica.service, replica.version] += 1
         share = self._shares.get(replica.service)
         if share is not None:
             share.exposure.count_sent()
 
     def record_finished(self, replica: Replica) -> None:
-        """Count a request that the replica no longer works on."""
+        """Uncount a request that its replica no longer runs."""
         self._running[replica.service, replica.version] -= 1
 
-    def _old_running(self, order: RolloutOrder) -> int:
+    def _count_old_running(self, order: RolloutOrder) -> int:
         return sum(
             count
             for (service, version), count in self._running.items()
@@ -216,14 +220,14 @@
         output_tokens: int,
         took_s: float,
     ) -> None:
-        """Count how a request ended.
+        """Count the outcome of a request; report a failure of the new version at once.
 
-        :param took_s: from the send to the end, in seconds; 0 where it tells nothing.
+        :param took_s: time from the send to the end, in seconds; 0 if it isn't meaningful.
         """
         share = self._shares.get(replica.service)
         if share is None:
             return
-        is_new = self._is_new(share, replica)
+        is_new = self._runs_new_version(share, replica)
         work_s = 1.0
         if admission.route.is_stream:
             work_s = self._estimated_work_s(admission.fields.prompt_tokens, output_tokens)
@@ -236,16 +240,16 @@
         if failed and is_new:
             self._send_report(share)
 
-    def _is_new(self, share: NodeRollout, replica: Replica) -> bool:
+    def _runs_new_version(self, share: NodeRollout, replica: Replica) -> bool:
         return replica.version == share.order.version
 
     def _estimated_work_s(self, prompt_tokens: float, output_tokens: float) -> float:
-        guess = self._engine_defaults
-        read_s = prompt_tokens / guess.prefill_tokens_per_s
-        return guess.setup_s + read_s + output_tokens * guess.token_s
+        engine_defaults = self._engine_defaults
+        prefill_s = prompt_tokens / engine_defaults.prefill_tokens_per_s
+        return engine_defaults.setup_s + prefill_s + output_tokens * engine_defaults.token_s
 
     def _expected_duration_s(self, admission: Admission) -> float:
-        """Tell how long a request may last, in seconds."""
+        """Return how long a request may last, in seconds, at most the time until its deadline."""
         left = admission.deadline - self._now()
         if not admission.route.is_stream:
             return min(left, admission.route.goal_s)
@@ -254,20 +258,20 @@
         likely = likely or (fields.max_output_tokens or DEFAULT_OUTPUT_TOKENS) // 4
         return min(left, DURATION_FACTOR * self._estimated_work_s(fields.prompt_tokens, likely))
 
-    # Reports and the leader's word.
+    # Reports and the leader's announcements.
 
     def tick(self) -> None:
-        """Report, and lead the orders that this node is to lead."""
+        """Send the reports that are due and advance the orders that this node leads."""
         for service, share in list(self._shares.items()):
             if (
-                self._now() - self._report_times.setdefault(service, _ReportTimes()).at
+                self._now() - self._report_times.setdefault(service, _ReportTimes()).sent_at
                 >= REPORT_INTERVAL_S
             ):
                 self._send_report(share)
-            self._leads.advance(share)
+            self._rollout_leads.advance(share)
 
     def receive(self, process: str, message: RolloutMessage) -> None:
-        """Take a report, or the leader's word.
+        """Handle a report of a node or an announcement of the leader.
 
         :param process: id of the sender.
         """
@@ -276,7 +280,7 @@
             return
         if isinstance(message, RolloutReport):
             share.update_elapsed(message.least_s, self._now())
-            self._leads.receive_report(process, share, message)
+            self._rollout_leads.receive_report(process, share, message)
             return
         self._apply_announcement(share, message)
         relay_to_domain(self._view, self._send, message)
@@ -285,15 +289,15 @@
         if stored_outcome(self._state, share.order) is not None:
             return
         service, now = share.order.service, self._now()
-        leader = self._leads.leader(service)
+        leader = self._rollout_leads.leader(service)
         last = self._report_times.setdefault(service, _ReportTimes())
-        whole = last.leader != leader.process or now - last.full_at >= FULL_REPORT_INTERVAL_S
-        last.leader, last.at = leader.process, now
+        whole = last.leader != leader.process or now - last.full_sent_at >= FULL_REPORT_INTERVAL_S
+        last.leader, last.sent_at = leader.process, now
         if whole:
-            last.full_at = now
-        report = share.report(now, self._old_running(share.order), whole=whole)
+            last.full_sent_at = now
+        report = share.report(now, self._count_old_running(share.order), whole=whole)
         if leader.host == self._view.record.host:
-            self._leads.receive_report(self._view.record.process, share, report)
+            self._rollout_leads.receive_report(self._view.record.process, share, report)
         else:
             self._send(leader.address, report)
 
