--- a/packages/chalkyoke/src/chalkyoke/entry/answers.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/answers.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.entry.answers
 
-The answer to one caller, from this process's own run or from the process that issued the token.
+The answer to one caller, from a run of this process or of the process that issued the token.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
     ForwardEnd,
     ForwardHead,
 )
-from chalkyoke.entry.readers import Reader
+from chalkyoke.entry.readers import AnswerReader
 from chalkyoke.entry.service import EntryService
 from chalkyoke.exceptions import LinkError, ProtocolError
 from chalkyoke.links.connection import Connection
@@ -24,72 +24,76 @@
 from chalkyoke.outcomes import Reason, Refusal, Verdict
 from chalkyoke.tokens.messages import Token, TokenProblem
 
-COME_BACK_S = 1.0
-# How much longer than its deadline an answer of another process is waited for, in seconds.
-GRACE_S = 0.5
+# Retry-After in seconds where the issuing host can't be reached or stops answering.
+RETRY_AFTER_S = 1.0
+# Time after the deadline for which an answer of another process is still awaited, in seconds.
+FORWARD_GRACE_S = 0.5
 
 
 class Answer(Protocol):
-    """What the HTTP side reads, wherever the run is."""
+    """An answer as the HTTP side reads it, from a local or a remote run."""
 
-    async def head(self) -> AnswerHead | None:
-        """Wait for the start; nothing where there is none."""
+    async def read_head(self) -> AnswerHead | None:
+        """Wait until the answer starts; None where it never does."""
 
-    async def next(self) -> bytes | None:
-        """Give the next piece; nothing after the last one."""
+    async def next_chunk(self) -> bytes | None:
+        """Wait for the next chunk; None after the last one."""
 
-    def verdict(self) -> Refusal | None:
-        """Tell why it is not whole; nothing when it is."""
+    def refusal(self) -> Refusal | None:
+        """Return why the answer is incomplete; None for a complete one."""
 
     def close(self) -> None:
-        """Leave it; a second call does nothing."""
+        """Stop reading; a second call does nothing."""
 
 
 class LocalAnswer:
     """The answer of a run of this process."""
 
-    def __init__(self, service: EntryService, reader: Reader) -> None:
+    def __init__(self, service: EntryService, reader: AnswerReader) -> None:
         self._service = service
         self._reader = reader
 
-    async def head(self) -> AnswerHead | None:
-        """Wait for the start; nothing where there is none."""
-        await self._reader.head()
-        return self._reader.run.head if not self._reader.run.replay_gone else None
+    async def read_head(self) -> AnswerHead | None:
+        """Wait until the answer starts; None where it never does."""
+        await self._reader.wait_for_head()
+        return self._reader.run.head if not self._reader.run.answer_dropped else None
 
-    async def next(self) -> bytes | None:
-        """Give the next piece; nothing after the last one."""
-        return await self._reader.next()
+    async def next_chunk(self) -> bytes | None:
+        """Wait for the next chunk; None after the last one."""
+        return await self._reader.next_chunk()
 
-    def verdict(self) -> Refusal | None:
-        """Tell why it is not whole; nothing when it is."""
-        return self._service.verdict(self._reader.run)
+    def refusal(self) -> Refusal | None:
+        """Return why the answer is incomplete; None for a complete one."""
+        return self._service.refusal_for(self._reader.run)
 
     def close(self) -> None:
-        """Leave it; a second call does nothing."""
+        """Stop reading; a second call does nothing."""
         self._reader.close()
 
 
 class RemoteAnswer:
-    """The answer of a run of another process, read over a stream of its own."""
+    """The answer of a run of another process, read from a dedicated connection.
+
+    :param budget_s: time until the request's deadline, in seconds.
+    """
 
     def __init__(self, connection: Connection, budget_s: float) -> None:
         self._connection = connection
-        self._deadline = asyncio.get_running_loop().time() + budget_s + GRACE_S
+        self._deadline = asyncio.get_running_loop().time() + budget_s + FORWARD_GRACE_S
         self._end: ForwardEnd | None = None
         self._size = 0
         self._started = False
 
-    async def head(self) -> AnswerHead | None:
-        """Wait for the start; nothing where there is none."""
+    async def read_head(self) -> AnswerHead | None:
+        """Wait until the answer starts; None where it never does."""
         message = await self._receive()
         if isinstance(message, ForwardHead):
             self._started = True
             return message.head
         return None
 
-    async def next(self) -> bytes | None:
-        """Give the next piece; nothing after the last one."""
+    async def next_chunk(self) -> bytes | None:
+        """Wait for the next chunk; None after the last one."""
         if self._end is not None:
             return None
         message = await self._receive()
@@ -98,8 +102,8 @@
         self._size += len(message.data)
         return message.data
 
-    def problem(self) -> TokenProblem | None:
-        """Tell a fault of the request itself that the issuer found.
+    def token_problem(self) -> TokenProblem | None:
+        """Return the problem that the issuer found with the token; None where it found none.
 
         :rtype: TokenProblem or None
         """
@@ -107,16 +111,16 @@
             return None
         return TokenProblem(self._end.problem)
 
-    def verdict(self) -> Refusal | None:
-        """Tell why it is not whole; nothing when it is."""
+    def refusal(self) -> Refusal | None:
+        """Return why the answer is incomplete; None for a complete one."""
         if self._end is not None:
             return self._end.refusal
         verdict = Verdict.FAILED if self._started else Verdict.UNKNOWN
         text = "the host that issued the token stopped answering; ask again with the same token"
-        return Refusal(verdict, Reason.ISSUER_UNREACHABLE, text, COME_BACK_S, self._size)
+        return Refusal(verdict, Reason.ISSUER_UNREACHABLE, text, RETRY_AFTER_S, self._size)
 
     def close(self) -> None:
-        """Leave it; a second call does nothing."""
+        """Stop reading; a second call does nothing."""
         self._connection.abort()
 
     async def _receive(self) -> object:
@@ -130,28 +134,29 @@
         return message
 
 
-async def forward(
+async def forward_request(
     links: Links, token: Token, text: str, request: CallerRequest
 ) -> RemoteAnswer | Refusal:
-    """Hand a request to the process that issued its token.
+    """Forward a request to the process that issued its token.
 
-    :param text: the token as the caller sent it.
-    :return: its answer, or ``unknown`` where the issuer is not reached.
+    :param text: the encoded token as the caller sent it.
+    :return: the answer, or a refusal with verdict ``unknown`` where the issuer can't be reached or
+        has restarted.
     """
     try:
         connection = await links.open(token.address)
         await connection.send_and_wait(Forward(text, request))
     except LinkError as error:
         detail = f"the host that issued the token is not reached: {error}"
-        return Refusal(Verdict.UNKNOWN, Reason.ISSUER_UNREACHABLE, detail, COME_BACK_S)
+        return Refusal(Verdict.UNKNOWN, Reason.ISSUER_UNREACHABLE, detail, RETRY_AFTER_S)
     if connection.peer != f"{token.host}/{token.incarnation:x}":
         connection.abort()
-        return issuer_gone()
+        return issuer_gone_refusal()
     return RemoteAnswer(connection, request.budget_s)
 
 
-def issuer_gone() -> Refusal:
-    """Word the answer for a token whose issuing process is no more.
+def issuer_gone_refusal() -> Refusal:
+    """Build the refusal for a token whose issuing process no longer exists.
 
     :rtype: Refusal
     """
@@ -162,12 +167,12 @@
 async def serve_forward(
     connection: Connection, service: EntryService, token: Token, message: Forward
 ) -> None:
-    """Answer a forwarded request on its stream.
+    """Answer a forwarded request on its connection, then close the connection.
 
-    :param token: the token of the message, already opened.
+    :param token: the decoded token of the message.
     """
     if not service.runs.ledger.is_issued_here(token):
-        await connection.send_and_wait(ForwardEnd(issuer_gone()))
+        await connection.send_and_wait(ForwardEnd(issuer_gone_refusal()))
         return
     submitted = service.submit(message.request, token, message.token)
     if submitted.is_err():
@@ -176,25 +181,25 @@
 
     reader = service.open_reader(submitted.unwrap())
     answer = LocalAnswer(service, reader)
-    watching = asyncio.create_task(_watch(connection, answer))
+    disconnect_watch = asyncio.create_task(_close_on_disconnect(connection, answer))
     try:
-        head = await answer.head()
+        head = await answer.read_head()
         if head is not None:
             await connection.send_and_wait(ForwardHead(head))
-        while (chunk := await answer.next()) is not None:
+        while (chunk := await answer.next_chunk()) is not None:
             await connection.send_and_wait(ForwardChunk(chunk))
-        await connection.send_and_wait(ForwardEnd(answer.verdict()))
+        await connection.send_and_wait(ForwardEnd(answer.refusal()))
     except LinkError:
         return
     finally:
         answer.close()
-        # The stream serves one forward; nothing may read it after this.
-        watching.cancel()
+        # A connection serves one forwarded request; nothing may read it after this.
+        disconnect_watch.cancel()
         await connection.close()
 
 
-async def _watch(connection: Connection, answer: LocalAnswer) -> None:
-    """Leave the run when the forwarding host has closed the stream."""
+async def _close_on_disconnect(connection: Connection, answer: LocalAnswer) -> None:
+    """Stop reading the run when the forwarding host closes the connection."""
     with contextlib.suppress(ProtocolError):
         await connection.receive()
     answer.close()
--- a/packages/chalkyoke/src/chalkyoke/node/ports.py
+++ b/packages/chalkyoke/src/chalkyoke/node/ports.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Mapping
 
 from chalkyoke.configuration.resources import Route, Service, Team
-from chalkyoke.entry.reception import Directory
+from chalkyoke.entry.reception import ConfigurationLookup
 from chalkyoke.node.fleet import FleetView
 
 
-class FleetPort(Directory):
+class FleetPort(ConfigurationLookup):
     """Look up teams, services, routes and pools in the current fleet view.
 
     :param fleet: returns the view in force.
