--- a/packages/chalkyoke/src/chalkyoke/gateway/relay.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/relay.py
@@ -174,8 +174,10 @@
             return
         if head.status >= SERVER_ERROR_MIN or self.fields.not_run:
             return
-        forwarded_head = AnswerHead(head.status, head.reason, end_to_end_headers(head.headers), head.length)
-        self._begin_answer(forwarded_head, b"".join(self._buffered), now)
+        caller_head = AnswerHead(
+            head.status, head.reason, end_to_end_headers(head.headers), head.length
+        )
+        self._begin_answer(caller_head, b"".join(self._buffered), now)
         self._buffered.clear()
         self._is_forwarding = True
 
@@ -197,8 +199,10 @@
             self._delivery.answering.send_body(whole_events.data)
         elif self.head is not None:
             head = self.head
-            forwarded_head = AnswerHead(head.status, head.reason, end_to_end_headers(head.headers), None)
-            self._begin_answer(forwarded_head, whole_events.data, now)
+            caller_head = AnswerHead(
+                head.status, head.reason, end_to_end_headers(head.headers), None
+            )
+            self._begin_answer(caller_head, whole_events.data, now)
 
     def _begin_answer(self, head: AnswerHead, data: bytes, now: float) -> None:
         self._delivery.head_sent = True
