--- a/packages/chalkyoke/src/chalkyoke/gateway/events.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/events.py
@@ -1,71 +1,72 @@
 """
 chalkyoke.gateway.events
 
-Cut a stream of events at their ends and follow their ids, so that callers get whole events, each
-once, and a broken stream can go on elsewhere.
+Split a stream into whole events and track their ids, so that callers receive each event whole and
+once, and another replica can resume a broken stream.
 """
 
 import msgspec
 
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
-# An event that is longer, in bytes, is no event of ours: a bound on what one stream may hold.
+# Size limit of an incomplete event, in bytes, to bound the memory of one stream. No replica sends
+# events as large as that.
 MAX_PARTIAL_BYTES = 1_000_000
 
 
-class Cut(msgspec.Struct, frozen=True):
-    """What is whole now.
+class WholeEvents(msgspec.Struct, frozen=True):
+    """The whole events in the received data.
 
-    :param data: whole events, as they came.
-    :param count: how many events these are.
+    :param data: unaltered bytes of the events.
+    :param count: number of events.
     """
 
     data: bytes
     count: int
 
 
-class EventCutter:
-    """Take bytes in, give whole events out.
+class EventSplitter:
+    """Split received bytes into whole events.
 
-    :param after: number of the event after which the caller wants the stream to go on; -1 where it
-        wants all. Events up to it are dropped.
-    :ivar last_id: number of the last whole event, -1 before the first.
+    :param after: number of the event after which the caller resumes the stream; -1 for all events.
+        Events up to that number are dropped.
+    :ivar last_id: number of the last whole event; -1 before the first.
     """
 
-    __slots__ = ("_rest", "last_id")
+    __slots__ = ("_partial_bytes", "last_id")
 
     def __init__(self, after: int = -1) -> None:
-        self._rest = b""
+        self._partial_bytes = b""
         self.last_id = after
 
-    def feed(self, data: bytes) -> Cut:
-        """Take bytes in."""
-        if self._rest:
-            data = self._rest + data
+    def feed(self, data: bytes) -> WholeEvents:
+        """Add received bytes and return the events that are whole now and new to the caller."""
+        if self._partial_bytes:
+            data = self._partial_bytes + data
         end = data.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self._rest = data
-            return Cut(b"", 0)
+            self._partial_bytes = data
+            return WholeEvents(b"", 0)
 
-        whole, self._rest = data[:end], data[end:]
+        whole, self._partial_bytes = data[:end], data[end:]
         return self._new_events(whole)
 
     @property
-    def partial(self) -> bool:
-        """Whether an event has begun and not ended."""
-        return bool(self._rest)
+    def has_partial(self) -> bool:
+        """Whether the received data ends within an event."""
+        return bool(self._partial_bytes)
 
     @property
-    def too_large(self) -> bool:
-        """Whether an event is larger than any that is passed on."""
-        return len(self._rest) > MAX_PARTIAL_BYTES
+    def is_too_large(self) -> bool:
+        """Whether the incomplete event exceeds the size limit."""
+        return len(self._partial_bytes) > MAX_PARTIAL_BYTES
 
-    def restart(self) -> None:
-        """Forget a partial event, before the stream goes on elsewhere."""
-        self._rest = b""
+    def discard_partial(self) -> None:
+        """Discard an incomplete event before another replica resumes the stream."""
+        self._partial_bytes = b""
 
-    def _new_events(self, whole: bytes) -> Cut:
-        """Leave out events that were there before; the usual case has none."""
+    def _new_events(self, whole: bytes) -> WholeEvents:
+        """Leave out repeated events; usually there are none."""
         kept: list[bytes] = []
         for event in whole.split(EVENT_END)[:-1]:
             number = event_id(event)
@@ -75,12 +76,12 @@
                 self.last_id = number
             kept.append(event)
         if not kept:
-            return Cut(b"", 0)
-        return Cut(EVENT_END.join(kept) + EVENT_END, len(kept))
+            return WholeEvents(b"", 0)
+        return WholeEvents(EVENT_END.join(kept) + EVENT_END, len(kept))
 
 
 def event_id(event: bytes) -> int | None:
-    """Read the id of an event, where it is a whole number.
+    """Read the id of an event; None if there is none or if it is not a whole number.
 
     :rtype: int or None
     """
--- a/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.gateway.feedback
 
-What the end of a send says: of its replica, of the version it runs and of the request itself.
+Report the end of a send to the components that track replicas, versions and suspicious requests.
 """
 
 from chalkyoke.catalog.resources import Replica
@@ -13,7 +13,7 @@
 from chalkyoke.gateway.verdict import SendEnd
 from chalkyoke.scheduling.state import ReleaseOutcome
 
-ENDED_OUTCOMES = {
+RELEASE_OUTCOMES = {
     SendEnd.DELIVERED: ReleaseOutcome.DELIVERED,
     SendEnd.FAILURE_ANSWER: ReleaseOutcome.FAILED,
     SendEnd.DECLINED: ReleaseOutcome.UNUSED,
@@ -22,6 +22,7 @@
     SendEnd.UNUSABLE: ReleaseOutcome.FAILED,
     SendEnd.STALLED: ReleaseOutcome.FAILED,
 }
+# Weight of each end in the failure statistics of its replica; 1.0 is a full failure.
 FAILURE_WEIGHTS = {
     SendEnd.FAILURE_ANSWER: 0.3,
     SendEnd.DECLINED: 0.3,
@@ -29,25 +30,26 @@
     SendEnd.UNUSABLE: 1.0,
     SendEnd.STALLED: 1.0,
 }
-# What a full replica and one out of this node's reach have in common: both may answer others well.
-NO_SIGN_OF_HEALTH = frozenset((SendEnd.DECLINED, SendEnd.NOT_CONNECTED))
+# Ends that say nothing about the health of a replica: one that is full or that this node can't
+# reach may serve other nodes well.
+NOT_HEALTH_EVIDENCE = frozenset((SendEnd.DECLINED, SendEnd.NOT_CONNECTED))
 
 
-def output_s(relay: Relay | None) -> float:
-    """Tell for how long a replica has given output, in seconds."""
+def output_duration_s(relay: Relay | None) -> float:
+    """Return the time from the first to the last output of a replica, in seconds; 0 without any."""
     return relay.last_at - relay.first_at if relay is not None and relay.first_at else 0.0
 
 
 class Feedback:
-    """Tell the parts of a node how a send has ended.
+    """Reports the ends of sends to the components of a node.
 
-    :param parts: what all exchanges share.
+    :param parts: components that all exchanges share.
     """
 
     def __init__(self, parts: GatewayParts) -> None:
         self._parts = parts
 
-    def note_end(
+    def record_end(
         self,
         admission: Admission,
         granted: Granted,
@@ -55,53 +57,57 @@
         relay: Relay | None,
         request: Identity,
     ) -> None:
-        """Tell all parts how a send has ended.
+        """Report the end of a send to all components.
 
-        :param relay: of the last send; nothing where none was made.
-        :param request: names the request.
+        :param relay: relay of the last send; None if there was none.
+        :param request: returns the digest of the request.
         """
         parts = self._parts
         now = parts.now()
-        seen = parts.balancer.stats(granted.replica.id)
+        stats = parts.balancer.stats(granted.replica.id)
         if relay is not None and relay.fields.load is not None and end is not SendEnd.NOT_CONNECTED:
-            seen.record_load(relay.fields.load.running, relay.fields.load.waiting, now)
+            stats.record_load(relay.fields.load.running, relay.fields.load.waiting, now)
         if end is SendEnd.DELIVERED:
-            seen.record_answer(now - granted.started)
+            stats.record_answer(now - granted.started_at)
         elif end is SendEnd.NOT_CONNECTED:
-            seen.record_unreachable(now)
+            stats.record_unreachable(now)
         else:
-            seen.record_failure(FAILURE_WEIGHTS[end], now)
-        self._note_replica(admission, granted.replica, end, output_s(relay), request)
-        parts.grants.release(admission, granted, ENDED_OUTCOMES[end])
-        if end in NO_SIGN_OF_HEALTH:
+            stats.record_failure(FAILURE_WEIGHTS[end], now)
+        self._record_quarantine_evidence(
+            admission, granted.replica, end, output_duration_s(relay), request
+        )
+        parts.grants.release(admission, granted, RELEASE_OUTCOMES[end])
+        if end in NOT_HEALTH_EVIDENCE:
             return
         failed = end is not SendEnd.DELIVERED
-        self.note_version(admission, granted, failed=failed)
+        self.record_version_outcome(admission, granted, failed=failed)
         if not admission.service.is_engine:
-            parts.plain_ended(admission, granted.replica, failed)
+            parts.on_plain_request_ended(admission, granted.replica, failed)
 
-    def _note_replica(
+    def _record_quarantine_evidence(
         self, admission: Admission, replica: Replica, end: SendEnd, output: float, request: Identity
     ) -> None:
-        """Tell what the end of a send says of the request being one that ends replicas."""
+        """Report to the quarantine what the end suggests about a request that ends replicas."""
         quarantine = self._parts.quarantine
         if end is SendEnd.NOT_CONNECTED:
             return
         if end is SendEnd.DELIVERED:
-            quarantine.delivered(replica, request)
+            quarantine.record_delivered(replica, request)
         elif end is SendEnd.BROKEN:
-            quarantine.broke_off(admission, replica, request(), output)
+            quarantine.record_broken(admission, replica, request(), output)
         elif end is SendEnd.STALLED:
-            quarantine.left(replica, request(), output)
+            quarantine.record_abandoned(replica, request(), output)
         else:
-            quarantine.answered(replica)
+            quarantine.record_answer(replica)
 
-    def note_version(self, admission: Admission, granted: Granted, *, failed: bool) -> None:
-        """Tell how a replica's version did; how long a failure took tells nothing."""
-        self._parts.rollouts.note_end(
+    def record_version_outcome(
+        self, admission: Admission, granted: Granted, *, failed: bool
+    ) -> None:
+        """Record the outcome for the replica's version; the duration of a failure is left out."""
+        self._parts.rollouts.record_outcome(
             admission,
             granted.replica,
             failed=failed,
             output_tokens=granted.events * admission.service.tokens_per_event,
-            took_s=0.0 if failed else self._parts.now() - granted.started,
+            took_s=0.0 if failed else self._parts.now() - granted.started_at,
         )
--- a/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.gateway.gateway
 
-All requests that a node is answering.
+The requests that a node is answering.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 from chalkyoke.gateway.exchange import Exchange
 from chalkyoke.gateway.parts import GatewayParts
 from chalkyoke.http1.messages import Request
-from chalkyoke.http1.server import Answering
+from chalkyoke.http1.server import ResponseWriter
 
 
 class Gateway:
@@ -24,29 +24,32 @@
         """Count the requests that are being answered."""
         return len(self._exchanges)
 
-    def start(self, request: Request, answering: Answering) -> Exchange:
-        """Begin to answer a request."""
+    def start_exchange(self, request: Request, answering: ResponseWriter) -> Exchange:
+        """Start the task that answers a request."""
         exchange = Exchange(self._parts, request, answering)
         exchange.task = asyncio.get_running_loop().create_task(exchange.run())
         self._exchanges[exchange.task] = exchange
-        exchange.task.add_done_callback(self._ended)
+        exchange.task.add_done_callback(self._on_task_done)
         return exchange
 
-    def request_held(self, request: bytes) -> None:
-        """Answer what waits here of a request that is held back from now on."""
+    def on_request_held(self, request: bytes) -> None:
+        """End the waiting exchanges of a request that is held back from now on.
+
+        :param request: digest of the request.
+        """
         for exchange in list(self._exchanges.values()):
-            exchange.request_held(request)
+            exchange.on_request_held(request)
 
-    def replica_ended(self, replica: str) -> None:
-        """Go on elsewhere with what ran at a start of a replica that is over.
+    def on_replica_ended(self, replica: str) -> None:
+        """End the sends at a replica start that has ended, so that their requests can be retried.
 
         :param replica: id of that start.
         """
         for exchange in list(self._exchanges.values()):
-            exchange.replica_ended(replica)
+            exchange.on_replica_ended(replica)
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self._exchanges.pop(task, None)
         if not task.cancelled() and (error := task.exception()) is not None:
-            report = {"message": "an exchange broke", "exception": error}
+            report = {"message": "an exchange failed unexpectedly", "exception": error}
             asyncio.get_running_loop().call_exception_handler(report)
--- a/packages/chalkyoke/src/chalkyoke/gateway/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/reception.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.gateway.reception
 
-Judge a request by the catalog in force: its route, its team, its limits of time. Pure functions.
+Admit or reject a request by the current catalog: its route, team and time limits. Pure functions.
 """
 
 import msgspec
@@ -16,26 +16,26 @@
     pick_target,
 )
 from chalkyoke.gateway.ports import RequestFields
-from chalkyoke.http1.messages import Request, find
+from chalkyoke.http1.messages import Request, find_header
 
-# Prompts are compared in blocks of so many tokens: what an engine reads in some 8 ms, and a few
-# names in a message for the longest prompts.
+# Size of the blocks in which prompts are compared, in tokens. An engine reads a block in some 8 ms,
+# and the longest prompts have few enough blocks to list in a message.
 BLOCK_TOKENS = 256
-# As many values as the hash of a request's id has: it becomes a point in [0, 1).
-HASH_SPAN = 2.0**64
-# A caller gives a stream up after a gap of the longest of so many goals, so many of its longest
-# pauses, and so many seconds: the operators' rule.
+# Number of values of a 64-bit hash, to map the hash of a request id to [0, 1).
+HASH_VALUES = 2.0**64
+# By the operators' rule, the caller of a stream gives up after a gap of the longest of this many
+# goals, this many gap goals, and this many seconds.
 PATIENCE_GOALS = 4.0
-PATIENCE_GAPS = 8.0
+PATIENCE_GAP_GOALS = 8.0
 MIN_PATIENCE_S = 2.0
-# The most output that a request is taken to ask for where it names none, in tokens.
+# Highest output assumed for a request that states no maximum, in tokens.
 DEFAULT_OUTPUT_TOKENS = 1_000
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """A request that is refused as it stands.
+    """A request that is rejected before admission.
 
-    :param status: 400, 401, 404 or 503.
+    :param status: HTTP status 400, 401, 404 or 503.
     """
 
     status: int
@@ -43,14 +43,15 @@
 
 
 class Admission(msgspec.Struct, frozen=True):
-    """A request that may be passed on.
-
-    :param version: version of the catalog that judged it.
-    :param rank: 0 is the most urgent.
-    :param cost: what it counts in its team's quota.
-    :param ends: when its caller or the route's limit ends it, on the node's clock.
-    :param due: when its answer, or its first event, is due.
-    :param patience: when the caller of a stream gives up if no event has come.
+    """A request that may be forwarded. Times are on the node's clock.
+
+    :param version: version of the catalog that admitted the request.
+    :param rank: combined rank of team and route; 0 is the most urgent.
+    :param cost: cost charged to the quota of the request's team.
+    :param arrived_at: when the request arrived.
+    :param deadline: when the caller's deadline or the route's timeout ends the request.
+    :param due_at: when the answer, or its first event, is due.
+    :param patience_until: when the caller of a stream gives up if no event has been received.
     """
 
     request_id: str
@@ -61,29 +62,29 @@
     version: int
     rank: int
     cost: float
-    arrived: float
-    ends: float
-    due: float
-    patience: float
+    arrived_at: float
+    deadline: float
+    due_at: float
+    patience_until: float
 
     @property
     def urgency(self) -> int:
-        """How urgent the request is among those of its team; 0 is the most."""
+        """Rank of the request among those of its team; 0 is the most urgent."""
         return self.route.rank
 
 
-def judge(
+def admit_request(
     request: Request, fields: RequestFields, catalog: Catalog, now: float
 ) -> Admission | Rejection:
-    """Judge a request.
+    """Admit or reject a request by the catalog.
 
-    :param now: seconds on the node's clock.
+    :param now: time on the node's clock, in seconds.
     """
     if catalog.version == 0:
         return Rejection(503, "no configuration yet")
     if not fields.request_id:
         return Rejection(400, "no request id")
-    host = (find(request.headers, b"host") or b"").decode("latin-1")
+    host = (find_header(request.headers, b"host") or b"").decode("latin-1")
     path = request.target.partition(b"?")[0].decode("latin-1")
     route = catalog.find_route(host, path)
     if route is None:
@@ -91,14 +92,14 @@
     team = catalog.find_team(fields.key) if fields.key else None
     if team is None and catalog.requires_keys and not route.public:
         return Rejection(401, "unknown key")
-    service = catalog.services.get(pick_target(route, _point(fields.request_id)))
+    service = catalog.services.get(pick_target(route, _hash_to_unit_interval(fields.request_id)))
     if service is None:
         return Rejection(404, "no service")
-    return _admit(fields, route, service, team, catalog.version, now)
+    return _build_admission(fields, route, service, team, catalog.version, now)
 
 
-def still_allowed(admission: Admission, catalog: Catalog) -> bool:
-    """Tell whether a newer catalog still lets an admitted request go where it was to go.
+def is_still_allowed(admission: Admission, catalog: Catalog) -> bool:
+    """Return whether a newer catalog still allows an admitted request to go to its service.
 
     :rtype: bool
     """
@@ -117,7 +118,7 @@
 
 
 def prompt_blocks(fields: RequestFields) -> tuple[int, ...]:
-    """Cut a prompt's parts into blocks of one size, named alike in requests that share them.
+    """Return a hash for each block of a prompt's parts; shared parts have equal hashes.
 
     :rtype: tuple[int, ...]
     """
@@ -131,20 +132,22 @@
 
 
 def fingerprint(admission: Admission) -> int:
-    """Name what a request is about, the same for each attempt of its caller.
+    """Return a hash of the request's content, equal for all attempts of its caller.
 
-    :return: 0 where nothing tells it from others.
+    The hash covers the team, the route, the highest output and the prompt parts.
+
+    :return: 0 if the request has no prompt parts to tell it from others.
     """
     fields = admission.fields
     if not fields.parts:
         return 0
     team = admission.team.name if admission.team else ""
     parts = ",".join(f"{part.id:x}:{part.tokens}" for part in fields.parts)
-    text = f"{team}|{admission.route.name}|{fields.most_output_tokens}|{parts}"
+    text = f"{team}|{admission.route.name}|{fields.max_output_tokens}|{parts}"
     return xxhash.xxh64_intdigest(text.encode()) >> 1
 
 
-def _admit(
+def _build_admission(
     fields: RequestFields,
     route: Route,
     service: Service,
@@ -153,11 +156,13 @@
     now: float,
 ) -> Admission:
     deadline = route.timeout_s if fields.deadline_s is None else fields.deadline_s
-    ends = now + min(deadline, route.timeout_s)
-    patience = ends
+    ends_at = now + min(deadline, route.timeout_s)
+    patience = ends_at
     if route.is_stream:
-        gaps = max(MIN_PATIENCE_S, PATIENCE_GOALS * route.goal_s, PATIENCE_GAPS * route.gap_goal_s)
-        patience = min(ends, now + gaps)
+        gaps = max(
+            MIN_PATIENCE_S, PATIENCE_GOALS * route.goal_s, PATIENCE_GAP_GOALS * route.gap_goal_s
+        )
+        patience = min(ends_at, now + gaps)
     return Admission(
         request_id=fields.request_id,
         fields=fields,
@@ -166,20 +171,20 @@
         team=team,
         version=version,
         rank=combined_rank(route, team),
-        cost=_cost(fields, team),
-        arrived=now,
-        ends=ends,
-        due=now + route.goal_s,
-        patience=patience,
+        cost=_quota_cost(fields, team),
+        arrived_at=now,
+        deadline=ends_at,
+        due_at=now + route.goal_s,
+        patience_until=patience,
     )
 
 
-def _cost(fields: RequestFields, team: Team | None) -> float:
+def _quota_cost(fields: RequestFields, team: Team | None) -> float:
     if team is None or not team.by_tokens:
         return 1.0
-    tokens = fields.prompt_tokens + fields.most_output_tokens
+    tokens = fields.prompt_tokens + fields.max_output_tokens
     return float(tokens) if tokens else team.default_cost
 
 
-def _point(request_id: str) -> float:
-    return xxhash.xxh64_intdigest(request_id.encode()) / HASH_SPAN
+def _hash_to_unit_interval(request_id: str) -> float:
+    return xxhash.xxh64_intdigest(request_id.encode()) / HASH_VALUES
--- a/packages/chalkyoke/src/chalkyoke/http1/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/pool.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.http1.pool
 
-Kept connections to upstreams, by address.
+A pool of idle connections to upstreams, by address.
 """
 
 import asyncio
@@ -12,30 +12,33 @@
 from chalkyoke.http1.client import ClientConnection
 from chalkyoke.sockets import set_user_timeout
 
-# How long a connection is kept whose upstream does not say how long it keeps it, in seconds.
-IDLE_LIMIT_S = 20.0
-# How much sooner than an upstream says a connection is given up, in seconds: it tells whole ones.
+# Longest idle time of a connection whose upstream announces no keep-alive time, in seconds.
+DEFAULT_IDLE_LIMIT_S = 20.0
+# Seconds by which an idle connection is closed before the time that its upstream announces, because
+# upstreams announce whole seconds.
 KEEP_ALIVE_MARGIN_S = 1.0
-# How long bytes may stay unconfirmed before the system gives a connection up, in milliseconds: less
-# than the 3 s that operators forgive a disturbed connection.
+# Milliseconds that sent bytes may stay unacknowledged before the operating system closes a
+# connection: less than the 3 s of disturbance that operators tolerate on a connection.
 USER_TIMEOUT_MS = 2500
 
 
 class ConnectFailure(StrEnum):
-    """Why there is no connection. Nothing was sent in any of these cases."""
+    """Why no connection was obtained. Nothing has been sent in any of these cases."""
 
     REFUSED = "refused"
     TIMED_OUT = "timed_out"
     AT_LIMIT = "at_limit"
 
 
-class _Address(msgspec.Struct):
-    idle: list[ClientConnection] = msgspec.field(default_factory=list)
-    open: int = 0
+class _AddressEntry(msgspec.Struct):
+    idle_connections: list[ClientConnection] = msgspec.field(default_factory=list)
+    open_connections: int = 0
 
 
 class ConnectionPool:
-    """Keep connections to upstreams.
+    """Open connections to upstreams and keep idle ones for reuse.
+
+    :ivar opened_connections: number of connections opened so far.
 
     Usage::
 
@@ -44,112 +47,114 @@
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._addresses: dict[tuple[str, int], _Address] = {}
-        self.opened = 0
+        self._addresses: dict[tuple[str, int], _AddressEntry] = {}
+        self.opened_connections = 0
 
     async def connect(
         self, ip: str, port: int, *, limit: int, timeout_s: float, fresh_s: float
     ) -> ClientConnection | ConnectFailure:
-        """Take a kept connection, or open one.
+        """Reuse an idle connection, or open a new one.
 
-        :param limit: connections at most to this address.
-        :param timeout_s: how long the opening may take.
-        :param fresh_s: a kept connection is taken only if it was used within this time.
+        :param limit: highest number of open connections to this address.
+        :param timeout_s: limit for opening a connection, in seconds.
+        :param fresh_s: longest idle time of a reused connection, in seconds.
         """
-        entry = self._addresses.setdefault((ip, port), _Address())
-        kept = self._take_kept(entry, fresh_s)
-        if kept is not None:
-            return kept
+        entry = self._addresses.setdefault((ip, port), _AddressEntry())
+        idle = self._take_idle(entry, fresh_s)
+        if idle is not None:
+            return idle
         return await self.open(ip, port, limit=limit, timeout_s=timeout_s)
 
     async def open(
         self, ip: str, port: int, *, limit: int, timeout_s: float
     ) -> ClientConnection | ConnectFailure:
-        """Open a connection, also where some are kept.
+        """Open a new connection even if idle ones exist.
 
-        :param limit: connections at most to this address.
-        :param timeout_s: how long the opening may take.
+        :param limit: highest number of open connections to this address.
+        :param timeout_s: limit for opening the connection, in seconds.
         """
-        entry = self._addresses.setdefault((ip, port), _Address())
-        if entry.open >= limit:
+        entry = self._addresses.setdefault((ip, port), _AddressEntry())
+        if entry.open_connections >= limit:
             return ConnectFailure.AT_LIMIT
 
-        entry.open += 1
+        entry.open_connections += 1
         try:
             async with asyncio.timeout(timeout_s):
                 _, connection = await self._loop.create_connection(ClientConnection, ip, port)
         except TimeoutError:
-            entry.open -= 1
+            entry.open_connections -= 1
             return ConnectFailure.TIMED_OUT
         except OSError:
-            entry.open -= 1
+            entry.open_connections -= 1
             return ConnectFailure.REFUSED
         except BaseException:
-            entry.open -= 1
+            entry.open_connections -= 1
             raise
-        self.opened += 1
+        self.opened_connections += 1
         set_user_timeout(connection.transport, USER_TIMEOUT_MS)
-        connection.on_close = lambda closed: self._forget((ip, port), closed)
+        connection.on_close = lambda closed: self._remove_closed((ip, port), closed)
         if connection.closed:
-            self._forget((ip, port), connection)
+            self._remove_closed((ip, port), connection)
         return connection
 
-    def give_back(self, ip: str, port: int, connection: ClientConnection) -> None:
-        """Keep a connection whose answer has ended, if it can serve again."""
+    def release(self, ip: str, port: int, connection: ClientConnection) -> None:
+        """Return a connection to the pool after its exchange, or close it if it can't be reused."""
         entry = self._addresses.get((ip, port))
         if entry is None or not connection.reusable:
             if not connection.closed:
                 connection.transport.close()
             return
-        entry.idle.append(connection)
+        entry.idle_connections.append(connection)
 
-    def drop_kept(self, ip: str, port: int) -> None:
-        """Close the kept connections to an address, since they may have gone silent."""
+    def abort_idle(self, ip: str, port: int) -> None:
+        """Abort the idle connections to an address, because they may be dead."""
         entry = self._addresses.get((ip, port))
         if entry is None:
             return
-        for connection in entry.idle:
+        for connection in entry.idle_connections:
             connection.transport.abort()
-        entry.idle.clear()
+        entry.idle_connections.clear()
 
-    def expire(self) -> None:
-        """Close what has been idle for too long; call about once a second."""
+    def close_expired(self) -> None:
+        """Close connections that have been idle for too long; call about once a second."""
         now = self._loop.time()
         for key, entry in list(self._addresses.items()):
-            for connection in list(entry.idle):
-                if not connection.reusable or now - connection.idle_since > _limit(connection):
-                    entry.idle.remove(connection)
+            for connection in list(entry.idle_connections):
+                if not connection.reusable or now - connection.idle_since > _idle_limit_s(
+                    connection
+                ):
+                    entry.idle_connections.remove(connection)
                     connection.transport.close()
-            if entry.open == 0 and not entry.idle:
+            if entry.open_connections == 0 and not entry.idle_connections:
                 del self._addresses[key]
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Abort all idle connections."""
         for entry in self._addresses.values():
-            for connection in entry.idle:
+            for connection in entry.idle_connections:
                 connection.transport.abort()
 
-    def _take_kept(self, entry: _Address, fresh_s: float) -> ClientConnection | None:
+    def _take_idle(self, entry: _AddressEntry, fresh_s: float) -> ClientConnection | None:
         now = self._loop.time()
-        while entry.idle:
-            connection = entry.idle.pop()
+        while entry.idle_connections:
+            connection = entry.idle_connections.pop()
             age = now - connection.idle_since
-            if connection.reusable and age <= min(fresh_s, _limit(connection)):
+            if connection.reusable and age <= min(fresh_s, _idle_limit_s(connection)):
                 return connection
             connection.transport.close()
         return None
 
-    def _forget(self, key: tuple[str, int], connection: ClientConnection) -> None:
+    def _remove_closed(self, key: tuple[str, int], connection: ClientConnection) -> None:
         connection.on_close = None
         entry = self._addresses.get(key)
         if entry is None:
             return
-        entry.open -= 1
-        if connection in entry.idle:
-            entry.idle.remove(connection)
+        entry.open_connections -= 1
+        if connection in entry.idle_connections:
+            entry.idle_connections.remove(connection)
 
 
-def _limit(connection: ClientConnection) -> float:
+def _idle_limit_s(connection: ClientConnection) -> float:
     if connection.keep_alive_s <= 0:
-        return IDLE_LIMIT_S
+        return DEFAULT_IDLE_LIMIT_S
     return max(0.0, connection.keep_alive_s - KEEP_ALIVE_MARGIN_S)
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.node.gateway
 
-The gateway node: requests as they are, on a platform whose store declares routes and replicas. The
-slices put together, started, and stopped without cutting anything off.
+The gateway node, for a platform whose store declares routes and replicas. Builds the slices of one
+process, starts them, and stops them after the requests in progress have ended.
 """
 
 import asyncio
@@ -32,10 +32,10 @@
 from chalkyoke.gateway.grants import Grants
 from chalkyoke.gateway.parts import GatewayParts
 from chalkyoke.gateway.settings import GatewaySettings, load
-from chalkyoke.http1.calls import Caller
+from chalkyoke.http1.calls import HttpClient
+from chalkyoke.http1.connection_limit import close_idle_connections, max_caller_connections
 from chalkyoke.http1.pool import ConnectionPool
-from chalkyoke.http1.room import make_room, most_callers
-from chalkyoke.http1.server import ServerConnection, ServerLimits, Start
+from chalkyoke.http1.server import ServerConnection, ServerLimits, StartHandler
 from chalkyoke.limits.announcements import LimitAnnouncements
 from chalkyoke.limits.client import PermitClient
 from chalkyoke.limits.keeper import AllocatedLimit, LimitKeeper
@@ -78,31 +78,32 @@
 from chalkyoke.retries.budget import BudgetLimits, RetryBudget
 from chalkyoke.rollouts.exposure import ExposureBounds
 
-# How often a pool's scheduler gives up what is late, in seconds: a twentieth of the shortest goals.
+# How often a pool's scheduler expires late requests, in seconds: a twentieth of the shortest goals.
 TICK_S = 0.05
-# How often what is old is dropped and what was lost is told again, in seconds.
+# How often expired state is dropped and reports that may have been lost are repeated, in seconds.
 HOUSEKEEPING_S = 1.0
-# Bits of the random number that tells two starts of a process apart: it stays positive in 64.
+# Bits of the random incarnation number, which distinguishes two starts of a process. 62 bits keep
+# the number positive in 64 bits.
 INCARNATION_BITS = 62
-# New connections that may wait to be taken, in number: a burst while the loop is busy.
+# Number of new connections that may wait for accept: enough for a burst while the loop is busy.
 BACKLOG_CONNECTIONS = 1024
-# How long a node that stops still takes callers, in seconds: the balancer asks each second and goes
-# by two misses.
+# How long a stopping node still accepts callers, in seconds: the load balancer checks readiness
+# each second and removes a node after two failed checks.
 LEAVE_DELAY_S = 2.5
-# When a node that finds no other takes duties for the fleet, in seconds since its start: four
-# heartbeats.
-READY_ALONE_AFTER_S = 1.0
-# How much sooner than it may be killed a node that stops ends, in seconds: for its last answers and
-# for taking itself off the list.
+# How long after its start a node takes duties for the fleet if other nodes are ready, in seconds:
+# four heartbeats, in which the node learns the other members.
+READY_DELAY_S = 1.0
+# How long before the end of the grace period a stopping node ends, in seconds: time for its last
+# answers and for its removal from the store. After the grace period it may be killed.
 GRACE_MARGIN_S = 0.6
 
 log = logger("node")
 
 
 class GatewayNode:
-    """One process of the fleet. Make it inside a running loop.
+    """One gateway process of the fleet. Create it inside a running event loop.
 
-    :param path: where the settings lie, to read them again.
+    :param path: the settings file, which is read again on a reload.
     """
 
     def __init__(self, settings: GatewaySettings, path: Path, platform: PlatformParts) -> None:
@@ -117,7 +118,7 @@
         self.record = MemberRecord(
             host=settings.node.host,
             incarnation=secrets.randbits(INCARNATION_BITS),
-            address=settings.listen.links_reached_at,
+            address=settings.listen.advertised_links_address,
             administration=settings.listen.metrics,
             failure_domain=settings.node.failure_domain,
             leaving=False,
@@ -126,7 +127,7 @@
             hosts_version=0,
             capacity=settings.node.capacity,
         )
-        self.events = EventRing(settings.node.host, HybridClock(), _wall_ms)
+        self.events = EventRing(settings.node.host, HybridClock(), _wall_clock_ms)
         self.view = MembershipView(self.record, settings.scheduling.heartbeat_interval_s)
         self.fleet_size = FleetSize()
         self.request_log = RequestLog(self.metrics, self.now)
@@ -160,19 +161,19 @@
         )
         self._pages = PageServer(self.is_ready, self.metrics)
 
-    # Putting together.
+    # Construction.
 
     def _make_links(self) -> None:
         settings = self.settings
-        me = Identity(
+        identity = Identity(
             self.record.process,
-            settings.listen.links_reached_at,
+            settings.listen.advertised_links_address,
             settings.node.failure_domain,
             settings.key,
         )
         listen = settings.listen.links
         self.links = Links(
-            me,
+            identity,
             LINK_MESSAGES,
             self.events,
             self._receive,
@@ -184,7 +185,7 @@
     def _make_catalog(self) -> None:
         settings, platform = self.settings, self._platform
         self._store_connections = ConnectionPool()
-        caller = Caller(self._store_connections, settings.store.address)
+        caller = HttpClient(self._store_connections, settings.store.address)
         self.store = platform.make_store(caller)
         state = CatalogState(
             platform.read_catalog, with_held_records(platform.read_record, platform.keys.held)
@@ -215,13 +216,17 @@
             self._catalog_changed,
             self.now,
         )
-        self.metrics.gauge("records_unreadable", lambda: len(state.unreadable))
-        self.metrics.gauge("store_epoch", lambda: state.epoch)
-        self.metrics.gauge("store_updates_ignored", lambda: self.catalog.ignored_updates.total())
+        self.metrics.register_gauge("records_unreadable", lambda: len(state.unreadable))
+        self.metrics.register_gauge("store_epoch", lambda: state.epoch)
+        self.metrics.register_gauge(
+            "store_updates_ignored", lambda: self.catalog.ignored_updates.total()
+        )
         self.replicas = DeclaredReplicas(state, self.now, self.rollouts)
         self.pools = DeclaredPools(settings.scheduling, self.rollouts)
         node = settings.node
-        listed = NodeEntry(settings.listen.links_reached_at, node.failure_domain, node.capacity)
+        listed = NodeEntry(
+            settings.listen.advertised_links_address, node.failure_domain, node.capacity
+        )
         key = platform.keys.nodes + settings.node.host
         self.held_records = HeldRecords(self.store, platform.keys.held, self.now)
         self._registration = Registration(
@@ -284,7 +289,7 @@
             pooled=self.settings.scheduling.pooled,
         )
         self.scheduler_host.deliver = self.grants.receive
-        self.scheduler_host.report_running = self.grants.tell_running
+        self.scheduler_host.report_running = self.grants.report_running
 
     def _make_gateway(self) -> None:
         limits = self.settings.limits
@@ -307,7 +312,7 @@
             self.view,
             self.balancer,
             self.links.send,
-            lambda service: len(self.replicas.of(service)),
+            lambda service: len(self.replicas.of_service(service)),
             self.now,
         )
         self.announcements = Announcements(
@@ -325,7 +330,7 @@
             self.connections,
             self.links.send,
             self.metrics,
-            lambda request: self.gateway.request_held(request),
+            lambda request: self.gateway.on_request_held(request),
             self.held_records.queue_record,
             random.random,
             self.now,
@@ -340,12 +345,14 @@
                 quotas=self.quotas,
                 budget=RetryBudget(budget),
                 connections=self.connections,
-                nodes=self.count_nodes,
+                node_count=self.count_nodes,
                 now=self.now,
-                record=self.request_log.log_decision,
-                reject=self.request_log.log_rejection,
-                plain_ended=lambda admission, replica, failed: self.suspicions.record_outcome(
-                    replica.service, replica.id, admission.route.name, failed=failed
+                log_decision=self.request_log.log_decision,
+                log_rejection=self.request_log.log_rejection,
+                on_plain_request_ended=lambda admission, replica, failed: (
+                    self.suspicions.record_outcome(
+                        replica.service, replica.id, admission.route.name, failed=failed
+                    )
                 ),
                 rollouts=self.rollouts,
                 quarantine=self.quarantine,
@@ -366,24 +373,24 @@
             share=round(kept.share, 3),
         )
 
-    # What the parts ask of the node.
+    # Callbacks of the slices.
 
     def count_nodes(self) -> int:
-        """Count the nodes that there may be in the fleet.
+        """Return the number of nodes that may exist in the fleet, whether or not they are alive.
 
         :rtype: int
         """
         return self.fleet_size.count()
 
     def presence(self) -> Presence:
-        """Tell how much of the fleet this node sees.
+        """Return how much of the fleet this node sees.
 
         :rtype: Presence
         """
         return Presence(len(self.view.live()), self.count_nodes(), self.view.foreign_timeout_s)
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here.
+        """Return whether the catalog is complete and no planned stop has begun.
 
         :rtype: bool
         """
@@ -398,19 +405,19 @@
             limits.idle_timeout_s,
         )
 
-    # Life.
+    # Start and stop.
 
     async def run(self) -> None:
-        """Serve until a planned stop is through.
+        """Serve until a planned stop is complete.
 
-        :raises InvariantBroken: when a promise of the program does not hold.
+        :raises InvariantBroken: if an invariant of the program is violated.
         """
         loop = asyncio.get_running_loop()
         for each in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(each, self._stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         await self.links.listen()
-        server = await self._listen(self.settings.listen.callers, self.gateway.start)
+        server = await self._listen(self.settings.listen.callers, self.gateway.start_exchange)
         pages = [await self._listen(self.settings.listen.ready, self._pages.start)]
         if self.settings.listen.metrics:
             pages.append(await self._listen(self.settings.listen.metrics, self._pages.start))
@@ -422,13 +429,13 @@
         if self._supervisor.failure is not None:
             raise self._supervisor.failure
 
-    async def _listen(self, address: str, start: Start) -> asyncio.Server:
+    async def _listen(self, address: str, start: StartHandler) -> asyncio.Server:
         ip, port = address.rsplit(":", 1)
-        own = self._connections if start == self.gateway.start else set()
-        most = most_callers(self.settings.limits.descriptors or _descriptor_limit())
+        own = self._connections if start == self.gateway.start_exchange else set()
+        most = max_caller_connections(self.settings.limits.descriptors or _descriptor_limit())
 
         def opened() -> None:
-            if closed := make_room(own, most):
+            if closed := close_idle_connections(own, most):
                 log.notice("room_made", closed=closed, open=len(own), most=most)
 
         return await asyncio.get_running_loop().create_server(
@@ -440,17 +447,17 @@
         )
 
     async def _run_planned_stop(self, server: asyncio.Server) -> None:
-        """Call for no new callers, finish what is in progress, then end."""
+        """Stop accepting callers, finish the requests in progress, then end the process."""
         await self._stopping.wait()
         began = self.now()
         log.notice("stopping", in_progress=self.gateway.in_progress)
         self.view.update_self(leaving=True, ready=False)
         self._send_heartbeats()
-        # Callers still come until the balancer has noticed.
+        # Callers still connect until the load balancer has noticed.
         await asyncio.sleep(LEAVE_DELAY_S)
         server.close()
         for connection in list(self._connections):
-            connection.stop()
+            connection.close_gracefully()
         left = self.settings.limits.grace_s - GRACE_MARGIN_S - (self.now() - began)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, left)):
@@ -473,7 +480,7 @@
         await asyncio.sleep(TICK_S)
 
     def _reload(self) -> None:
-        """Read the settings again; a file that can't be read changes nothing."""
+        """Reload the settings; keep the current ones if the file is invalid."""
         try:
             self.settings = load(self._path)
         except SettingsError as error:
@@ -506,11 +513,15 @@
                 self.links.send(seed, self.view.full_heartbeat())
 
     def _declare_ready(self) -> None:
-        """Take duties for the fleet once this node knows the others, or finds none that does."""
+        """Declare this node ready for duties of the fleet once its catalog is complete.
+
+        If other nodes are ready, this node waits for ``READY_DELAY_S`` since its start, so that it
+        knows the other members. If none is ready, it doesn't wait.
+        """
         if self.view.record.ready or self._stopping.is_set() or not self.catalog.state.complete:
             return
         others = any(each.ready for each in self.view.live())
-        if not others or self.now() >= READY_ALONE_AFTER_S:
+        if not others or self.now() >= READY_DELAY_S:
             self.view.update_self(ready=True)
 
     def _keep_links(self) -> None:
@@ -527,7 +538,7 @@
             self.quotas.refresh_ownership()
 
     async def _tick_pools(self) -> None:
-        """Let the pools that are scheduled here go on; most nodes schedule none."""
+        """Tick the pools that this node schedules; most nodes schedule none."""
         while True:
             await self.scheduler_host.has_pools.wait()
             self.scheduler_host.tick()
@@ -535,10 +546,10 @@
 
     def _run_housekeeping(self) -> None:
         self.fleet_size.record_live(self.view.live(), self.now())
-        self.grants.check_owners(self.pools.pools)
+        self.grants.report_to_new_owners(self.pools.pools)
         self.grants.send_progress()
-        self.connections.expire()
-        self._store_connections.expire()
+        self.connections.close_expired()
+        self._store_connections.close_expired()
         self.balancer.prune(self.catalog.state.replicas, self.now())
         self.quotas.refresh_ownership()
         self.suspicions.tick()
@@ -554,7 +565,7 @@
         except InvariantBroken as error:
             self._supervisor.fail(error)
 
-    # Changes.
+    # Changes of membership and catalog.
 
     def _apply_member_changes(self, changes: list[Change]) -> None:
         for change in changes:
@@ -569,7 +580,7 @@
                 self.scheduler_host.member_left(record.process)
         if changes:
             self.fleet_size.record_live(self.view.live(), self.now())
-            self.grants.check_owners(self.pools.pools)
+            self.grants.report_to_new_owners(self.pools.pools)
             self.keeper.refresh(self.now())
 
     def _catalog_changed(self) -> None:
@@ -577,19 +588,19 @@
         if state.epoch != self._store_epoch:
             self._epoch_changed(state.epoch)
         for ended in state.pop_restarted():
-            self.connections.drop_kept(ended.ip, ended.port)
-            self.gateway.replica_ended(ended.id)
+            self.connections.abort_idle(ended.ip, ended.port)
+            self.gateway.on_replica_ended(ended.id)
             log.info("replica_restarted", ended=ended.id)
         self.rollouts.rebuild()
         self.replicas.rebuild()
         self.pools.rebuild(state.catalog, state.replicas)
         self.scheduler_host.reconfigure()
-        self.grants.check_owners(self.pools.pools)
+        self.grants.report_to_new_owners(self.pools.pools)
         self.quarantine.replicas_changed(state.replicas)
         self.quarantine.apply_stored_holds(state.held_requests, state.released_requests)
 
     def _epoch_changed(self, epoch: int) -> None:
-        """Check what this node has in the store, where it was restored from a copy."""
+        """Check this node's records in the store again if it was restored from a copy."""
         before, self._store_epoch = self._store_epoch, epoch
         if not before:
             return
@@ -608,5 +619,5 @@
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
-def _wall_ms() -> int:
+def _wall_clock_ms() -> int:
     return time.time_ns() // 1_000_000
--- a/packages/chalkyoke/src/chalkyoke/node/pages.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pages.py
@@ -1,22 +1,25 @@
 """
 chalkyoke.node.pages
 
-The pages of a gateway node: whether callers may be sent here, and its metrics.
+The HTTP pages of a gateway node: readiness and metrics.
 """
 
 from collections.abc import Callable
 
 from chalkyoke.administration.metrics import Metrics
 from chalkyoke.administration.metricspage import metrics_page
-from chalkyoke.http1.messages import AnswerHead, Headers, Request, reason_of
-from chalkyoke.http1.server import Answering
+from chalkyoke.http1.messages import AnswerHead, Headers, Request, reason_phrase
+from chalkyoke.http1.server import ResponseWriter
 
 READY_PATH = b"/readyz"
 METRICS_PATH = b"/metrics"
 
 
 class _FinishedPage:
-    """A page is answered at once: there is nothing to stop or to hold back."""
+    """The handler of a page request, which is complete as soon as it is created.
+
+    It ignores disconnects and flow control.
+    """
 
     def caller_left(self) -> None:
         pass
@@ -26,17 +29,17 @@
 
 
 class PageServer:
-    """Answer for pages.
+    """Serve the readiness and metrics pages.
 
-    :param is_ready: whether callers may be sent here.
+    :param is_ready: returns whether this node is ready for callers.
     """
 
     def __init__(self, is_ready: Callable[[], bool], metrics: Metrics) -> None:
         self._is_ready = is_ready
         self._metrics = metrics
 
-    def start(self, request: Request, answering: Answering) -> _FinishedPage:
-        """Answer one request."""
+    def start(self, request: Request, answering: ResponseWriter) -> _FinishedPage:
+        """Answer one page request at once; 404 for other paths."""
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
             status = 200 if self._is_ready() else 503
@@ -47,7 +50,7 @@
             self._respond(answering, 404, b"no such page")
         return _FinishedPage()
 
-    def _respond(self, answering: Answering, status: int, body: bytes) -> None:
+    def _respond(self, answering: ResponseWriter, status: int, body: bytes) -> None:
         headers: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
-        answering.begin(AnswerHead(status, reason_of(status), headers, len(body)), body)
-        answering.end()
+        answering.send_head(AnswerHead(status, reason_phrase(status), headers, len(body)), body)
+        answering.finish()
