--- a/packages/chalkyoke/src/chalkyoke/platform/__init__.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/__init__.py
@@ -1,6 +1,5 @@
 """
 chalkyoke.platform
 
-Adapters for the users' platform: its names, formats and calls, without any decisions. Only the
-start-up code imports this package.
+The platform's names, formats and calls, without decisions; only the start-up code imports it.
 """
--- a/packages/chalkyoke/src/chalkyoke/platform/documents.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/documents.py
@@ -1,8 +1,7 @@
 """
 chalkyoke.platform.documents
 
-The documents in the platform's store: the operators' configuration, replica records, roll-out
-orders and roll-out statuses. Field names are encoded with ``-`` in place of ``_``.
+The documents in the platform's store: configuration, replicas, roll-out orders and statuses.
 """
 
 import ipaddress
@@ -127,10 +126,7 @@
 
 
 def read_catalog(document: bytes) -> Result[Catalog, str]:
-    """Parse the operators' configuration.
-
-    :return: the catalog, or why the document can't be parsed.
-    """
+    """Parse the operators' configuration, or return why it can't be parsed."""
     try:
         found = msgspec.json.decode(document, type=_Configuration)
     except msgspec.MsgspecError as error:
@@ -153,10 +149,7 @@
 
 
 def read_record(item: Item) -> Result[Record, str]:
-    """Parse a replica record, a roll-out order or a roll-out status, as its key indicates.
-
-    :return: the record, or why it can't be parsed.
-    """
+    """Parse a record of the kind that its key indicates, or return why it can't be parsed."""
     if item.key.startswith(ROLLOUT_ORDERS_PREFIX):
         return _read_order(item)
     if item.key.startswith(ROLLOUT_STATUSES_PREFIX):
@@ -165,10 +158,7 @@
 
 
 def write_status(order: RolloutOrder, state: RolloutState) -> tuple[str, bytes]:
-    """Encode the status that answers a roll-out order, with the version as the order spells it.
-
-    :return: the key in the store and the document.
-    """
+    """Return a roll-out status's key and document, with the version as the order spells it."""
     status = _RolloutStatus(str(state), order.written_version)
     return ROLLOUT_STATUSES_PREFIX + order.service, msgspec.json.encode(status)
 
@@ -198,10 +188,7 @@
 
 
 def read_replica(item: Item) -> Result[Record, str]:
-    """Parse a replica record.
-
-    :return: the replica, or why the record can't be parsed.
-    """
+    """Parse a replica record, or return why it can't be parsed."""
     name = item.key.removeprefix(REPLICAS_PREFIX)
     try:
         found = msgspec.json.decode(item.value, type=_Server)
--- a/packages/chalkyoke/src/chalkyoke/platform/headers.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/headers.py
@@ -24,9 +24,7 @@
 RETRY_AFTER = b"retry-after"
 LIMIT = b"server-limit"
 
-KEPT_REQUEST_HEADERS = frozenset(
-    (REQUEST_ID, MODEL, TOKEN_COUNT, PREFIX_HASH, LAST_EVENT_ID, b"host")
-)
+KEPT_HEADERS = frozenset((REQUEST_ID, MODEL, TOKEN_COUNT, PREFIX_HASH, LAST_EVENT_ID, b"host"))
 SYSTEM_HEADERS = frozenset(
     b"x-tenant x-expect-instance x-expect-version x-deadline-ms x-credential"
     b" x-pin-ms x-hold x-kv-backup kv-from kv-fetch".split()
@@ -52,12 +50,8 @@
         )
 
     def forwarded_headers(self, headers: Headers, forwarding: Forwarding) -> Headers:
-        """Build the headers with which a request is forwarded to a replica.
-
-        Hop-by-hop headers and the headers that only the system may set are removed, and the
-        system's own values are added.
-        """
-        passed = end_to_end_headers(headers, keep=KEPT_REQUEST_HEADERS)
+        """Drop hop-by-hop headers and those that only the system may set; add the system's own."""
+        passed = end_to_end_headers(headers, keep=KEPT_HEADERS)
         kept = [pair for pair in passed if pair[0].lower() not in SYSTEM_HEADERS]
         if forwarding.last_event_id:
             kept = [pair for pair in kept if pair[0].lower() != LAST_EVENT_ID]
@@ -70,10 +64,7 @@
         return kept
 
     def read_answer(self, headers: Headers) -> AnswerFields:
-        """Parse the platform's fields of an answer; an invalid value counts as absent.
-
-        Of several limits the lowest applies.
-        """
+        """Parse an answer's fields; an invalid value counts as absent, the lowest limit applies."""
         found = {name.lower(): value for name, value in headers}
         limit = parse_smallest_decimal(
             _decode_text(value) for name, value in headers if name.lower() == LIMIT
--- a/packages/chalkyoke/src/chalkyoke/platform/store.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/store.py
@@ -25,17 +25,12 @@
     Written,
 )
 
-# Timeout of a call, in seconds; a watch has its own.
-CALL_TIMEOUT_S = 2.0
-# Maximum number of pages in one listing.
-MAX_PAGES = 50
+CALL_TIMEOUT_S = 2.0  # a watch has its own timeout
+MAX_PAGES = 50  # in one listing
 OK, GONE, NOT_FOUND, CONFLICT = 200, 410, 404, 412
-# Statuses of a call that the store has certainly not applied.
-NOT_APPLIED_STATUSES = (429, 503)
-# Header with the store's epoch, which rises by one with each restore from a backup. Larger numbers
-# than the maximum do not fit into messages.
-EPOCH_HEADER = b"store-era"
-MAX_EPOCH = 2**53
+NOT_APPLIED_STATUSES = (429, 503)  # the store has certainly not applied the call
+EPOCH = b"store-era"  # this header's number rises by one with each restore from a backup
+MAX_INT = 2**53  # larger numbers do not fit into messages
 
 T = TypeVar("T", bound=msgspec.Struct)
 
@@ -74,10 +69,7 @@
         self._caller = caller
 
     async def read(self, prefix: str) -> Listing | Unavailable:
-        """Read all items under a prefix, page by page.
-
-        The listing is unavailable if the store is restored between two pages.
-        """
+        """Read all items under a prefix, in pages; fail if the store is restored in between."""
         items: list[Item] = []
         at, epoch, after = 0, 0, ""
         for _ in range(MAX_PAGES):
@@ -88,9 +80,7 @@
             if isinstance(page, Unavailable):
                 return page
             if after and _read_epoch(answer) != epoch:
-                return Unavailable(
-                    "store was restored between two pages", may_have_been_applied=False
-                )
+                return Unavailable("restored between two pages", may_have_been_applied=False)
             at, epoch = at or page.at, _read_epoch(answer)
             items += [_make_item(each) for each in page.items]
             if not page.more or not page.items:
@@ -168,12 +158,8 @@
     return Item(each.key, base64.b64decode(each.value), each.rev)
 
 
-def _read_epoch(answer: CallAnswer | Unavailable) -> int:
-    return (
-        0
-        if isinstance(answer, Unavailable)
-        else find_integer(answer.headers, EPOCH_HEADER, MAX_EPOCH)
-    )
+def _read_epoch(reply: CallAnswer | Unavailable) -> int:
+    return 0 if isinstance(reply, Unavailable) else find_integer(reply.headers, EPOCH, MAX_INT)
 
 
 def _make_lease(answer: CallAnswer | Unavailable, number: int = 0) -> LeaseGranted | Unavailable:
