--- a/scripts/proofs.py
+++ b/scripts/proofs.py
@@ -32,10 +32,14 @@
 
 def run_overload(seed: int) -> SeedResult:
     """Drive one scheduler under random overload, and check every refusal and grant naively."""
-    from tests.overload import overload
+    from tests.overload import run_overload
 
     try:
-        return seed, {str(name): count for name, count in overload(seed, 4000).counts.items()}, ""
+        return (
+            seed,
+            {str(name): count for name, count in run_overload(seed, 4000).counts.items()},
+            "",
+        )
     except BaseException as error:
         return seed, {}, f"{type(error).__name__}: {error}"
 
