--- a/scripts/proofs.py
+++ b/scripts/proofs.py
@@ -20,7 +20,7 @@
 SeedResult = tuple[int, dict[str, int], str]
 
 
-def run_world(seed: int) -> SeedResult:
+def check_world(seed: int) -> SeedResult:
     """Simulate a fleet for one seed with kills, link cuts, holds and planned stops."""
     from tests.world import play
 
@@ -30,7 +30,7 @@
         return seed, {}, f"{type(error).__name__}: {error}"
 
 
-def run_overload(seed: int) -> SeedResult:
+def check_overload(seed: int) -> SeedResult:
     """Drive one scheduler under random overload, and check every refusal and grant naively."""
     from tests.overload import run_overload
 
@@ -65,7 +65,9 @@
     """Run all checks, and exit with 1 if any seed failed."""
     first, count = int(os.environ.get("FIRST", "100")), int(os.environ.get("SEEDS", "20"))
     seeds = range(first, first + count)
-    failed = run_proof("promises", run_world, seeds) + run_proof("shedding", run_overload, seeds)
+    failed = run_proof("promises", check_world, seeds) + run_proof(
+        "shedding", check_overload, seeds
+    )
     sys.exit(1 if failed else 0)
 
 
