--- a/packages/chalkyoke/src/chalkyoke/node/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleet.py
@@ -43,10 +43,11 @@
 
 
 class FleetView(ConfigurationLookup):
-    """Look up teams, routes, pools and upstreams.
+    """Look up teams, services, routes, tiers, pools and upstreams.
 
-    :param resources: the configuration in force.
+    :param resources: a configuration, in force or planned.
     :param hosts: the platform's host list.
+    :ivar pools: the specifications of all pools by pool name.
     """
 
     def __init__(self, resources: Resources, hosts: tuple[ListedHost, ...]) -> None:
@@ -68,7 +69,7 @@
         for service in resources.service.values():
             self._add_pools(service)
 
-    # Lookups of request reception.
+    # Lookups for the reception of requests (ConfigurationLookup).
 
     def team_of(self, key_sha256: str) -> Team | None:
         """Return the team of an API key's SHA-256 digest, or None if no team has the key."""
@@ -90,7 +91,7 @@
         matched = self.resources.tier.get(tier)
         return matched.default_deadline_s if matched is not None else None
 
-    # Lookups of the entry and scheduling slices.
+    # Lookups for dispatch (entry.ports.ConfigurationPort) and membership.
 
     def pool(self, service: str, request: str) -> str:
         """Return the name of the pool that a service's request belongs to.
--- a/packages/chalkyoke/src/chalkyoke/node/ports.py
+++ b/packages/chalkyoke/src/chalkyoke/node/ports.py
@@ -1,7 +1,7 @@
 """
 chalkyoke.node.ports
 
-The configuration port of the entry slice, which always reads the revision in force.
+Implements the configuration lookups of the entry slice with the fleet view in force.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,9 +12,11 @@
 
 
 class FleetPort(ConfigurationLookup):
-    """Look up teams, services, routes and pools in the current fleet view.
+    """Implement :class:`chalkyoke.entry.ports.ConfigurationPort` and the lookups of reception.
 
-    :param fleet: returns the view in force.
+    Each call reads the fleet view that is in force at that moment.
+
+    :param fleet: returns the fleet view in force.
     """
 
     def __init__(self, fleet: Callable[[], FleetView]) -> None:
