--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import aiohttp
-from chalkyoke_fakes.caller import Told
+from chalkyoke_fakes.caller import ReplyOutcome
 from chalkyoke_fakes.fleet import LocalFleet
 from chalkyoke_fakes.load import Load
 
@@ -36,7 +36,7 @@
     example = EXAMPLES / name
     plan = tomllib.loads((example / "load.toml").read_text(encoding="utf-8"))
     with tempfile.TemporaryDirectory(prefix="chalkyoke-bench-") as folder:
-        fleet = LocalFleet.of_example(Path(folder), example)
+        fleet = LocalFleet.from_example(Path(folder), example)
         domains = sorted({each["failure_domain"] for each in fleet.platform["entry"]})
         fleet.platform["entry"] = [
             {"host": f"entry-{i + 1}", "failure_domain": domains[i % len(domains)]}
@@ -47,7 +47,7 @@
         async with fleet, aiohttp.ClientSession(connector=connector) as session:
             load = Load(plan, [node.address for node in fleet.nodes.values()], session, SEED)
             faults = asyncio.create_task(_disturb(fleet, load))
-            await load.run(SECONDS)
+            await load.send_load(SECONDS)
             await faults
             _print(name, policy, load, await fleet.counts())
 
@@ -58,12 +58,15 @@
     await fleet.set_faults(fast, slow=SLOW)
     await asyncio.sleep(KILL_AT - SLOW_AT)
     victim = list(fleet.nodes.values())[-1]
-    victim.send(signal.SIGKILL)
+    victim.send_signal(signal.SIGKILL)
     load.nodes.remove(victim.address)
 
 
 def _print(name: str, policy: str, load: Load, counts: dict[str, dict[str, int]]) -> None:
-    lost = sum(tally.told[Told.NOTHING] + tally.told[Told.BAD] for tally in load.tallies.values())
+    lost = sum(
+        tally.outcomes[ReplyOutcome.NOTHING] + tally.outcomes[ReplyOutcome.BAD]
+        for tally in load.tallies.values()
+    )
     doubled = sum(each["doubled"] for each in counts.values())
     wasted = sum(each.get("prefill_wasted", 0) for each in counts.values())
     done = sum(each.get("prefill_done", 0) for each in counts.values())
@@ -71,10 +74,10 @@
     print("| tier or service | sent | whole | share | not run | failed | unknown |")
     print("|---|---|---|---|---|---|---|")
     for tier, tally in sorted(load.tallies.items()):
-        told = tally.told
+        told = tally.outcomes
         print(
-            f"| {tier} | {tally.sent} | {told[Told.WHOLE]} | {told[Told.WHOLE] / tally.sent:.3f} "
-            f"| {told[Told.NOT_RUN]} | {told[Told.FAILED]} | {told[Told.UNKNOWN]} |"
+            f"| {tier} | {tally.sent} | {told[ReplyOutcome.WHOLE]} | {told[ReplyOutcome.WHOLE] / tally.sent:.3f} "
+            f"| {told[ReplyOutcome.NOT_RUN]} | {told[ReplyOutcome.FAILED]} | {told[ReplyOutcome.UNKNOWN]} |"
         )
     print(
         f"\nWasted prefill {wasted:,} of {done:,} tokens; unaccounted for {lost}; "
--- a/benches/gateway.py
+++ b/benches/gateway.py
@@ -80,7 +80,7 @@
         node.popen.kill()
         node.popen.wait()
         fleet.start_node("n1")
-        await fleet.until_ready("n1")
+        await fleet.wait_until_ready("n1")
         pid = _pid(fleet)
         print(f"| a start until ready | {processor_s(pid):.2f} s | {memory_mb(pid):.0f} MB |")
 
--- a/benches/path.py
+++ b/benches/path.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import aiohttp
-from chalkyoke_fakes.caller import Caller, Told
+from chalkyoke_fakes.caller import Caller, ReplyOutcome
 from chalkyoke_fakes.fleet import LocalFleet
 
 from benches.statistics import fit, memory_mb, processor_s, quantile
@@ -120,7 +120,7 @@
         *(caller.complete(node.address, _body(tokens)) for _ in range(STREAMS * 2))
     )
     elapsed = time.perf_counter() - started
-    whole = sum(reply.told is Told.WHOLE for reply in replies)
+    whole = sum(reply.outcome is ReplyOutcome.WHOLE for reply in replies)
     return processor_s(node.popen.pid) - before, elapsed, whole
 
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/caller.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/caller.py
@@ -13,10 +13,10 @@
 import aiohttp
 
 DONE_EVENT = b"data: [DONE]\n\n"
-TOKEN = "Chalkyoke-Token"
+TOKEN_HEADER = "Chalkyoke-Token"
 
 
-class Told(StrEnum):
+class ReplyOutcome(StrEnum):
     """What a caller got."""
 
     WHOLE = "whole"
@@ -34,7 +34,7 @@
     :param first_s: until the first byte, in seconds; -1 where none came.
     """
 
-    told: Told
+    outcome: ReplyOutcome
     status: int = 0
     reason: str = ""
     body: bytes = b""
@@ -80,28 +80,28 @@
         sent.setdefault("Authorization", f"Bearer {self._key}")
         sent.setdefault("Content-Type", "application/json")
         started = time.monotonic()
-        reply = Reply(Told.NOTHING)
+        reply = Reply(ReplyOutcome.NOTHING)
         try:
             async with self._session.post(
                 f"http://{address}{path}", data=body, headers=sent
             ) as response:
                 reply.status = response.status
                 reply.headers = dict(response.headers)
-                reply.token = response.headers.get(TOKEN, "")
+                reply.token = response.headers.get(TOKEN_HEADER, "")
                 pieces: list[bytes] = []
                 async for piece in response.content.iter_any():
                     if reply.first_s < 0:
                         reply.first_s = time.monotonic() - started
                     pieces.append(piece)
                 reply.body = b"".join(pieces)
-            _judge(reply)
+            _classify_reply(reply)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             reply.reason = type(error).__name__
         reply.total_s = time.monotonic() - started
         return reply
 
 
-def _judge(reply: Reply) -> None:
+def _classify_reply(reply: Reply) -> None:
     kind = reply.headers.get("Content-Type", "")
     if kind.startswith("application/problem+json"):
         _read_problem(reply, reply.json())
@@ -110,10 +110,10 @@
         if len(last) == 2:
             _read_problem(reply, json.loads(last[1]))
     else:
-        reply.told = Told.WHOLE
+        reply.outcome = ReplyOutcome.WHOLE
 
 
 def _read_problem(reply: Reply, problem: dict[str, Any]) -> None:
-    reply.told = Told(problem["outcome"]) if "outcome" in problem else Told.BAD
+    reply.outcome = ReplyOutcome(problem["outcome"]) if "outcome" in problem else ReplyOutcome.BAD
     reply.reason = str(problem.get("reason", problem.get("detail", "")))
     reply.retry_after_s = problem.get("retry_after_s")
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/children.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/children.py
@@ -16,7 +16,7 @@
 
 
 # Numbers of the addresses at which a fleet's replicas and relays listen; its nodes have lower ones.
-REPLICAS, RELAYS = 200, 201
+REPLICA_ADDRESS_NUMBER, RELAY_ADDRESS_NUMBER = 200, 201
 
 
 def own_address(number: int) -> str:
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/engine.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/engine.py
@@ -26,7 +26,7 @@
 CHARACTERS_PER_TOKEN = 4
 PREFILL_CHUNK_TOKENS = 512
 RESUME_GRACE_S = 2.0
-DIED = 9
+DIED_EXIT_CODE = 9
 
 
 @dataclass
@@ -76,7 +76,7 @@
         """Prompt tokens that were read for it."""
         return self.prompt_tokens - self.cached_tokens - self.prefill_left
 
-    def produce(self) -> None:
+    def append_token(self) -> None:
         """Make one more token, or the end."""
         made = len(self.events)
         choice = {"index": 0, "text": f"w{made} ", "finish_reason": None}
@@ -113,7 +113,7 @@
         self.seen: Counter[str] = Counter()
         self.prefill_done = 0
         self.prefill_wasted = 0
-        self.outputs = 0
+        self.output_tokens_made = 0
         self.delivered = 0
         self._cache: OrderedDict[int, None] = OrderedDict()
         self._dropped: deque[tuple[float, int]] = deque()
@@ -129,7 +129,7 @@
             "doubled": doubled,
             "prefill_done": self.prefill_done,
             "prefill_wasted": self.prefill_wasted,
-            "output_tokens": self.outputs,
+            "output_tokens": self.output_tokens_made,
             "delivered": self.delivered,
             "seen": dict(self.seen),
         }
@@ -139,14 +139,14 @@
     def admit(self, name: str, body: dict[str, Any]) -> Sequence:
         """Take a request into the queue."""
         if self._task is None:
-            self._task = asyncio.create_task(self._run())
+            self._task = asyncio.create_task(self._run_batches())
         self.seen[name] += 1
         prompt = body.get("prompt") or "\n".join(
             str(each.get("content", "")) for each in body.get("messages", [])
         )
         tokens = len(prompt) // CHARACTERS_PER_TOKEN + 1
         blocks = prompt_blocks(prompt)
-        cached = min(self._look_up(blocks) * BLOCK_TOKENS, tokens - 1)
+        cached = min(self._count_cached_blocks(blocks) * BLOCK_TOKENS, tokens - 1)
         most = int(body.get("max_tokens", 256))
         wanted = body.get("fake_output_tokens") or _output_length(name, most)
         sequence = Sequence(
@@ -158,7 +158,7 @@
             time.monotonic(),
             tokens - cached,
         )
-        self._remember(blocks)
+        self._cache_blocks(blocks)
         self.sequences[name] = sequence
         self.queue.append(sequence)
         self.queue.sort(key=lambda each: (each.priority, each.arrived))
@@ -178,7 +178,7 @@
             self.batch.remove(sequence)
         sequence.changed.set()
 
-    async def _run(self) -> None:
+    async def _run_batches(self) -> None:
         while True:
             if not self.queue and not self.batch:
                 self._wake.clear()
@@ -189,10 +189,10 @@
             while self.queue and len(self.batch) < self.slots:
                 self.batch.append(self.queue.pop(0))
             started = time.monotonic()
-            seconds = self._step() * self.faults.slow
+            seconds = self._run_step() * self.faults.slow
             await asyncio.sleep(max(0.0, seconds - (time.monotonic() - started)))
 
-    def _step(self) -> float:
+    def _run_step(self) -> float:
         """Read one chunk of one prompt and make one token for each stream.
 
         :return: seconds that the step takes.
@@ -208,14 +208,14 @@
         if streams:
             seconds += self.token_s * (1.0 + self.slope * (len(streams) - 1))
         for each in streams:
-            each.produce()
-            self.outputs += 1
+            each.append_token()
+            self.output_tokens_made += 1
         self.batch = [each for each in self.batch if not each.done]
         return seconds
 
     # Cache.
 
-    def _look_up(self, blocks: tuple[int, ...]) -> int:
+    def _count_cached_blocks(self, blocks: tuple[int, ...]) -> int:
         depth = 0
         for block in blocks:
             if block not in self._cache:
@@ -224,7 +224,7 @@
             depth += 1
         return depth
 
-    def _remember(self, blocks: tuple[int, ...]) -> None:
+    def _cache_blocks(self, blocks: tuple[int, ...]) -> None:
         for block in reversed(blocks):
             self._cache[block] = None
             self._cache.move_to_end(block)
@@ -234,7 +234,7 @@
 
     # Reports.
 
-    def report(self) -> dict[str, Any]:
+    def load_report(self) -> dict[str, Any]:
         """Tell the load as it was a while ago, and some of the cache events."""
         now = time.monotonic()
         self._reports.append((now, len(self.batch), len(self.queue)))
@@ -271,7 +271,7 @@
         """Complete a prompt as a stream."""
         engine = self._engine
         if engine.faults.die:
-            os._exit(DIED)
+            os._exit(DIED_EXIT_CODE)
         body = await req.get_media()
         if engine.faults.refuse or engine.faults.draining:
             resp.set_header("Retry-After", "2")
@@ -279,7 +279,7 @@
         name = req.get_header("X-Request-Id") or f"anonymous-{time.monotonic_ns()}"
         sequence = engine.admit(name, body)
         resp.content_type = "text/event-stream"
-        resp.stream = stream(engine, sequence, 0)
+        resp.stream = stream_events(engine, sequence, 0)
 
 
 class EventsPage:
@@ -294,7 +294,7 @@
         if sequence is None or sequence.cancelled or not self._engine.faults.can_resume:
             raise falcon.HTTPServiceUnavailable(description="nothing to resume")
         resp.content_type = "text/event-stream"
-        resp.stream = stream(self._engine, sequence, req.get_param_as_int("offset") or 0)
+        resp.stream = stream_events(self._engine, sequence, req.get_param_as_int("offset") or 0)
 
     async def on_delete(
         self, _: falcon.asgi.Request, resp: falcon.asgi.Response, name: str
@@ -304,14 +304,14 @@
         resp.status = 204
 
 
-async def stream(engine: Engine, sequence: Sequence, offset: int) -> AsyncIterator[bytes]:
+async def stream_events(engine: Engine, sequence: Sequence, offset: int) -> AsyncIterator[bytes]:
     """Send a sequence's events from an offset on."""
     sequence.readers += 1
     sent = 0
     try:
         while not sequence.cancelled:
             if engine.faults.die:
-                os._exit(DIED)
+                os._exit(DIED_EXIT_CODE)
             if engine.faults.cut_streams > 0 and sent >= 3:
                 engine.faults.cut_streams -= 1
                 raise ConnectionError("cut by a fault")
@@ -330,10 +330,12 @@
     finally:
         sequence.readers -= 1
         if not sequence.delivered:
-            asyncio.get_running_loop().call_later(RESUME_GRACE_S, _abandon, engine, sequence)
+            asyncio.get_running_loop().call_later(
+                RESUME_GRACE_S, _abandon_sequence, engine, sequence
+            )
 
 
-def _abandon(engine: Engine, sequence: Sequence) -> None:
+def _abandon_sequence(engine: Engine, sequence: Sequence) -> None:
     """Give up a sequence that nobody reads any more; what it cost brought no answer."""
     if sequence.readers > 0 or sequence.delivered or sequence.abandoned:
         return
@@ -352,7 +354,7 @@
 
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Tell the load."""
-        resp.media = self._engine.report()
+        resp.media = self._engine.load_report()
 
 
 def make_app(arguments: Any) -> Any:
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/fleet.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/fleet.py
@@ -19,9 +19,9 @@
 
 import aiohttp
 
-from chalkyoke_fakes.children import REPLICAS, own_address, spawn
+from chalkyoke_fakes.children import REPLICA_ADDRESS_NUMBER, own_address, spawn
 
-START_S = 15.0
+START_TIMEOUT_S = 15.0
 POLL_S = 0.05
 OPERATOR_TOKEN = "demo-operator"
 FLEET_KEY_HEX = "00112233445566778899aabbccddeeff"
@@ -49,7 +49,7 @@
     failure_domain: str = ""
     arguments: list[str] = field(default_factory=list)
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to it."""
         if self.popen.poll() is None:
             self.popen.send_signal(number)
@@ -71,11 +71,11 @@
         self.upstreams: dict[str, Process] = {}
         self.store: Process | None = None
         self.hosts: Process | None = None
-        self.listed: list[dict[str, Any]] = []
+        self.host_entries: list[dict[str, Any]] = []
         self._session: aiohttp.ClientSession | None = None
 
     @classmethod
-    def of_example(cls, folder: Path, example: Path) -> "LocalFleet":
+    def from_example(cls, folder: Path, example: Path) -> "LocalFleet":
         """Make the fleet of an example: a folder with ``platform.toml`` and ``fleet.toml``."""
         platform = tomllib.loads((example / "platform.toml").read_text(encoding="utf-8"))
         resources = tomllib.loads((example / "fleet.toml").read_text(encoding="utf-8"))
@@ -91,7 +91,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.end()
+        self.kill_processes()
         await self.session.close()
 
     @property
@@ -105,19 +105,19 @@
     async def start(self) -> None:
         """Start all stand-ins and nodes, and apply the configuration."""
         self._start_upstreams()
-        self.store = self._fake("store", "chalkyoke_fakes.store", "127.0.0.1")
+        self.store = self._start_fake("store", "chalkyoke_fakes.store", "127.0.0.1")
         for entry in self.platform["entry"]:
-            self._list_node(entry)
+            self._add_node(entry)
         hosts_file = self.folder / "hosts.json"
-        hosts_file.write_text(json.dumps(self.listed), encoding="utf-8")
+        hosts_file.write_text(json.dumps(self.host_entries), encoding="utf-8")
         arguments = ["--hosts", str(hosts_file), "--lag-s", str(self.platform.get("lag_s", 0.5))]
-        self.hosts = self._fake("hosts", "chalkyoke_fakes.hosts", "127.0.0.1", *arguments)
+        self.hosts = self._start_fake("hosts", "chalkyoke_fakes.hosts", "127.0.0.1", *arguments)
         await self._wait_for_fakes()
         for entry in self.platform["entry"]:
             self.start_node(entry["host"])
-        await self._wait(self._all_alive, "nodes to start")
-        await self.apply(self.resources)
-        await self._wait(self._all_ready, "nodes to be ready")
+        await self._wait_until(self._all_alive, "nodes to start")
+        await self.apply_configuration(self.resources)
+        await self._wait_until(self._all_ready, "nodes to be ready")
 
     def _start_upstreams(self) -> None:
         for engine in self.platform.get("engine", []):
@@ -134,17 +134,19 @@
                 if name in engine
                 for part in ("--" + name.replace("_", "-"), str(engine[name]))
             ]
-            self._upstream(engine, "chalkyoke_fakes.engine", arguments)
+            self._start_upstream(engine, "chalkyoke_fakes.engine", arguments)
         for plain in self.platform.get("plain", []):
             arguments = ["--latency-s", str(plain.get("latency_s", 0.03))]
             arguments += ["--checks"] if plain.get("checks") else []
-            self._upstream(plain, "chalkyoke_fakes.plain", arguments)
+            self._start_upstream(plain, "chalkyoke_fakes.plain", arguments)
 
-    def _upstream(self, spec: dict[str, Any], module: str, arguments: list[str]) -> None:
-        process = self._fake(spec["id"], module, own_address(REPLICAS), *arguments)
+    def _start_upstream(self, spec: dict[str, Any], module: str, arguments: list[str]) -> None:
+        process = self._start_fake(
+            spec["id"], module, own_address(REPLICA_ADDRESS_NUMBER), *arguments
+        )
         process.failure_domain = spec["failure_domain"]
         self.upstreams[spec["id"]] = process
-        self.listed.append(
+        self.host_entries.append(
             {
                 "id": spec["id"],
                 "address": process.address,
@@ -154,7 +156,7 @@
             }
         )
 
-    def _fake(self, name: str, module: str, ip: str, *arguments: str) -> Process:
+    def _start_fake(self, name: str, module: str, ip: str, *arguments: str) -> Process:
         address = free_address(ip)
         command = [sys.executable, "-m", module, "--address", address, *arguments]
         return Process(name, address, self._spawn(name, command), arguments=command)
@@ -162,7 +164,7 @@
     def _spawn(self, name: str, command: list[str]) -> "subprocess.Popen[bytes]":
         return spawn(command, self.folder / f"{name}.log")
 
-    def _list_node(self, entry: dict[str, Any]) -> None:
+    def _add_node(self, entry: dict[str, Any]) -> None:
         ip = own_address(len(self.nodes))
         process = Process(
             entry["host"],
@@ -173,7 +175,7 @@
             entry["failure_domain"],
         )
         self.nodes[entry["host"]] = process
-        self.listed.append(
+        self.host_entries.append(
             {
                 "id": entry["host"],
                 "address": process.links,
@@ -205,7 +207,7 @@
 
     # Asking.
 
-    async def get(self, address: str, path: str) -> Any:
+    async def get_json(self, address: str, path: str) -> Any:
         """Read a page of a control or administration route."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         async with self.session.get(f"http://{address}{path}", headers=headers) as response:
@@ -225,7 +227,7 @@
         ) as response:
             response.raise_for_status()
 
-    async def apply(
+    async def apply_configuration(
         self,
         resources: dict[str, Any],
         host: str = "",
@@ -249,20 +251,20 @@
         found: dict[str, Any] = {}
         for name, process in self.upstreams.items():
             try:
-                found[name] = await self.get(process.address, "/control")
+                found[name] = await self.get_json(process.address, "/control")
             except aiohttp.ClientError:
                 continue
         return found
 
     # Ending.
 
-    def end(self) -> None:
+    def kill_processes(self) -> None:
         """End all processes that this fleet started."""
         every = [*self.nodes.values(), *self.upstreams.values(), self.store, self.hosts]
         started = [each for each in every if each is not None and each.popen is not None]
         for process in started:
-            process.send(signal.SIGCONT)
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGCONT)
+            process.send_signal(signal.SIGKILL)
         for process in started:
             process.popen.wait()
 
@@ -273,26 +275,26 @@
             assert self.store is not None
             assert self.hosts is not None
             for process in [self.store, self.hosts, *self.upstreams.values()]:
-                await self.get(process.address, "/control")
+                await self.get_json(process.address, "/control")
             return True
 
-        await self._wait(answered, "stand-ins to start")
+        await self._wait_until(answered, "stand-ins to start")
 
     async def _all_alive(self) -> bool:
         for node in self.nodes.values():
-            await self.get(node.administration, "/v1/health")
+            await self.get_json(node.administration, "/v1/health")
         return True
 
     async def _all_ready(self) -> bool:
         for node in self.nodes.values():
-            status = await self.get(node.administration, "/v1/status")
+            status = await self.get_json(node.administration, "/v1/status")
             if status["revision"] < 1 or len(status["nodes"]) < len(self.nodes):
                 return False
         return True
 
-    async def _wait(self, check: Any, what: str) -> None:
+    async def _wait_until(self, check: Any, what: str) -> None:
         try:
-            async with asyncio.timeout(START_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 while True:
                     try:
                         if await check():
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/hosts.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/hosts.py
@@ -41,7 +41,7 @@
         """Count the calls."""
         return {"calls": self.calls, "version": self.version}
 
-    def change(self, host: dict[str, Any]) -> None:
+    def schedule_change(self, host: dict[str, Any]) -> None:
         """Add, change or (state ``gone``) remove a host, after the lag."""
         task = asyncio.create_task(self._change_later(host))
         self._tasks.add(task)
@@ -72,7 +72,7 @@
 
     async def on_post(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
         """Change one host."""
-        self._hosts.change(await req.get_media())
+        self._hosts.schedule_change(await req.get_media())
         resp.media = {"taken": True}
 
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/load.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/load.py
@@ -17,7 +17,7 @@
 
 import aiohttp
 
-from chalkyoke_fakes.caller import Caller, Reply, Told
+from chalkyoke_fakes.caller import Caller, Reply, ReplyOutcome
 
 MAX_TRIES = 5
 RETRY_S = 0.3
@@ -28,14 +28,14 @@
 class Tally:
     """What the callers of one tier got."""
 
-    told: Counter[Told] = field(default_factory=Counter)
+    outcomes: Counter[ReplyOutcome] = field(default_factory=Counter)
     reasons: Counter[str] = field(default_factory=Counter)
     first_s: list[float] = field(default_factory=list)
 
     @property
     def sent(self) -> int:
         """Requests sent."""
-        return sum(self.told.values())
+        return sum(self.outcomes.values())
 
 
 class Load:
@@ -56,7 +56,7 @@
         head = random.Random(1)
         self._heads = ["".join(head.choices("abcdefgh ", k=4096)) for _ in range(8)]
 
-    async def run(self, seconds: float) -> None:
+    async def send_load(self, seconds: float) -> None:
         """Send for some time, and wait for all answers."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
@@ -65,10 +65,10 @@
         while loop.time() < end:
             await asyncio.sleep(self._random.expovariate(model + plain))
             is_plain = self._random.random() < plain / (model + plain)
-            calls.append(asyncio.create_task(self._send(is_plain)))
+            calls.append(asyncio.create_task(self._send_request(is_plain)))
         await asyncio.gather(*calls)
 
-    async def _send(self, is_plain: bool) -> None:
+    async def _send_request(self, is_plain: bool) -> None:
         self._number += 1
         callers = self.plan["caller"]
         spec = self._random.choices(callers, [each["share"] for each in callers])[0]
@@ -76,8 +76,8 @@
         headers = {"Chalkyoke_Tier": spec["tier"]}
         if "labels" in spec:
             headers["Chalkyoke_Labels"] = spec["labels"]
-        body = {"hold": self._number} if is_plain else self._body(spec)
-        reply = Reply(Told.NOTHING)
+        body = {"hold": self._number} if is_plain else self._completion_body(spec)
+        reply = Reply(ReplyOutcome.NOTHING)
         token = ""
         for _ in range(MAX_TRIES):
             address = self._random.choice(self.nodes)
@@ -92,16 +92,16 @@
                 reply = await caller.call(address, self.plan["plain"], data, **headers)
             else:
                 reply = await caller.complete(address, body, **headers)
-            if reply.told is not Told.NOTHING:
+            if reply.outcome is not ReplyOutcome.NOTHING:
                 break
             await asyncio.sleep(RETRY_S)
         tally = self.tallies[f"{self.plan['plain']}" if is_plain else spec["tier"]]
-        tally.told[reply.told] += 1
-        if reply.told is not Told.WHOLE:
-            tally.reasons[f"{reply.told}: {reply.reason}"] += 1
+        tally.outcomes[reply.outcome] += 1
+        if reply.outcome is not ReplyOutcome.WHOLE:
+            tally.reasons[f"{reply.outcome}: {reply.reason}"] += 1
         tally.first_s.append(reply.first_s)
 
-    def _body(self, spec: dict[str, Any]) -> dict[str, Any]:
+    def _completion_body(self, spec: dict[str, Any]) -> dict[str, Any]:
         source, sigma = self._random, self.plan["sigma"]
         tokens = int(
             min(4000, max(40, source.lognormvariate(math.log(spec["prompt_median"]), sigma)))
@@ -116,10 +116,11 @@
             "stream": True,
         }
 
-    def lines(self) -> list[str]:
+    def summary_lines(self) -> list[str]:
         """Write what each tier's callers got."""
         return [
-            f"{tier}: {tally.sent} sent, {tally.told[Told.WHOLE]} whole, {dict(tally.reasons)}"
+            f"{tier}: {tally.sent} sent, {tally.outcomes[ReplyOutcome.WHOLE]} whole, "
+            f"{dict(tally.reasons)}"
             for tier, tally in sorted(self.tallies.items())
         ]
 
@@ -129,8 +130,8 @@
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         load = Load(plan, arguments.nodes.split(","), session, arguments.seed)
-        await load.run(arguments.seconds)
-    print("\n".join(load.lines()))
+        await load.send_load(arguments.seconds)
+    print("\n".join(load.summary_lines()))
 
 
 if __name__ == "__main__":
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/metastore.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/metastore.py
@@ -15,10 +15,10 @@
 
 from aiohttp import web
 
-HISTORY = 500
+HISTORY_LENGTH = 500
 MAX_WAIT_S = 30.0
-PAGE = 50
-FIRST_LEASE = 1000
+PAGE_KEYS = 50
+FIRST_LEASE_ID = 1000
 
 
 @dataclass
@@ -43,7 +43,7 @@
 
     value: bytes
     revision: int
-    made: int
+    created_revision: int
     lease: int = 0
 
 
@@ -52,12 +52,12 @@
     """A lease; it runs out at a moment of the steady clock."""
 
     ttl_s: float
-    until: float
+    expires_at: float
     keys: set[str] = field(default_factory=set)
 
 
 @dataclass
-class State:
+class StoreState:
     """What the store keeps.
 
     :ivar history: revisions and keys of the last changes.
@@ -68,9 +68,9 @@
     entries: dict[str, Entry] = field(default_factory=dict)
     leases: dict[int, Lease] = field(default_factory=dict)
     revision: int = 0
-    history: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=HISTORY))
-    oldest: int = 0
-    next_lease: int = FIRST_LEASE
+    history: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=HISTORY_LENGTH))
+    oldest_revision: int = 0
+    next_lease: int = FIRST_LEASE_ID
 
 
 class MetaStore:
@@ -83,9 +83,9 @@
         self.faults = Faults()
         self.calls: Counter[str] = Counter()
         self.epoch = 1
-        self._state = State()
-        self._foreign: dict[str, int] = {}
-        self._lost: dict[str, Entry | None] = {}
+        self._state = StoreState()
+        self._platform_writes: dict[str, int] = {}
+        self._lost_writes: dict[str, Entry | None] = {}
         self._changed = asyncio.Condition()
         self._runner: web.AppRunner | None = None
         self.address = ""
@@ -110,13 +110,13 @@
     async def start(self, ip: str) -> None:
         """Serve on a free port."""
         app = web.Application(middlewares=[self._admit])
-        app.router.add_get("/kv-key", self._key)
-        app.router.add_get("/kv-range", self._range)
-        app.router.add_get("/kv-watch", self._watch)
-        app.router.add_post("/kv-txn", self._transaction)
-        app.router.add_post("/kv-lease", self._grant)
-        app.router.add_post("/kv-keep/{lease}", self._keep)
-        app.router.add_delete("/kv-lease-end/{lease}", self._end)
+        app.router.add_get("/kv-key", self._get_key)
+        app.router.add_get("/kv-range", self._list_range)
+        app.router.add_get("/kv-watch", self._watch_prefix)
+        app.router.add_post("/kv-txn", self._commit_transaction)
+        app.router.add_post("/kv-lease", self._grant_lease)
+        app.router.add_post("/kv-keep/{lease}", self._renew_lease)
+        app.router.add_delete("/kv-lease-end/{lease}", self._end_lease)
         self._runner = web.AppRunner(app)
         await self._runner.setup()
         site = web.TCPSite(self._runner, ip, 0)
@@ -137,14 +137,14 @@
         while self.faults.silent:
             await asyncio.sleep(0.02)
         if self.faults.down:
-            return self._named(web.json_response({"error": "down"}, status=503))
-        self._expire()
+            return self._add_epoch_header(web.json_response({"error": "down"}, status=503))
+        self._expire_leases()
         answer: web.StreamResponse = await handler(request)
         while self.faults.silent:
             await asyncio.sleep(0.02)
-        return self._named(answer)
+        return self._add_epoch_header(answer)
 
-    def _named(self, answer: web.StreamResponse) -> web.StreamResponse:
+    def _add_epoch_header(self, answer: web.StreamResponse) -> web.StreamResponse:
         """Name the epoch in an answer."""
         answer.headers["Store-Era"] = str(self.epoch)
         return answer
@@ -156,47 +156,47 @@
 
         :return: the revision.
         """
-        self._put(key, value, lease)
-        self._foreign[key] = self.revision
-        await self._notify()
+        self._put_entry(key, value, lease)
+        self._platform_writes[key] = self.revision
+        await self._notify_watchers()
         return self.revision
 
     async def remove(self, key: str) -> None:
         """Remove a key."""
-        if self._remove(key):
-            self._foreign[key] = self.revision
-            await self._notify()
+        if self._remove_entry(key):
+            self._platform_writes[key] = self.revision
+            await self._notify_watchers()
 
     async def forget_history(self) -> None:
         """Forget what has changed, and cut the watches."""
         self._state.history.clear()
-        self._state.oldest = self.revision + 1
+        self._state.oldest_revision = self.revision + 1
         self._state.revision += 1
-        await self._notify()
+        await self._notify_watchers()
 
     # Returns from a copy.
 
-    def copy(self) -> State:
+    def take_snapshot(self) -> StoreState:
         """Make a copy of all that there is."""
         return copy.deepcopy(self._state)
 
-    async def restore(self, state: State) -> None:
+    async def restore_snapshot(self, state: StoreState) -> None:
         """Come back from a copy; what was written since is gone, until it is written again."""
-        self._lost = {
+        self._lost_writes = {
             key: copy.copy(self.entries.get(key))
-            for key, revision in self._foreign.items()
+            for key, revision in self._platform_writes.items()
             if revision > state.revision
         }
-        self._foreign.clear()
+        self._platform_writes.clear()
         self._state = copy.deepcopy(state)
         self.epoch += 1
-        await self._notify()
+        await self._notify_watchers()
 
-    async def write_again(self) -> None:
+    async def rewrite_lost_writes(self) -> None:
         """Write what operators and replicas had written that the copy lacks."""
-        lost, self._lost = self._lost, {}
+        lost, self._lost_writes = self._lost_writes, {}
         for key, entry in lost.items():
-            if key in self._foreign:
+            if key in self._platform_writes:
                 continue
             if entry is None:
                 await self.remove(key)
@@ -205,28 +205,30 @@
 
     # Calls.
 
-    async def _key(self, request: web.Request) -> web.Response:
+    async def _get_key(self, request: web.Request) -> web.Response:
         entry = self.entries.get(request.query["key"])
         if entry is None:
             return web.json_response({"at": self.revision}, status=404)
-        return web.json_response({**self._item(request.query["key"]), "at": self.revision})
+        return web.json_response({**self._encode_entry(request.query["key"]), "at": self.revision})
 
-    async def _range(self, request: web.Request) -> web.Response:
+    async def _list_range(self, request: web.Request) -> web.Response:
         prefix, after = request.query["path-prefix"], request.query.get("since-rev", "")
         keys = sorted(key for key in self.entries if key.startswith(prefix) and key > after)
-        items = [self._item(key) for key in keys[:PAGE]]
-        return web.json_response({"items": items, "more": len(keys) > PAGE, "at": self.revision})
+        items = [self._encode_entry(key) for key in keys[:PAGE_KEYS]]
+        return web.json_response(
+            {"items": items, "more": len(keys) > PAGE_KEYS, "at": self.revision}
+        )
 
-    async def _watch(self, request: web.Request) -> web.Response:
+    async def _watch_prefix(self, request: web.Request) -> web.Response:
         prefix, since = request.query["path-prefix"], int(request.query["since-rev"])
         wait_s = min(MAX_WAIT_S, int(request.query["wait-ms"]) / 1000)
         end = time.monotonic() + wait_s
         while True:
             if self.faults.down:
                 return web.json_response({"error": "down"}, status=503)
-            if not self._state.oldest <= since <= self.revision:
+            if not self._state.oldest_revision <= since <= self.revision:
                 return web.json_response({"error": "history"}, status=410)
-            events = self._events(prefix, since)
+            events = self._events_since(prefix, since)
             left = end - time.monotonic()
             if events or left <= 0:
                 return web.json_response({"events": events, "at": self.revision})
@@ -234,22 +236,24 @@
                 async with asyncio.timeout(min(left, 0.2)), self._changed:
                     await self._changed.wait()
             except TimeoutError:
-                self._expire()
+                self._expire_leases()
 
-    def _events(self, prefix: str, since: int) -> list[dict[str, Any]]:
+    def _events_since(self, prefix: str, since: int) -> list[dict[str, Any]]:
         newest = {key: revision for revision, key in self._state.history if revision > since}
         return [
-            self._item(key) if key in self.entries else {"key": key, "rev": revision, "gone": True}
+            self._encode_entry(key)
+            if key in self.entries
+            else {"key": key, "rev": revision, "gone": True}
             for key, revision in newest.items()
             if key.startswith(prefix)
         ]
 
-    async def _transaction(self, request: web.Request) -> web.Response:
+    async def _commit_transaction(self, request: web.Request) -> web.Response:
         body = await request.json()
         for row in body.get("expect-rev", []):
             entry = self.entries.get(row["key"])
             if (entry.revision if entry else 0) != row["rev"]:
-                items = [self._item(each) for each in [row["key"]] if each in self.entries]
+                items = [self._encode_entry(each) for each in [row["key"]] if each in self.entries]
                 return web.json_response({"items": items}, status=412)
         for put in body.get("put", []):
             lease = put.get("lease", 0)
@@ -258,46 +262,46 @@
             if lease and lease not in self.leases:
                 return web.json_response({"error": "no such lease"}, status=404)
         for put in body.get("put", []):
-            self._put(put["key"], base64.b64decode(put["value"]), put.get("lease", 0))
+            self._put_entry(put["key"], base64.b64decode(put["value"]), put.get("lease", 0))
         for key in body.get("delete", []):
-            self._remove(key)
-        await self._notify()
+            self._remove_entry(key)
+        await self._notify_watchers()
         if self.faults.lose_writes > 0:
             self.faults.lose_writes -= 1
             await asyncio.sleep(MAX_WAIT_S)
         return web.json_response({"rev": self.revision})
 
-    async def _grant(self, request: web.Request) -> web.Response:
+    async def _grant_lease(self, request: web.Request) -> web.Response:
         ttl_s = (await request.json())["ttl_ms"] / 1000
         number = self._state.next_lease
         self._state.next_lease += 1
         self.leases[number] = Lease(ttl_s, time.monotonic() + ttl_s)
         return web.json_response({"lease": number, "ttl_ms": ttl_s * 1000})
 
-    async def _keep(self, request: web.Request) -> web.Response:
+    async def _renew_lease(self, request: web.Request) -> web.Response:
         lease = self.leases.get(int(request.match_info["lease"]))
         if lease is None:
             return web.json_response({"error": "over"}, status=404)
-        lease.until = time.monotonic() + lease.ttl_s
+        lease.expires_at = time.monotonic() + lease.ttl_s
         return web.json_response({"ttl_ms": lease.ttl_s * 1000})
 
-    async def _end(self, request: web.Request) -> web.Response:
+    async def _end_lease(self, request: web.Request) -> web.Response:
         self._drop_lease(int(request.match_info["lease"]))
-        await self._notify()
+        await self._notify_watchers()
         return web.json_response({})
 
     # State.
 
-    def _put(self, key: str, value: bytes, lease: int) -> None:
+    def _put_entry(self, key: str, value: bytes, lease: int) -> None:
         self._state.revision += 1
         before = self.entries.get(key)
-        made = before.made if before else self.revision
+        made = before.created_revision if before else self.revision
         self.entries[key] = Entry(value, self.revision, made, lease)
         if lease:
             self.leases[lease].keys.add(key)
         self._state.history.append((self.revision, key))
 
-    def _remove(self, key: str) -> bool:
+    def _remove_entry(self, key: str) -> bool:
         if self.entries.pop(key, None) is None:
             return False
         self._state.revision += 1
@@ -307,23 +311,23 @@
     def _drop_lease(self, number: int) -> None:
         lease = self.leases.pop(number, None)
         for key in lease.keys if lease else ():
-            self._remove(key)
+            self._remove_entry(key)
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = time.monotonic()
-        for number in [each for each, lease in self.leases.items() if lease.until < now]:
+        for number in [each for each, lease in self.leases.items() if lease.expires_at < now]:
             self._drop_lease(number)
 
-    def _item(self, key: str) -> dict[str, Any]:
+    def _encode_entry(self, key: str) -> dict[str, Any]:
         entry = self.entries[key]
         return {
             "key": key,
             "value": base64.b64encode(entry.value).decode(),
             "rev": entry.revision,
-            "made": entry.made,
+            "made": entry.created_revision,
             "lease": entry.lease,
         }
 
-    async def _notify(self) -> None:
+    async def _notify_watchers(self) -> None:
         async with self._changed:
             self._changed.notify_all()
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/plain.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/plain.py
@@ -16,7 +16,7 @@
 
 from chalkyoke_fakes.serving import Control, parser, serve
 
-DIED = 9
+DIED_EXIT_CODE = 9
 
 
 @dataclass
@@ -75,15 +75,15 @@
         finally:
             service.running -= 1
         if service.faults.die:
-            os._exit(DIED)
+            os._exit(DIED_EXIT_CODE)
         if service.faults.lose_answers > 0:
             service.faults.lose_answers -= 1
-            resp.stream = _broken()
+            resp.stream = _broken_stream()
             return
         resp.media = {"path": path, "request": name, "bytes": len(body), "done": True}
 
 
-async def _broken() -> Any:
+async def _broken_stream() -> Any:
     raise ConnectionError("the answer is lost")
     yield b""
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformdemo.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformdemo.py
@@ -14,7 +14,7 @@
 import tempfile
 from pathlib import Path
 
-from chalkyoke_fakes.platformfleet import Got, PlatformFleet
+from chalkyoke_fakes.platformfleet import CallerResponse, PlatformFleet
 
 REQUESTS = 48
 KILL_NODE_AT = 16
@@ -24,7 +24,7 @@
 PATHS = ("/chat/1", "/explain/1", "/book/1", "/find/1")
 
 
-def word(got: Got) -> str:
+def describe_response(got: CallerResponse) -> str:
     """Say what a caller got."""
     if got.status == 0:
         return "no answer"
@@ -33,12 +33,17 @@
     return {200: "whole", 503: "not run", 502: "unknown"}.get(got.status, str(got.status))
 
 
-async def send(fleet: PlatformFleet, number: int, alive: list[str]) -> tuple[int, str, Got]:
+async def send_request(
+    fleet: PlatformFleet, number: int, alive: list[str]
+) -> tuple[int, str, CallerResponse]:
     """Send one request."""
     node = alive[number % len(alive)]
-    got = await fleet.ask(node, PATHS[number % len(PATHS)], request_id=f"demo-{number}")
-    print(f"#{number:02d} {PATHS[number % len(PATHS)]:<12} by {node}: {word(got)}", flush=True)
-    return number, word(got), got
+    got = await fleet.send_request(node, PATHS[number % len(PATHS)], request_id=f"demo-{number}")
+    print(
+        f"#{number:02d} {PATHS[number % len(PATHS)]:<12} by {node}: {describe_response(got)}",
+        flush=True,
+    )
+    return number, describe_response(got), got
 
 
 async def main() -> None:
@@ -49,25 +54,25 @@
             alive = list(fleet.nodes)
             tasks = []
             for number in range(REQUESTS):
-                tasks.append(asyncio.create_task(send(fleet, number, alive)))
+                tasks.append(asyncio.create_task(send_request(fleet, number, alive)))
                 await asyncio.sleep(PAUSE_S)
                 if number == KILL_NODE_AT:
                     victim = alive.pop()
                     print(f"-- killing {victim} (SIGKILL)")
-                    fleet.nodes[victim].send(signal.SIGKILL)
+                    fleet.nodes[victim].send_signal(signal.SIGKILL)
                 if number == RETURN_REPLICA_AT:
                     print("-- a replica ends and starts again under its id")
                     fleet.replicas["s1"].faults.renamed = False
-                    fleet.replicas["s1"].end_by_itself()
+                    fleet.replicas["s1"].exit_and_restart()
                 if number == KILL_REPLICA_AT:
                     print("-- a replica crashes")
                     await fleet.replicas["m0"].crash()
-            check(fleet, await asyncio.gather(*tasks))
+            check_runs(fleet, await asyncio.gather(*tasks))
 
 
-def check(fleet: PlatformFleet, told: list[tuple[int, str, Got]]) -> None:
+def check_runs(fleet: PlatformFleet, told: list[tuple[int, str, CallerResponse]]) -> None:
     """Compare what callers were told with what ran."""
-    runs = fleet.runs()
+    runs = fleet.count_runs()
     single = [n for n in range(REQUESTS) if PATHS[n % len(PATHS)] in ("/chat/1", "/book/1")]
     doubled = [n for n in single if runs[f"demo-{n}"] > 1]
     untrue = [n for n, said, _ in told if said == "not run" and runs[f"demo-{n}"]]
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformfleet.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformfleet.py
@@ -20,14 +20,14 @@
 
 import aiohttp
 
-from chalkyoke_fakes.children import REPLICAS, own_address, spawn
+from chalkyoke_fakes.children import REPLICA_ADDRESS_NUMBER, own_address, spawn
 from chalkyoke_fakes.fleet import FLEET_KEY_HEX
 from chalkyoke_fakes.metastore import MetaStore
 from chalkyoke_fakes.replica import Replica
 
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 POLL_S = 0.02
-TAIL_LINES = 12
+LOG_TAIL_LINES = 12
 HOST = "desk.example"
 KEY = "clerks-key"
 TEAM = "clerks"
@@ -89,7 +89,7 @@
 
 
 @dataclass
-class Got:
+class CallerResponse:
     """What a caller got.
 
     :ivar whole: whether the answer ended as it should.
@@ -123,11 +123,11 @@
     popen: "subprocess.Popen[bytes] | None" = None
 
     @property
-    def reached_at(self) -> str:
+    def advertised_address(self) -> str:
         """Where other nodes reach its links."""
         return self.advertised or self.links
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to it."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.send_signal(number)
@@ -161,8 +161,8 @@
 
     async def __aexit__(self, *_: object) -> None:
         for node in self.nodes.values():
-            node.send(signal.SIGCONT)
-            node.send(signal.SIGKILL)
+            node.send_signal(signal.SIGCONT)
+            node.send_signal(signal.SIGKILL)
         for node in self.nodes.values():
             if node.popen is not None:
                 node.popen.wait()
@@ -178,14 +178,14 @@
             await self.add_replica(f"m{number}", "model", zone, engine=True)
             await self.add_replica(f"s{number}", "seats", zone)
         for number, zone in enumerate(self._zones):
-            self._lay_settings(f"n{number + 1}", zone, own_address(number))
+            self._add_node(f"n{number + 1}", zone, own_address(number))
         await self._start_nodes()
 
     async def _start_nodes(self) -> None:
         for name in self.nodes:
             self.start_node(name)
         for name in self.nodes:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
     async def configure(self, configuration: dict[str, Any]) -> None:
         """Write the operators' configuration."""
@@ -203,7 +203,7 @@
     ) -> Replica:
         """Start a replica."""
         replica = Replica(name, service, zone, self.store, engine, version=version)
-        await replica.start(own_address(REPLICAS), port)
+        await replica.start(own_address(REPLICA_ADDRESS_NUMBER), port)
         self.replicas[name] = replica
         return replica
 
@@ -217,7 +217,7 @@
         entry = self.store.entries.get(f"status/rollout/{service}")
         return json.loads(entry.value)["state"] if entry else ""
 
-    def _lay_settings(self, name: str, zone: str, ip: str) -> None:
+    def _add_node(self, name: str, zone: str, ip: str) -> None:
         path = self.folder / f"{name}.toml"
         callers, ready, links, metrics = _free_addresses(ip, 4)
         self.nodes[name] = GatewayProcess(name, zone, callers, ready, links, metrics, path)
@@ -226,13 +226,13 @@
         """Start a node, also one that was ended before."""
         node = self.nodes[name]
         limits = "".join(f"{key} = {value}\n" for key, value in self.limits.items())
-        seeds = [each.reached_at for each in self.nodes.values()][:3]
+        seeds = [each.advertised_address for each in self.nodes.values()][:3]
         node.settings.write_text(
             f'[node]\nhost = "{name}"\nfailure_domain = "{node.zone}"\n'
             f"first_start = {str(first_start).lower()}\n"
             f'[listen]\ncallers = "{node.callers}"\nready = "{node.ready}"\n'
             f'links = "{node.links}"\nmetrics = "{node.metrics}"\n'
-            f'links_advertised = "{node.reached_at}"\n'
+            f'links_advertised = "{node.advertised_address}"\n'
             f"[peers]\nseeds = {json.dumps(seeds)}\n"
             f'[store]\naddress = "{node.store or self.store.address}"\nsilence_ms = 3000\n'
             f'[fleet]\nkey_hex = "{FLEET_KEY_HEX}"\n'
@@ -253,7 +253,7 @@
         except aiohttp.ClientError:
             return False
 
-    async def until_ready(self, name: str) -> None:
+    async def wait_until_ready(self, name: str) -> None:
         """Wait until a node is ready.
 
         :raises RuntimeError: when it is not within some seconds, or has ended by itself.
@@ -266,17 +266,17 @@
                 raise RuntimeError(f"{ended}\n{self.log_tails()}")
             return await self.is_ready(name)
 
-        await self.until(is_ready, f"{name} to be ready")
+        await self.wait_until(is_ready, f"{name} to be ready")
 
     def log_tails(self) -> str:
         """Give the last lines of each node's log, since the folder may go with the fleet."""
         tails = []
         for path in sorted(self.folder.glob("*.log")):
             lines = path.read_text(encoding="utf-8", errors="replace").splitlines()
-            tails.append("\n".join([f"{path.name}:", *lines[-TAIL_LINES:]]))
+            tails.append("\n".join([f"{path.name}:", *lines[-LOG_TAIL_LINES:]]))
         return "\n".join(tails)
 
-    async def until(self, check: Any, what: str, seconds: float = START_S) -> None:
+    async def wait_until(self, check: Any, what: str, seconds: float = START_TIMEOUT_S) -> None:
         """Wait until something holds.
 
         :raises RuntimeError: when it does not within some seconds.
@@ -292,7 +292,7 @@
                 raise RuntimeError(f"waited in vain for {what}\n{self.log_tails()}")
             await asyncio.sleep(POLL_S)
 
-    async def ask(
+    async def send_request(
         self,
         node: str,
         path: str,
@@ -302,7 +302,7 @@
         key: str | None = KEY,
         request_id: str = "",
         **headers: str,
-    ) -> Got:
+    ) -> CallerResponse:
         """Send one request as a caller."""
         sent = {
             "Host": HOST,
@@ -321,12 +321,12 @@
                     async for part in answer.content.iter_any():
                         parts.append(part)
                 except aiohttp.ClientError:
-                    return Got(answer.status, found, b"".join(parts), whole=False)
-                return Got(answer.status, found, b"".join(parts), whole=True)
+                    return CallerResponse(answer.status, found, b"".join(parts), whole=False)
+                return CallerResponse(answer.status, found, b"".join(parts), whole=True)
         except aiohttp.ClientError:
-            return Got(0, {}, b"", whole=False)
+            return CallerResponse(0, {}, b"", whole=False)
 
-    def runs(self) -> Counter[str]:
+    def count_runs(self) -> Counter[str]:
         """Count the runs of each request over all replicas."""
         total: Counter[str] = Counter()
         for replica in self.replicas.values():
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/replica.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/replica.py
@@ -15,9 +15,15 @@
 
 from chalkyoke_fakes.metastore import MetaStore
 
-READ_LIMIT = 5_000_000
-EVENTS = 8
-REASONS = {200: "OK", 400: "Bad Request", 421: "Misdirected Request", 500: "Error", 503: "Full"}
+READ_LIMIT_BYTES = 5_000_000
+EVENTS_PER_STREAM = 8
+REASON_PHRASES = {
+    200: "OK",
+    400: "Bad Request",
+    421: "Misdirected Request",
+    500: "Error",
+    503: "Full",
+}
 
 
 @dataclass
@@ -59,7 +65,7 @@
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """One request as it arrived.
 
     :ivar left: whether its connection was closed while it ran.
@@ -71,7 +77,7 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    left: bool = False
+    client_disconnected: bool = False
     at: float = 0.0
     rest_s: float = 0.0
 
@@ -98,37 +104,37 @@
     store: MetaStore
     engine: bool = False
     slots: int = 4
-    events: int = EVENTS
+    events: int = EVENTS_PER_STREAM
     version: str = "v1"
     faults: ReplicaFaults = field(default_factory=ReplicaFaults)
-    seen: list[Seen] = field(default_factory=list)
-    turned_away: list[Seen] = field(default_factory=list)
+    seen: list[ReceivedRequest] = field(default_factory=list)
+    rejected: list[ReceivedRequest] = field(default_factory=list)
     misdirected: int = 0
     runs: Counter[str] = field(default_factory=Counter)
     state: str = "ready"
     address: str = ""
-    own_address: str = ""
+    listen_address: str = ""
     now: Callable[[], float] = time.monotonic
-    ends: list[float] = field(default_factory=list)
+    exit_times: list[float] = field(default_factory=list)
     born: int = 0
-    _returns: set["asyncio.Task[None]"] = field(default_factory=set)
+    _restart_tasks: set["asyncio.Task[None]"] = field(default_factory=set)
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
-    async def start(self, ip: str, port: int = 0, reached_at: str = "") -> str:
+    async def start(self, ip: str, port: int = 0, advertised_address: str = "") -> str:
         """Serve, and declare itself in the store.
 
         :param reached_at: the address to declare, where that is not its own.
         :return: its own address.
         """
-        self._server = await asyncio.start_server(self._serve, ip, port, limit=READ_LIMIT)
+        self._server = await asyncio.start_server(self._serve, ip, port, limit=READ_LIMIT_BYTES)
         self.born = round(self.now() * 1000) + 1
-        self.own_address = f"{ip}:{self._server.sockets[0].getsockname()[1]}"
-        self.address = reached_at or self.own_address
-        await self.declare("ready")
-        return self.own_address
+        self.listen_address = f"{ip}:{self._server.sockets[0].getsockname()[1]}"
+        self.address = advertised_address or self.listen_address
+        await self.write_record("ready")
+        return self.listen_address
 
-    async def declare(self, state: str) -> None:
+    async def write_record(self, state: str) -> None:
         """Write its own record."""
         self.state = state
         record = {
@@ -151,23 +157,23 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def end_by_itself(self) -> None:
+    def exit_and_restart(self) -> None:
         """End without a word, and come back after a while."""
         if self._server is not None and self._server.is_serving():
-            self.ends.append(self.now())
-            back = asyncio.ensure_future(self._end_and_return())
-            self._returns.add(back)
-            back.add_done_callback(self._returns.discard)
-
-    async def _end_and_return(self) -> None:
-        ip, _, port = self.own_address.rpartition(":")
-        reached_at = self.address
+            self.exit_times.append(self.now())
+            back = asyncio.ensure_future(self._restart_after_exit())
+            self._restart_tasks.add(back)
+            back.add_done_callback(self._restart_tasks.discard)
+
+    async def _restart_after_exit(self) -> None:
+        ip, _, port = self.listen_address.rpartition(":")
+        advertised_address = self.address
         await self.crash()
         await asyncio.sleep(self.faults.back_after_s)
         if self.faults.renamed:
             await self.store.remove(f"servers/{self.id}")
-            self.id = f"{self.id.partition('+')[0]}+{len(self.ends)}"
-        await self.start(ip, int(port), reached_at)
+            self.id = f"{self.id.partition('+')[0]}+{len(self.exit_times)}"
+        await self.start(ip, int(port), advertised_address)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
@@ -184,7 +190,7 @@
                 writer.close()
 
     async def _answer(
-        self, request: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         name = request.headers.get("x-request-id", "")
         expected = request.headers.get("x-expect-instance", self.id)
@@ -194,12 +200,12 @@
             return True
         request.at = self.now()
         if not name or self.faults.shed > 0:
-            self._turn_away(name, request, writer)
+            self._reject_request(name, request, writer)
             return True
         self.runs[name] += 1
         self.seen.append(request)
         if request.body in self.faults.crash_bodies:
-            asyncio.get_running_loop().call_later(self.faults.crash_after_s, self.end_by_itself)
+            asyncio.get_running_loop().call_later(self.faults.crash_after_s, self.exit_and_restart)
             # No answer comes of it before the end.
             await asyncio.sleep(2 * self.faults.crash_after_s)
             return False
@@ -207,11 +213,11 @@
             try:
                 return await self._stream(name, request, writer)
             except ConnectionError:
-                request.left = True
+                request.client_disconnected = True
                 return False
         await asyncio.sleep(self.faults.work_s)
         if reader.at_eof():
-            request.left = True
+            request.client_disconnected = True
             return False
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
@@ -230,20 +236,24 @@
         await writer.drain()
         return True
 
-    def _turn_away(self, name: str, request: Seen, writer: asyncio.StreamWriter) -> None:
+    def _reject_request(
+        self, name: str, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         """Answer that a request has not run."""
-        head = {"X-Request-Id": name, "X-Not-Run": "1", **self._said()}
+        head = {"X-Request-Id": name, "X-Not-Run": "1", **self._announcement_headers()}
         if not name:
             _write(writer, 400, head, b"")
             return
         self.faults.shed -= 1
-        self.turned_away.append(request)
+        self.rejected.append(request)
         request.rest_s = self.faults.rest_s
         if self.faults.rest_s:
             head["Retry-After"] = f"{self.faults.rest_s:g}"
         _write(writer, 503, head, b"")
 
-    async def _stream(self, name: str, request: Seen, writer: asyncio.StreamWriter) -> bool:
+    async def _stream(
+        self, name: str, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> bool:
         after = request.headers.get("last-event-id", "")
         first = int(after) + 1 if after.isdigit() else 0
         head = {**self._headers(name), "Content-Type": "text/event-stream"}
@@ -251,9 +261,9 @@
         for number in range(first, self.events):
             await asyncio.sleep(self.faults.event_s)
             if writer.transport.is_closing():
-                request.left = True
+                request.client_disconnected = True
                 return False
-            event = event_of(number)
+            event = encode_event(number)
             if self.faults.break_streams > 0 and number - first >= self.faults.break_after:
                 self.faults.break_streams -= 1
                 writer.write(b"%x\r\n%b" % (len(event), event[:5]))
@@ -269,10 +279,10 @@
             "X-Request-Id": name,
             "X-Server-Stamp": f"{self.id}.{name}",
             "X-Server-Load": f"1,0,{self.slots}",
-            **self._said(),
+            **self._announcement_headers(),
         }
 
-    def _said(self) -> dict[str, str]:
+    def _announcement_headers(self) -> dict[str, str]:
         """Say in an answer what becomes of the replica itself, and how much it takes."""
         said = {"Server-Leaving": "1"} if self.faults.says_leaving else {}
         if self.faults.limit_per_s >= 0:
@@ -280,17 +290,17 @@
         return said
 
 
-def event_of(number: int) -> bytes:
+def encode_event(number: int) -> bytes:
     """Give one event of a stream."""
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
 def whole_stream() -> bytes:
     """Give the body of a whole stream."""
-    return b"".join(event_of(number) for number in range(EVENTS))
+    return b"".join(encode_event(number) for number in range(EVENTS_PER_STREAM))
 
 
-async def _read_request(reader: asyncio.StreamReader) -> Seen | None:
+async def _read_request(reader: asyncio.StreamReader) -> ReceivedRequest | None:
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -300,11 +310,11 @@
     pairs = (line.split(":", 1) for line in lines[1:] if line)
     headers = {name.lower(): value.strip() for name, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Seen(method, target, headers, body)
+    return ReceivedRequest(method, target, headers, body)
 
 
 def _write_head(writer: asyncio.StreamWriter, status: int, headers: dict[str, str]) -> None:
-    lines = [f"HTTP/1.1 {status} {REASONS[status]}"]
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/fleet.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/fleet.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from chalkyoke_fakes.children import RELAYS, REPLICAS, own_address
+from chalkyoke_fakes.children import RELAY_ADDRESS_NUMBER, REPLICA_ADDRESS_NUMBER, own_address
 from chalkyoke_fakes.platformfleet import KEY, TEAM, PlatformFleet, default_configuration
 from chalkyoke_fakes.replica import Replica
 from chalkyoke_fakes.soak.relay import Relay
@@ -59,19 +59,21 @@
         self.link_relays: dict[str, Relay] = {}
         self.store_relays: dict[str, Relay] = {}
         self.replica_relays: dict[str, Relay] = {}
-        self.past: list[Replica] = []
-        self._each = replicas_each
+        self.removed_replicas: list[Replica] = []
+        self._replicas_per_zone = replicas_each
         self._incarnations = itertools.count(1)
 
     async def _start(self) -> None:
         await self.store.start("127.0.0.1")
         await self.configure({**default_configuration(), "tenants": self.tenants})
-        for number, zone in itertools.product(range(self._each), sorted(set(self._zones))):
+        for number, zone in itertools.product(
+            range(self._replicas_per_zone), sorted(set(self._zones))
+        ):
             for kind, service in (("m", "model"), ("s", "seats")):
                 await self._add_place(f"{kind}{zone}{number}", service, zone)
         for number, zone in enumerate(self._zones):
             name = f"n{number + 1}"
-            self._lay_settings(name, zone, own_address(number))
+            self._add_node(name, zone, own_address(number))
             await self._add_relays(name)
             self.choose_build(name, is_new=False)
         await self._start_nodes()
@@ -86,36 +88,38 @@
         node = self.nodes[name]
         self.link_relays[name] = Relay(node.links)
         self.store_relays[name] = Relay(self.store.address)
-        await self.link_relays[name].start(own_address(RELAYS))
-        await self.store_relays[name].start(own_address(RELAYS))
+        await self.link_relays[name].start(own_address(RELAY_ADDRESS_NUMBER))
+        await self.store_relays[name].start(own_address(RELAY_ADDRESS_NUMBER))
         node.advertised = self.link_relays[name].address
         node.store = self.store_relays[name].address
 
     async def _add_place(self, place: str, service: str, zone: str) -> None:
         self.replica_relays[place] = Relay()
-        await self.replica_relays[place].start(own_address(RELAYS))
+        await self.replica_relays[place].start(own_address(RELAY_ADDRESS_NUMBER))
         await self._start_replica(place, service, zone)
 
     async def _start_replica(self, place: str, service: str, zone: str) -> None:
         relay = self.replica_relays[place]
         name = f"{place}-{next(self._incarnations)}"
         replica = Replica(name, service, zone, self.store, service == "model")
-        relay.target = await replica.start(own_address(REPLICAS), reached_at=relay.address)
+        relay.target = await replica.start(
+            own_address(REPLICA_ADDRESS_NUMBER), advertised_address=relay.address
+        )
         self.replicas[name] = replica
 
     def choose_build(self, name: str, *, is_new: bool) -> None:
         """Let a node run the new or the old build from its next start on."""
         self.nodes[name].source = None if is_new else self._old
 
-    def at_place(self, place: str) -> Replica:
+    def replica_at(self, place: str) -> Replica:
         """Give the replica that serves at a place now."""
         return next(each for each in self.replicas.values() if _place_of(each) == place)
 
-    async def replace(self, replica: Replica) -> None:
+    async def replace_replica(self, replica: Replica) -> None:
         """Start another incarnation at a replica's place; the old one is gone."""
         place = _place_of(replica)
         del self.replicas[replica.id]
-        self.past.append(replica)
+        self.removed_replicas.append(replica)
         await self._start_replica(place, replica.service, replica.zone)
 
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/injector.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/injector.py
@@ -12,29 +12,29 @@
 from chalkyoke_fakes.platformfleet import default_configuration
 from chalkyoke_fakes.replica import Replica
 from chalkyoke_fakes.soak.fleet import SoakFleet
-from chalkyoke_fakes.soak.observations import Drained, Limited, Observations, Span
-from chalkyoke_fakes.soak.plan import OF_NODES_AND_STORE, ROLL, Fault, RollStep, Step
+from chalkyoke_fakes.soak.observations import DrainStart, FaultPeriod, LimitPeriod, Observations
+from chalkyoke_fakes.soak.plan import ROLL, STORE_LINK_FAULTS, Fault, FaultStep, RollStep
 from chalkyoke_fakes.soak.relay import Relay, RelayFaults
 
-RESTART_S = 0.3
-STOP_S = 12.0
-LEAVES_AFTER_S = 2.5
+RESTART_DELAY_S = 0.3
+STOP_TIMEOUT_S = 12.0
+LEAVING_S = 2.5
 # What a replica asks for that wants rest, in seconds.
-REST_S = 3.0
+RETRY_AFTER_S = 3.0
 # What a replica takes that names a limit, in requests a second, one value after the other, and for
 # how long each at least, in seconds: windows that are judged begin 3 s after the first word.
 LIMITS_PER_S = (1.0, 0.5)
-LIMITED_S = 4.0
-STRIKES = 3
-MANY = 1_000_000
+MIN_LIMIT_PERIOD_S = 4.0
+FAULT_COUNT = 3
+UNLIMITED_COUNT = 1_000_000
 SLOW_LINK_S = 0.2
-LOST_SHARE = 0.05
+LOST_CHUNK_SHARE = 0.05
 SLOW_STORE_S = 0.4
-FADES_S = 1.0
+AFTERMATH_S = 1.0
 # How long the store is away when it comes back from a copy, and how soon after that operators and
 # replicas write again what was lost, in seconds.
-RESTORE_AWAY_S = 0.5
-WRITTEN_AGAIN_S = 0.5
+RESTORE_OUTAGE_S = 0.5
+REWRITE_DELAY_S = 0.5
 
 
 class Injector:
@@ -57,110 +57,112 @@
         self._seen = seen
         self._now = now
         self.send_crashing = send_crashing
-        self.struck: set[str] = set()
+        self.active_targets: set[str] = set()
         self._version = 1
 
-    async def strike(self, step: Step) -> None:
+    async def inject_fault(self, step: FaultStep) -> None:
         """Do one fault and undo it; one at a time for each node, replica and the store."""
         place = step.target or "store"
         if step.fault is Fault.REPLICA_LIMITS:
             # What it says of its limit goes beside whatever else strikes it.
             place = f"{place}, limit"
-        if place in self.struck or (step.fault is Fault.ALL_KILL and self.struck):
+        if place in self.active_targets or (step.fault is Fault.ALL_KILL and self.active_targets):
             return
-        self.struck.add(place)
+        self.active_targets.add(place)
         began = self._now()
         try:
-            await self._do(step)
+            await self._apply_fault(step)
         finally:
-            self.struck.discard(place)
-            self._note(step, place, began)
+            self.active_targets.discard(place)
+            self._record_fault(step, place, began)
 
-    async def roll(self, step: RollStep) -> None:
+    async def roll_node(self, step: RollStep) -> None:
         """Replace a host by one of the other build; waits until nothing else strikes it."""
-        while step.node in self.struck:
+        while step.node in self.active_targets:
             await asyncio.sleep(0.05)
-        self.struck.add(step.node)
+        self.active_targets.add(step.node)
         began = self._now()
         try:
-            self._fleet.nodes[step.node].send(signal.SIGTERM)
-            await self._until_ended(step.node)
+            self._fleet.nodes[step.node].send_signal(signal.SIGTERM)
+            await self._wait_for_exit(step.node)
             self._fleet.choose_build(step.node, is_new=step.is_new)
             self._fleet.start_node(step.node, first_start=False)
-            await self._fleet.until_ready(step.node)
+            await self._fleet.wait_until_ready(step.node)
         finally:
-            self.struck.discard(step.node)
-            self._seen.faults.append(Span(ROLL, step.node, began, self._now() + FADES_S))
+            self.active_targets.discard(step.node)
+            self._seen.faults.append(FaultPeriod(ROLL, step.node, began, self._now() + AFTERMATH_S))
 
-    def _note(self, step: Step, place: str, began: float) -> None:
+    def _record_fault(self, step: FaultStep, place: str, began: float) -> None:
         if step.fault is Fault.CONFIGURE:
             return
         places = list(self._fleet.nodes) if step.fault is Fault.ALL_KILL else [place]
         for each in places:
-            self._seen.faults.append(Span(step.fault, each, began, self._now() + FADES_S))
+            self._seen.faults.append(
+                FaultPeriod(step.fault, each, began, self._now() + AFTERMATH_S)
+            )
 
-    async def _do(self, step: Step) -> None:
+    async def _apply_fault(self, step: FaultStep) -> None:
         name = step.fault.value
         if name.startswith("node_"):
-            await self._strike_node(step)
+            await self._apply_node_fault(step)
         elif step.fault is Fault.ALL_KILL:
-            await self._kill(list(self._fleet.nodes))
+            await self._kill_and_restart(list(self._fleet.nodes))
         elif name.startswith("links_"):
-            await self._strike_relay(self._fleet.link_relays[step.target], step)
-        elif step.fault in OF_NODES_AND_STORE:
-            await self._strike_relay(self._fleet.store_relays[step.target], step)
+            await self._apply_relay_fault(self._fleet.link_relays[step.target], step)
+        elif step.fault in STORE_LINK_FAULTS:
+            await self._apply_relay_fault(self._fleet.store_relays[step.target], step)
         elif name.startswith("store_"):
-            await self._strike_store(step)
+            await self._apply_store_fault(step)
         elif name.startswith("replica_"):
-            await self._strike_replica(step)
+            await self._apply_replica_fault(step)
         elif step.fault is Fault.OTHER_WRITERS:
-            await self._write_as_others(step)
+            await self._write_foreign_records(step)
         elif step.fault is Fault.CRASHING_REQUEST:
-            await self._let_crash(step)
+            await self._send_crashing_body(step)
         else:
-            await self._configure()
+            await self._change_configuration()
 
     # Nodes.
 
-    async def _strike_node(self, step: Step) -> None:
+    async def _apply_node_fault(self, step: FaultStep) -> None:
         node = self._fleet.nodes[step.target]
         if step.fault is Fault.NODE_FREEZE:
-            node.send(signal.SIGSTOP)
-            await asyncio.sleep(step.for_s)
-            node.send(signal.SIGCONT)
+            node.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(step.duration_s)
+            node.send_signal(signal.SIGCONT)
         elif step.fault is Fault.NODE_KILL:
-            await self._kill([step.target])
+            await self._kill_and_restart([step.target])
         else:
-            node.send(signal.SIGTERM)
-            await self._until_ended(step.target)
+            node.send_signal(signal.SIGTERM)
+            await self._wait_for_exit(step.target)
             self._fleet.start_node(step.target, first_start=False)
 
-    async def _until_ended(self, name: str) -> None:
+    async def _wait_for_exit(self, name: str) -> None:
         popen = self._fleet.nodes[name].popen
         assert popen is not None
-        end = self._now() + STOP_S
+        end = self._now() + STOP_TIMEOUT_S
         while popen.poll() is None and self._now() < end:
             await asyncio.sleep(0.05)
         if popen.poll() is None:
-            self._fleet.nodes[name].send(signal.SIGKILL)
+            self._fleet.nodes[name].send_signal(signal.SIGKILL)
             popen.wait()
 
-    async def _kill(self, names: list[str]) -> None:
+    async def _kill_and_restart(self, names: list[str]) -> None:
         for name in names:
-            self._fleet.nodes[name].send(signal.SIGKILL)
+            self._fleet.nodes[name].send_signal(signal.SIGKILL)
         for name in names:
             popen = self._fleet.nodes[name].popen
             assert popen is not None
             popen.wait()
-        await asyncio.sleep(RESTART_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         for name in names:
             self._fleet.start_node(name, first_start=False)
 
     # Relays.
 
-    async def _strike_relay(self, relay: Relay, step: Step) -> None:
+    async def _apply_relay_fault(self, relay: Relay, step: FaultStep) -> None:
         if step.fault in (Fault.LINKS_DEAD, Fault.STORE_DEAD, Fault.REPLICA_DEAD):
-            relay.silence()
+            relay.silence_open_connections()
             return
         silent = RelayFaults(silent_to_target=True, silent_to_caller=True)
         kinds = {
@@ -168,7 +170,7 @@
             Fault.LINKS_ONE_WAY: RelayFaults(silent_to_target=True),
             Fault.LINKS_SLOW: RelayFaults(delay_s=SLOW_LINK_S),
             Fault.LINKS_RESET: RelayFaults(refuse=True),
-            Fault.LINKS_LOSSY: RelayFaults(lost_share=LOST_SHARE),
+            Fault.LINKS_LOSSY: RelayFaults(lost_share=LOST_CHUNK_SHARE),
             Fault.STORE_CUT: silent,
             Fault.STORE_REFUSES: RelayFaults(refuse=True),
             Fault.REPLICA_SILENT: silent,
@@ -176,64 +178,64 @@
         }
         relay.faults = copy.copy(kinds[step.fault])
         if relay.faults.refuse:
-            relay.reset()
-        await asyncio.sleep(step.for_s)
-        relay.heal()
+            relay.reset_connections()
+        await asyncio.sleep(step.duration_s)
+        relay.clear_faults()
 
     # The store.
 
-    async def _strike_store(self, step: Step) -> None:
+    async def _apply_store_fault(self, step: FaultStep) -> None:
         faults = self._fleet.store.faults
         if step.fault is Fault.STORE_RESTORED:
-            await self._restore(step)
+            await self._restore_store(step)
             return
         if step.fault is Fault.STORE_FORGETS:
             await self._fleet.store.forget_history()
             return
         if step.fault is Fault.STORE_LOSES:
-            faults.lose_writes = STRIKES
+            faults.lose_writes = FAULT_COUNT
         faults.down = step.fault is Fault.STORE_DOWN
         faults.silent = step.fault is Fault.STORE_SILENT
         faults.slow_s = SLOW_STORE_S if step.fault is Fault.STORE_SLOW else 0.0
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         faults.down = faults.silent = False
         faults.slow_s, faults.lose_writes = 0.0, 0
 
-    async def _restore(self, step: Step) -> None:
+    async def _restore_store(self, step: FaultStep) -> None:
         """Let the store lose its last seconds, be away for a moment and come back from a copy."""
         store = self._fleet.store
-        copied = store.copy()
-        await asyncio.sleep(step.for_s)
+        copied = store.take_snapshot()
+        await asyncio.sleep(step.duration_s)
         store.faults.down = True
-        await asyncio.sleep(RESTORE_AWAY_S)
-        await store.restore(copied)
+        await asyncio.sleep(RESTORE_OUTAGE_S)
+        await store.restore_snapshot(copied)
         store.faults.down = False
-        await asyncio.sleep(WRITTEN_AGAIN_S)
-        await store.write_again()
-        self._seen.restored.append(self._now())
+        await asyncio.sleep(REWRITE_DELAY_S)
+        await store.rewrite_lost_writes()
+        self._seen.restore_times.append(self._now())
 
     # Replicas.
 
-    async def _strike_replica(self, step: Step) -> None:
-        replica = self._fleet.at_place(step.target)
+    async def _apply_replica_fault(self, step: FaultStep) -> None:
+        replica = self._fleet.replica_at(step.target)
         if step.fault is Fault.REPLICA_CRASH:
-            await self._crash(replica)
+            await self._crash_replica(replica)
         elif step.fault is Fault.REPLICA_RETURNS:
             replica.faults.renamed = False
-            replica.end_by_itself()
-            await asyncio.sleep(replica.faults.back_after_s + step.for_s)
+            replica.exit_and_restart()
+            await asyncio.sleep(replica.faults.back_after_s + step.duration_s)
         elif step.fault is Fault.REPLICA_LEAVES:
-            await self._leave(replica)
+            await self._drain_replica(replica)
         elif step.fault is Fault.REPLICA_SAYS_LEAVING:
-            await self._say_leaving(replica, step)
+            await self._announce_leaving(replica, step)
         elif step.fault is Fault.REPLICA_RESTS:
-            replica.faults.shed, replica.faults.rest_s = MANY, REST_S
-            await asyncio.sleep(step.for_s)
+            replica.faults.shed, replica.faults.rest_s = UNLIMITED_COUNT, RETRY_AFTER_S
+            await asyncio.sleep(step.duration_s)
             replica.faults.shed, replica.faults.rest_s = 0, 0.0
         elif step.fault is Fault.REPLICA_LIMITS:
-            await self._limit(replica, step)
+            await self._announce_limits(replica, step)
         elif step.fault in (Fault.REPLICA_SILENT, Fault.REPLICA_RESET, Fault.REPLICA_DEAD):
-            await self._strike_relay(self._fleet.replica_relays[step.target], step)
+            await self._apply_relay_fault(self._fleet.replica_relays[step.target], step)
         else:
             faults = replica.faults
             counts = {
@@ -243,69 +245,69 @@
                 Fault.REPLICA_EXTRA: "extra_answers",
                 Fault.REPLICA_SHEDS: "shed",
             }
-            setattr(faults, counts[step.fault], STRIKES)
-            await asyncio.sleep(step.for_s)
+            setattr(faults, counts[step.fault], FAULT_COUNT)
+            await asyncio.sleep(step.duration_s)
             setattr(faults, counts[step.fault], 0)
 
-    async def _limit(self, replica: Replica, step: Step) -> None:
+    async def _announce_limits(self, replica: Replica, step: FaultStep) -> None:
         """Let it name a limit, then a lower one, then none, and take whatever comes."""
         for limit_per_s in LIMITS_PER_S:
             name, began = replica.id, self._now()
             replica.faults.limit_per_s = limit_per_s
-            await asyncio.sleep(LIMITED_S + step.for_s)
-            self._seen.limited.append(Limited(name, began, self._now(), limit_per_s))
+            await asyncio.sleep(MIN_LIMIT_PERIOD_S + step.duration_s)
+            self._seen.limit_periods.append(LimitPeriod(name, began, self._now(), limit_per_s))
         replica.faults.limit_per_s = -1.0
 
-    async def _let_crash(self, step: Step) -> None:
+    async def _send_crashing_body(self, step: FaultStep) -> None:
         """Let replicas end under the requests with one body, which callers send from now on."""
-        self._seen.crashing += 1
-        body = b"crashing-%d" % self._seen.crashing
+        self._seen.crashing_bodies += 1
+        body = b"crashing-%d" % self._seen.crashing_bodies
         replicas = list(self._fleet.replicas.values())
         for replica in replicas:
             replica.faults.crash_bodies |= {body}
             replica.faults.renamed = False
-        self.send_crashing(body, step.for_s)
-        await asyncio.sleep(step.for_s)
+        self.send_crashing(body, step.duration_s)
+        await asyncio.sleep(step.duration_s)
 
-    async def _write_as_others(self, step: Step) -> None:
+    async def _write_foreign_records(self, step: FaultStep) -> None:
         """Write records that no replica has written, one of them over a living one's."""
         store = self._fleet.store
         replica = next(iter(self._fleet.replicas.values()))
         await store.put("servers/other-1", b"\xff\x00")
         await store.put("servers/other-2", b'{"service":"seats","addr":"127.0.0.1:1","state":"up"}')
         await store.put(f"servers/{replica.id}", b'{"state": 7}')
-        await asyncio.sleep(step.for_s)
-        await replica.declare(replica.state)
+        await asyncio.sleep(step.duration_s)
+        await replica.write_record(replica.state)
         await store.remove("servers/other-1")
         await store.remove("servers/other-2")
 
-    async def _crash(self, replica: Replica) -> None:
+    async def _crash_replica(self, replica: Replica) -> None:
         """Crash one; another incarnation comes back at its address, and its record goes later."""
         await replica.crash()
-        await asyncio.sleep(RESTART_S)
-        await self._fleet.replace(replica)
+        await asyncio.sleep(RESTART_DELAY_S)
+        await self._fleet.replace_replica(replica)
         await asyncio.sleep(1.0)
         await self._fleet.store.remove(f"servers/{replica.id}")
 
-    async def _say_leaving(self, replica: Replica, step: Step) -> None:
+    async def _announce_leaving(self, replica: Replica, step: FaultStep) -> None:
         """Let it say in its answers only that it leaves, serve on, and end."""
         replica.faults.says_leaving = True
-        await asyncio.sleep(LEAVES_AFTER_S + step.for_s)
+        await asyncio.sleep(LEAVING_S + step.duration_s)
         await replica.crash()
         await self._fleet.store.remove(f"servers/{replica.id}")
-        await self._fleet.replace(replica)
+        await self._fleet.replace_replica(replica)
 
-    async def _leave(self, replica: Replica) -> None:
-        await replica.declare("draining")
-        self._seen.drained.append(Drained(replica.id, self._now()))
-        await asyncio.sleep(LEAVES_AFTER_S * 2.6)
+    async def _drain_replica(self, replica: Replica) -> None:
+        await replica.write_record("draining")
+        self._seen.drains.append(DrainStart(replica.id, self._now()))
+        await asyncio.sleep(LEAVING_S * 2.6)
         await replica.crash()
         await self._fleet.store.remove(f"servers/{replica.id}")
-        await self._fleet.replace(replica)
+        await self._fleet.replace_replica(replica)
 
     # The operators.
 
-    async def _configure(self) -> None:
+    async def _change_configuration(self) -> None:
         """Write a new version, in which one route has moved to and fro."""
         self._version += 1 + self._version % 3
         changed = default_configuration(self._version)
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/limits.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/limits.py
@@ -8,29 +8,29 @@
 import math
 from collections.abc import Callable, Iterable, Mapping
 
-from chalkyoke_fakes.soak.observations import Observations, Ran, TurnedAway
+from chalkyoke_fakes.soak.observations import Observations, Rejection, ReplicaRun
 
 # Windows begin so long after a replica first named its limit, in seconds.
-IN_FORCE_S = 3.0
+LIMIT_GRACE_S = 3.0
 # A node counts from so long after it passed on an answer that names a limit, in seconds.
-HEARD_S = 0.5
+NODE_GRACE_S = 0.5
 # What a window may see: so many times the limit, and so many requests.
 WINDOW_S = 4.0
-MOST_SHARE = 1.5
-SLACK = 5
+MAX_LIMIT_FACTOR = 1.5
+SLACK_REQUESTS = 5
 
 
-def most_allowed(limit_per_s: float) -> int:
+def max_allowed_requests(limit_per_s: float) -> int:
     """Give the most requests that a window may see.
 
     :param limit_per_s: the highest limit that was named within it.
     """
-    return math.floor(MOST_SHARE * limit_per_s * WINDOW_S + SLACK)
+    return math.floor(MAX_LIMIT_FACTOR * limit_per_s * WINDOW_S + SLACK_REQUESTS)
 
 
-def worst_window(
+def max_requests_in_window(
     arrivals: Iterable[tuple[float, str | int]],
-    told: Mapping[str | int, float],
+    known_since: Mapping[str | int, float],
     first: float,
 ) -> int:
     """Count the most requests that reached one replica within a window.
@@ -42,7 +42,7 @@
     counted = sorted(
         at
         for at, node in arrivals
-        if at >= first + IN_FORCE_S and at >= told.get(node, math.inf) + HEARD_S
+        if at >= first + LIMIT_GRACE_S and at >= known_since.get(node, math.inf) + NODE_GRACE_S
     )
     return max(
         (
@@ -53,20 +53,24 @@
     )
 
 
-def windows_over(seen: Observations, excused: Callable[[str, float], bool]) -> list[str]:
+def describe_exceeded_windows(
+    observations: Observations, excused: Callable[[str, float], bool]
+) -> list[str]:
     """Word the windows that saw more than is allowed, one at most for each time of a limit.
 
     :param excused: tells whether what a node sent at a moment does not count.
     """
-    nodes = {each.request: each.node for each in seen.asked}
-    told: dict[str, dict[str | int, float]] = {}
-    for answer in sorted(seen.asked, key=lambda each: each.ended):
-        if answer.limited:
-            told.setdefault(answer.limited, {}).setdefault(answer.node, answer.ended)
+    nodes = {each.request: each.node for each in observations.attempts}
+    known_since: dict[str, dict[str | int, float]] = {}
+    for answer in sorted(observations.attempts, key=lambda each: each.ended):
+        if answer.limiting_replica:
+            known_since.setdefault(answer.limiting_replica, {}).setdefault(
+                answer.node, answer.ended
+            )
     found: list[str] = []
-    for limit in seen.limited:
-        heard = told.get(limit.replica, {})
-        reached: list[Ran | TurnedAway] = [*seen.ran, *seen.turned_away]
+    for limit in observations.limit_periods:
+        known_since_by_node = known_since.get(limit.replica, {})
+        reached: list[ReplicaRun | Rejection] = [*observations.runs, *observations.rejections]
         arrivals = [
             (each.at, nodes[each.request])
             for each in reached
@@ -75,8 +79,10 @@
             and each.request in nodes
             and not excused(nodes[each.request], each.at)
         ]
-        first = max(min(heard.values(), default=math.inf), limit.began)
-        most = worst_window(arrivals, heard, first)
-        if most > most_allowed(limit.limit_per_s):
-            found.append(f"{limit.replica} got {most}, {most_allowed(limit.limit_per_s)} allowed")
+        first = max(min(known_since_by_node.values(), default=math.inf), limit.began)
+        most = max_requests_in_window(arrivals, known_since_by_node, first)
+        if most > max_allowed_requests(limit.limit_per_s):
+            found.append(
+                f"{limit.replica} got {most}, {max_allowed_requests(limit.limit_per_s)} allowed"
+            )
     return found
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/observations.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/observations.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class CallerAttempt:
     """One attempt of a caller and what came of it.
 
     :param status: 0 where no answer came.
@@ -46,13 +46,13 @@
     deadline_s: float
     status: int
     body: bytes
-    whole: bool
-    leaving: str = ""
-    limited: str = ""
+    complete: bool
+    leaving_replica: str = ""
+    limiting_replica: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class Rejection:
     """A replica answered that it has not run a request.
 
     :param rest_s: for how long it asked for rest; 0 where it did not.
@@ -61,11 +61,11 @@
     request: str
     replica: str
     at: float
-    rest_s: float
+    retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
+class LimitPeriod:
     """A replica named a limit for some time.
 
     :param limit_per_s: requests a second that it said it takes from all nodes.
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class ReplicaRun:
     """One run of a request at a replica."""
 
     request: str
@@ -90,25 +90,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class FaultPeriod:
     """A time in which something was at fault.
 
     :param what: the kind of fault.
     :param target: the node, replica or ``store`` that it struck.
     """
 
-    what: str
+    fault: str
     target: str
     began: float
     ended: float
 
-    def touches(self, began: float, ended: float) -> bool:
+    def overlaps(self, began: float, ended: float) -> bool:
         """Tell whether it overlaps with another time."""
         return self.began <= ended and began <= self.ended
 
 
 @dataclass(frozen=True, slots=True)
-class Drained:
+class DrainStart:
     """A replica declared that it leaves."""
 
     replica: str
@@ -120,7 +120,7 @@
     """What a team may have within a window: ``(rate * window + burst) * (1 + over) + slack``."""
 
     team: str
-    most: float
+    max_requests: float
     window_s: float
 
 
@@ -147,17 +147,17 @@
     :ivar stream: the body of a whole stream.
     """
 
-    asked: list[Asked] = field(default_factory=list)
-    ran: list[Ran] = field(default_factory=list)
-    turned_away: list[TurnedAway] = field(default_factory=list)
-    limited: list[Limited] = field(default_factory=list)
-    ends: dict[str, list[float]] = field(default_factory=dict)
-    faults: list[Span] = field(default_factory=list)
-    drained: list[Drained] = field(default_factory=list)
-    restored: list[float] = field(default_factory=list)
+    attempts: list[CallerAttempt] = field(default_factory=list)
+    runs: list[ReplicaRun] = field(default_factory=list)
+    rejections: list[Rejection] = field(default_factory=list)
+    limit_periods: list[LimitPeriod] = field(default_factory=list)
+    replica_exits: dict[str, list[float]] = field(default_factory=dict)
+    faults: list[FaultPeriod] = field(default_factory=list)
+    drains: list[DrainStart] = field(default_factory=list)
+    restore_times: list[float] = field(default_factory=list)
     versions: dict[str, list[int]] = field(default_factory=dict)
     quotas: list[Quota] = field(default_factory=list)
-    retries: RetryLimit = RetryLimit(0.2, 100.0, 10.0)
+    retry_limit: RetryLimit = RetryLimit(0.2, 100.0, 10.0)
     recovered_s: float | None = 0.0
     stream: bytes = b""
-    crashing: int = 0
+    crashing_bodies: int = 0
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/plan.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/plan.py
@@ -54,33 +54,33 @@
     STORE_RESTORED = "store_restored"
 
 
-OF_NODES = frozenset(each for each in Fault if each.startswith(("node_", "links_")))
-OF_NODES_AND_STORE = frozenset({Fault.STORE_CUT, Fault.STORE_DEAD, Fault.STORE_REFUSES})
-OF_REPLICAS = frozenset(each for each in Fault if each.startswith("replica_"))
+NODE_FAULTS = frozenset(each for each in Fault if each.startswith(("node_", "links_")))
+STORE_LINK_FAULTS = frozenset({Fault.STORE_CUT, Fault.STORE_DEAD, Fault.STORE_REFUSES})
+REPLICA_FAULTS = frozenset(each for each in Fault if each.startswith("replica_"))
 # Drawn from sources of their own, so that the plans of earlier seeds stay as they are beside them.
-LATER = (Fault.REPLICA_RETURNS, Fault.OTHER_WRITERS, Fault.CRASHING_REQUEST)
-LATER_SOURCE = 0x5EED
-OF_ANSWERS = (Fault.REPLICA_RESTS, Fault.REPLICA_SAYS_LEAVING)
-ANSWERS_SOURCE = 0xA115
-OF_LIMITS = (Fault.REPLICA_LIMITS,)
-LIMITS_SOURCE = 0x11317
-OF_RESTORES = (Fault.STORE_RESTORED,)
-RESTORES_SOURCE = 0xE90C
-OF_OTHER_SOURCES = frozenset((*LATER, *OF_ANSWERS, *OF_LIMITS, *OF_RESTORES))
-EARLIER = tuple(each for each in Fault if each not in OF_OTHER_SOURCES)
+LATER_FAULTS = (Fault.REPLICA_RETURNS, Fault.OTHER_WRITERS, Fault.CRASHING_REQUEST)
+LATER_SEED_MASK = 0x5EED
+ANSWER_FAULTS = (Fault.REPLICA_RESTS, Fault.REPLICA_SAYS_LEAVING)
+ANSWER_SEED_MASK = 0xA115
+LIMIT_FAULTS = (Fault.REPLICA_LIMITS,)
+LIMIT_SEED_MASK = 0x11317
+RESTORE_FAULTS = (Fault.STORE_RESTORED,)
+RESTORE_SEED_MASK = 0xE90C
+SEPARATELY_DRAWN_FAULTS = frozenset((*LATER_FAULTS, *ANSWER_FAULTS, *LIMIT_FAULTS, *RESTORE_FAULTS))
+BASE_FAULTS = tuple(each for each in Fault if each not in SEPARATELY_DRAWN_FAULTS)
 # Hosts are replaced one after the other by those of another build.
 ROLL = "roll"
 # A roll goes forward, forward and back, or waits half-way; a step each so many seconds.
 ROLL_GAP_S = 0.8
-HALF_WAY_S = 4.0
-LEAST_S, MOST_S = 0.4, 4.0
-SERIES = 4
-PAUSE_S = 1.0
-QUIET_S = 2.0
+MAX_HALF_WAY_S = 4.0
+MIN_FAULT_S, MAX_FAULT_S = 0.4, 4.0
+SERIES_COUNT = 4
+MEAN_PAUSE_S = 1.0
+FAULT_FREE_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class FaultStep:
     """One fault.
 
     :param at: when it begins, in seconds since the run began.
@@ -90,7 +90,7 @@
     at: float
     fault: Fault
     target: str
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,9 +110,9 @@
     source = random.Random(seed ^ 0x2011)
     order = source.sample(nodes, len(nodes))
     half = len(order) // 2
-    waits_s = HALF_WAY_S * source.random()
+    waits_s = MAX_HALF_WAY_S * source.random()
     goes_back = source.random() < 0.5
-    at = QUIET_S
+    at = FAULT_FREE_S
     steps: list[RollStep] = []
     for number, node in enumerate(order):
         if number == half:
@@ -128,21 +128,23 @@
     return steps
 
 
-def draw(seed: int, seconds: float, nodes: list[str], replicas: list[str]) -> list[Step]:
+def draw_faults(
+    seed: int, seconds: float, nodes: list[str], replicas: list[str]
+) -> list[FaultStep]:
     """Draw the faults of a run: some series, each one fault after the other.
 
     :param replicas: the places of replicas.
     :return: in the order of their begin; none begins in the first :data:`QUIET_S`.
     """
     source = random.Random(seed)
-    steps: list[Step] = []
-    for _ in range(SERIES):
-        steps += _draw_series(source, EARLIER, seconds, nodes, replicas)
+    steps: list[FaultStep] = []
+    for _ in range(SERIES_COUNT):
+        steps += _draw_series(source, BASE_FAULTS, seconds, nodes, replicas)
     sources = (
-        (LATER, LATER_SOURCE),
-        (OF_ANSWERS, ANSWERS_SOURCE),
-        (OF_LIMITS, LIMITS_SOURCE),
-        (OF_RESTORES, RESTORES_SOURCE),
+        (LATER_FAULTS, LATER_SEED_MASK),
+        (ANSWER_FAULTS, ANSWER_SEED_MASK),
+        (LIMIT_FAULTS, LIMIT_SEED_MASK),
+        (RESTORE_FAULTS, RESTORE_SEED_MASK),
     )
     for later, number in sources:
         steps += _draw_series(random.Random(seed ^ number), later, seconds, nodes, replicas)
@@ -155,17 +157,17 @@
     seconds: float,
     nodes: list[str],
     replicas: list[str],
-) -> list[Step]:
-    steps: list[Step] = []
-    at = QUIET_S + source.uniform(0.0, PAUSE_S)
+) -> list[FaultStep]:
+    steps: list[FaultStep] = []
+    at = FAULT_FREE_S + source.uniform(0.0, MEAN_PAUSE_S)
     while at < seconds:
         fault = source.choice(faults)
         target = ""
-        if fault in OF_NODES | OF_NODES_AND_STORE:
+        if fault in NODE_FAULTS | STORE_LINK_FAULTS:
             target = source.choice(nodes)
-        elif fault in OF_REPLICAS:
+        elif fault in REPLICA_FAULTS:
             target = source.choice(replicas)
-        for_s = source.uniform(LEAST_S, MOST_S)
-        steps.append(Step(at, fault, target, for_s))
-        at += for_s + source.expovariate(1.0 / PAUSE_S)
+        duration_s = source.uniform(MIN_FAULT_S, MAX_FAULT_S)
+        steps.append(FaultStep(at, fault, target, duration_s))
+        at += duration_s + source.expovariate(1.0 / MEAN_PAUSE_S)
     return steps
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/play.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/play.py
@@ -16,39 +16,39 @@
 from chalkyoke_fakes.platformfleet import KEY, TEAM
 from chalkyoke_fakes.replica import whole_stream
 from chalkyoke_fakes.soak import fleet as fleets
-from chalkyoke_fakes.soak.checkers import BETWEEN_VERSIONS, CHECKERS, Broken, check
+from chalkyoke_fakes.soak.checkers import CHECKERS, MIXED_VERSION_CHECKERS, Violation, run_checkers
 from chalkyoke_fakes.soak.fleet import SoakFleet
 from chalkyoke_fakes.soak.injector import Injector
 from chalkyoke_fakes.soak.observations import (
-    Asked,
+    CallerAttempt,
     Kind,
     Observations,
     Quota,
-    Ran,
+    Rejection,
+    ReplicaRun,
     RetryLimit,
-    TurnedAway,
 )
-from chalkyoke_fakes.soak.plan import draw, draw_roll
+from chalkyoke_fakes.soak.plan import draw_faults, draw_roll
 
-KINDS = {
+KIND_BY_PATH = {
     "/book/1": Kind.ONCE,
     "/find/1": Kind.REPEATABLE,
     "/chat/1": Kind.STREAM,
     "/explain/1": Kind.RESUMABLE,
 }
 DEADLINE_S = 8.0
-GIVE_UP_S = 20.0
+CALLER_TIMEOUT_S = 20.0
 # The goal of the stand-in's routes, in seconds.
 GOAL_S = 1.0
-RECOVERED_IN_A_ROW = 3
-LAST_WAIT_S = 30.0
+RECOVERED_REQUESTS_IN_A_ROW = 3
+RECOVERY_TIMEOUT_S = 30.0
 # How often a request that ends replicas comes again, and for how long after its fault, in seconds.
-CRASHING_AGAIN_S = 0.3
-SENT_ON_S = 5.0
+CRASHING_INTERVAL_S = 0.3
+CRASHING_EXTRA_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class RunConfig:
     """How large a run is.
 
     :param zones: the failure domain of each node.
@@ -61,54 +61,54 @@
     """
 
     zones: tuple[str, ...] = ("a", "b", "c")
-    replicas_each: int = 1
+    replicas_per_zone: int = 1
     seconds: float = 15.0
-    per_s: float = 8.0
-    old: Path | None = None
+    requests_per_s: float = 8.0
+    old_packages: Path | None = None
     calm: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class RunOutcome:
     """What came of a run."""
 
     seed: int
-    seen: Observations
-    broken: list[Broken]
+    observations: Observations
+    violations: list[Violation]
 
     def summary(self) -> str:
         """Say it in one line."""
-        seen = self.seen
-        good = sum(1 for each in seen.asked if each.status == 200 and each.whole)
+        seen = self.observations
+        good = sum(1 for each in seen.attempts if each.status == 200 and each.complete)
         back = "never" if seen.recovered_s is None else f"{seen.recovered_s:.1f} s"
         return (
-            f"seed {self.seed}: {len(seen.asked)} asked, {good} whole, {len(seen.ran)} runs, "
-            f"{len(seen.faults)} faults, {len(seen.drained)} drained, back after {back}, "
-            f"{len(self.broken)} broken"
+            f"seed {self.seed}: {len(seen.attempts)} asked, {good} whole, {len(seen.runs)} runs, "
+            f"{len(seen.faults)} faults, {len(seen.drains)} drained, back after {back}, "
+            f"{len(self.violations)} broken"
         )
 
 
-def callers_of(seen: Observations) -> dict[str, int]:
+def count_caller_outcomes(seen: Observations) -> dict[str, int]:
     """Count what callers noticed: who was refused, failed or late, of all that asked."""
-    told = {"asked": len(seen.asked), "refused": 0, "over quota": 0, "failed": 0, "late": 0}
-    for each in seen.asked:
+    told = {"asked": len(seen.attempts), "refused": 0, "over quota": 0, "failed": 0, "late": 0}
+    for each in seen.attempts:
         if each.status == 429:
             told["over quota"] += 1
         elif each.status == 503:
             told["refused"] += 1
             reason = f"refused: {each.body.decode(errors='replace')}"
             told[reason] = told.get(reason, 0) + 1
-        elif each.status != 200 or not each.whole:
+        elif each.status != 200 or not each.complete:
             told["failed"] += 1
         elif each.ended - each.began > GOAL_S:
             told["late"] += 1
     return told
 
 
-class Run:
+class SoakRun:
     """One run of a seed over a fleet."""
 
-    def __init__(self, fleet: SoakFleet, seed: int, shape: Shape) -> None:
+    def __init__(self, fleet: SoakFleet, seed: int, shape: RunConfig) -> None:
         self._fleet = fleet
         self._seed = seed
         self._shape = shape
@@ -117,83 +117,83 @@
         self._began = time.monotonic()
         self._crashing: list[asyncio.Task[None]] = []
         self.seen = Observations(
-            retries=RetryLimit(fleets.RETRY_RATIO, fleets.RETRY_SLACK, fleets.RETRY_WINDOW_S),
+            retry_limit=RetryLimit(fleets.RETRY_RATIO, fleets.RETRY_SLACK, fleets.RETRY_WINDOW_S),
             stream=whole_stream(),
         )
         rate = fleets.QUOTA_RATE_PER_S * fleets.QUOTA_WINDOW_S + fleets.QUOTA_BURST
         most = rate * (1.0 + fleets.QUOTA_OVER) + fleets.QUOTA_SLACK
         self.seen.quotas.append(Quota(fleets.QUOTA_TEAM, most, fleets.QUOTA_WINDOW_S))
 
-    def now(self) -> float:
+    def elapsed_s(self) -> float:
         """Give the seconds since the run began."""
         return time.monotonic() - self._began
 
-    async def play(self) -> Observations:
+    async def play_faults(self) -> Observations:
         """Let callers ask while faults strike, then wait until all is well again."""
-        injector = Injector(self._fleet, self.seen, self.now, self._send_crashing)
-        callers = asyncio.create_task(self._call(self._shape.seconds, injector))
-        steps = draw(
+        injector = Injector(self._fleet, self.seen, self.elapsed_s, self._start_crashing_caller)
+        callers = asyncio.create_task(self._run_callers(self._shape.seconds, injector))
+        steps = draw_faults(
             self._seed,
             self._shape.seconds - 2.0,
             list(self._fleet.nodes),
             list(self._fleet.replica_relays),
         )
         strikes = []
-        if self._shape.old is not None:
-            strikes.append(asyncio.create_task(self._roll(injector)))
+        if self._shape.old_packages is not None:
+            strikes.append(asyncio.create_task(self._roll_nodes(injector)))
         for step in [] if self._shape.calm else steps:
-            await asyncio.sleep(max(0.0, step.at - self.now()))
-            strikes.append(asyncio.create_task(injector.strike(step)))
+            await asyncio.sleep(max(0.0, step.at - self.elapsed_s()))
+            strikes.append(asyncio.create_task(injector.inject_fault(step)))
         await callers
         await asyncio.gather(*self._crashing)
         await asyncio.gather(*strikes)
-        self.seen.recovered_s = await self._recover()
-        self._collect()
+        self.seen.recovered_s = await self._wait_for_recovery()
+        self._collect_replica_records()
         return self.seen
 
-    async def _roll(self, injector: Injector) -> None:
+    async def _roll_nodes(self, injector: Injector) -> None:
         for step in draw_roll(self._seed, list(self._fleet.nodes)):
-            await asyncio.sleep(max(0.0, step.at - self.now()))
-            await injector.roll(step)
+            await asyncio.sleep(max(0.0, step.at - self.elapsed_s()))
+            await injector.roll_node(step)
 
     # Callers.
 
-    async def _call(self, seconds: float, injector: Injector) -> None:
+    async def _run_callers(self, seconds: float, injector: Injector) -> None:
         tasks: list[asyncio.Task[int]] = []
-        pause = 1.0 / (self._shape.per_s * len(self._fleet.nodes))
-        while self.now() < seconds:
-            path = self._random.choice(list(KINDS))
+        pause = 1.0 / (self._shape.requests_per_s * len(self._fleet.nodes))
+        while self.elapsed_s() < seconds:
+            path = self._random.choice(list(KIND_BY_PATH))
             nodes = list(self._fleet.nodes)
             if self._shape.calm:
                 # As behind a balancer, which sends nobody to a host that stops or starts.
-                nodes = [each for each in nodes if each not in injector.struck]
+                nodes = [each for each in nodes if each not in injector.active_targets]
             node = self._random.choice(nodes)
             team = fleets.QUOTA_TEAM if self._random.random() < 0.4 else TEAM
-            tasks.append(asyncio.create_task(self._ask(node, path, team)))
+            tasks.append(asyncio.create_task(self._send_request(node, path, team)))
             await asyncio.sleep(self._random.expovariate(1.0 / pause))
         await asyncio.gather(*tasks)
 
-    def _send_crashing(self, body: bytes, seconds: float) -> None:
-        self._crashing.append(asyncio.create_task(self._keep_sending(body, seconds)))
+    def _start_crashing_caller(self, body: bytes, seconds: float) -> None:
+        self._crashing.append(asyncio.create_task(self._repeat_crashing_request(body, seconds)))
 
-    async def _keep_sending(self, body: bytes, seconds: float) -> None:
+    async def _repeat_crashing_request(self, body: bytes, seconds: float) -> None:
         """Send one request again and again, at any node, for longer than nodes take to know it."""
-        until = min(self.now() + seconds + SENT_ON_S, self._shape.seconds)
-        path = self._random.choice(list(KINDS))
-        while self.now() < until:
+        until = min(self.elapsed_s() + seconds + CRASHING_EXTRA_S, self._shape.seconds)
+        path = self._random.choice(list(KIND_BY_PATH))
+        while self.elapsed_s() < until:
             node = self._random.choice(list(self._fleet.nodes))
-            await self._ask(node, path, TEAM, body)
-            await asyncio.sleep(CRASHING_AGAIN_S)
+            await self._send_request(node, path, TEAM, body)
+            await asyncio.sleep(CRASHING_INTERVAL_S)
 
-    async def _ask(self, node: str, path: str, team: str, body: bytes = b"{}") -> int:
+    async def _send_request(self, node: str, path: str, team: str, body: bytes = b"{}") -> int:
         name = f"r{self._seed}-{next(self._numbers)}"
         key = fleets.QUOTA_KEY if team == fleets.QUOTA_TEAM else KEY
-        method = "GET" if KINDS[path] is Kind.REPEATABLE else "POST"
-        began = self.now()
+        method = "GET" if KIND_BY_PATH[path] is Kind.REPEATABLE else "POST"
+        began = self.elapsed_s()
         status, answer, whole, leaving, limited = 0, b"", False, "", ""
         try:
-            async with asyncio.timeout(GIVE_UP_S):
-                got = await self._fleet.ask(
+            async with asyncio.timeout(CALLER_TIMEOUT_S):
+                got = await self._fleet.send_request(
                     node, path, method=method, body=body, key=key, request_id=name
                 )
             status, answer, whole = got.status, got.body, got.whole
@@ -202,14 +202,14 @@
             limited = replica if "server-limit" in got.headers else ""
         except TimeoutError:
             pass
-        self.seen.asked.append(
-            Asked(
+        self.seen.attempts.append(
+            CallerAttempt(
                 name,
-                KINDS[path],
+                KIND_BY_PATH[path],
                 node,
                 team,
                 began,
-                self.now(),
+                self.elapsed_s(),
                 DEADLINE_S,
                 status,
                 answer,
@@ -220,30 +220,30 @@
         )
         return status
 
-    async def _recover(self) -> float | None:
+    async def _wait_for_recovery(self) -> float | None:
         """Ask each node until it has answered some requests in a row."""
-        began = self.now()
+        began = self.elapsed_s()
         for node in self._fleet.nodes:
             row = 0
-            while row < RECOVERED_IN_A_ROW:
-                if self.now() - began > LAST_WAIT_S:
+            while row < RECOVERED_REQUESTS_IN_A_ROW:
+                if self.elapsed_s() - began > RECOVERY_TIMEOUT_S:
                     return None
-                path = self._random.choice(list(KINDS))
-                row = row + 1 if await self._ask(node, path, TEAM) == 200 else 0
+                path = self._random.choice(list(KIND_BY_PATH))
+                row = row + 1 if await self._send_request(node, path, TEAM) == 200 else 0
                 await asyncio.sleep(0.05)
-        return self.now() - began
+        return self.elapsed_s() - began
 
     # What the others saw.
 
-    def _collect(self) -> None:
-        for replica in [*self._fleet.replicas.values(), *self._fleet.past]:
-            self.seen.ends[replica.id] = [at - self._began for at in replica.ends]
-            for seen in replica.turned_away:
+    def _collect_replica_records(self) -> None:
+        for replica in [*self._fleet.replicas.values(), *self._fleet.removed_replicas]:
+            self.seen.replica_exits[replica.id] = [at - self._began for at in replica.exit_times]
+            for seen in replica.rejected:
                 name, at = seen.headers["x-request-id"], seen.at - self._began
-                self.seen.turned_away.append(TurnedAway(name, replica.id, at, seen.rest_s))
+                self.seen.rejections.append(Rejection(name, replica.id, at, seen.rest_s))
             for seen in replica.seen:
-                self.seen.ran.append(
-                    Ran(
+                self.seen.runs.append(
+                    ReplicaRun(
                         seen.headers["x-request-id"],
                         replica.id,
                         replica.service,
@@ -269,21 +269,25 @@
                 self.seen.versions.setdefault(process, []).append(entry["version"])
 
 
-async def play(seed: int, shape: Shape, keep: Path | None = None) -> Outcome:
+async def play_seed(seed: int, shape: RunConfig, keep: Path | None = None) -> RunOutcome:
     """Play a seed.
 
     :param keep: where the logs of a run that broke something are kept.
     """
     with tempfile.TemporaryDirectory(prefix="chalkyoke-soak-") as folder:
-        async with SoakFleet(Path(folder), shape.zones, shape.replicas_each, shape.old) as fleet:
-            seen = await Run(fleet, seed, shape).play()
-        broken = check(seen, CHECKERS if shape.old is None else BETWEEN_VERSIONS)
+        async with SoakFleet(
+            Path(folder), shape.zones, shape.replicas_per_zone, shape.old_packages
+        ) as fleet:
+            seen = await SoakRun(fleet, seed, shape).play_faults()
+        broken = run_checkers(
+            seen, CHECKERS if shape.old_packages is None else MIXED_VERSION_CHECKERS
+        )
         if broken and keep is not None:
-            _keep_logs(Path(folder), keep / f"seed-{seed}")
-    return Outcome(seed, seen, broken)
+            _copy_logs(Path(folder), keep / f"seed-{seed}")
+    return RunOutcome(seed, seen, broken)
 
 
-def _keep_logs(folder: Path, kept: Path) -> None:
+def _copy_logs(folder: Path, kept: Path) -> None:
     kept.mkdir(parents=True, exist_ok=True)
     for log in folder.glob("*.log"):
         (kept / log.name).write_bytes(log.read_bytes())
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/relay.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/relay.py
@@ -10,10 +10,10 @@
 import random
 from dataclasses import dataclass
 
-CHUNK = 65_536
+CHUNK_BYTES = 65_536
 POLL_S = 0.02
 # When a system sends again what was not acknowledged, in seconds.
-SENT_AGAIN_S = 0.2
+RETRANSMIT_S = 0.2
 
 
 @dataclass
@@ -50,29 +50,31 @@
 
     async def start(self, ip: str) -> None:
         """Listen on a free port."""
-        self._server = await asyncio.start_server(self._serve, ip, 0)
+        self._server = await asyncio.start_server(self._relay_connection, ip, 0)
         self.address = f"{ip}:{self._server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
         """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
-        self.reset()
+        self.reset_connections()
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         """Reset all connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def silence(self) -> None:
+    def silence_open_connections(self) -> None:
         """Let all open connections go silent for good: what is sent on them is lost, both ways."""
         self._silent |= self._writers
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """End all faults."""
         self.faults = RelayFaults()
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _relay_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         if self.faults.refuse or not self.target:
             writer.transport.abort()
             return
@@ -83,32 +85,32 @@
             writer.transport.abort()
             return
         self._writers |= {writer, back}
-        towards = asyncio.create_task(self._pass(reader, back, to_target=True))
-        backwards = asyncio.create_task(self._pass(there, writer, to_target=False))
+        towards = asyncio.create_task(self._copy_stream(reader, back, to_target=True))
+        backwards = asyncio.create_task(self._copy_stream(there, writer, to_target=False))
         try:
             await asyncio.wait([towards, backwards], return_when=asyncio.FIRST_COMPLETED)
         finally:
             for task in (towards, backwards):
                 task.cancel()
             if writer not in self._silent:
-                self._end(writer, back)
+                self._close_writers(writer, back)
 
-    def _end(self, *writers: asyncio.StreamWriter) -> None:
+    def _close_writers(self, *writers: asyncio.StreamWriter) -> None:
         """Close both ends. Of a dead connection neither hears of the other's, until all stops."""
         for each in writers:
             self._writers.discard(each)
             with contextlib.suppress(ConnectionError):
                 each.close()
 
-    async def _pass(
+    async def _copy_stream(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, to_target: bool
     ) -> None:
         with contextlib.suppress(ConnectionError):
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(CHUNK_BYTES):
                 if self.faults.delay_s:
                     await asyncio.sleep(self.faults.delay_s)
                 if self.faults.lost_share and random.random() < self.faults.lost_share:
-                    await asyncio.sleep(SENT_AGAIN_S)
+                    await asyncio.sleep(RETRANSMIT_S)
                 while self._is_silent(to_target):
                     await asyncio.sleep(POLL_S)
                 if writer in self._silent:
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/store.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/store.py
@@ -54,7 +54,7 @@
     tokens: float = 0.0
     filled: float = field(default_factory=time.monotonic)
 
-    def take(self, rate: float) -> bool:
+    def try_take_call(self, rate: float) -> bool:
         """Take one call, if the rate allows it."""
         now = time.monotonic()
         self.tokens = min(rate, self.tokens + (now - self.filled) * rate)
@@ -90,7 +90,7 @@
         if self.faults.outage:
             raise falcon.HTTPServiceUnavailable(description="outage")
         rate = self.faults.writes_per_s if kind == "write" else self.faults.reads_per_s
-        if not self._buckets[kind].take(rate):
+        if not self._buckets[kind].try_take_call(rate):
             self.calls["limited"] += 1
             raise falcon.HTTPTooManyRequests(description="rate limit")
         if self.faults.delay_s:
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -26,7 +26,7 @@
 from chalkyoke.limits.keeper import LimitKeeper
 from chalkyoke.limits.known import KnownLimits
 from chalkyoke.scheduling.state import ReleaseOutcome
-from chalkyoke_fakes.soak.limits import worst_window
+from chalkyoke_fakes.soak.limits import max_requests_in_window
 
 SERVICE = Service("plain")
 GOAL_S = 1.0
@@ -305,7 +305,7 @@
         counted = [
             (at, process) for at, process in replica.arrivals if not self._is_excused(process, at)
         ]
-        return worst_window(counted, replica.told, max(since, min(replica.told.values())))
+        return max_requests_in_window(counted, replica.told, max(since, min(replica.told.values())))
 
     def _is_excused(self, process, at):
         began, ended = self.excused.get(process, (math.inf, 0.0))
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
@@ -2,7 +2,7 @@
 
 import pytest
 from chalkyoke.limits.allowance import BURST_REQUESTS, BURST_S, MIN_RATE_PER_S, Allowance
-from chalkyoke_fakes.soak.limits import WINDOW_S, most_allowed
+from chalkyoke_fakes.soak.limits import WINDOW_S, max_allowed_requests
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
@@ -83,7 +83,7 @@
             # An earlier limit counts until it is replaced.
             before = [each for at, each in self.limits if at < began][-1:]
             most = max([*before, *(each for at, each in self.limits if began <= at < ended)])
-            assert count <= most_allowed(most), (count, most)
+            assert count <= max_allowed_requests(most), (count, most)
 
     @invariant()
     def the_burst_is_bounded(self):
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 from chalkyoke.limits.allowance import BURST_REQUESTS, BURST_S
-from chalkyoke_fakes.soak.limits import most_allowed
+from chalkyoke_fakes.soak.limits import max_allowed_requests
 
 from tests import virtual
 
@@ -40,7 +40,7 @@
         times = source.choice((0.1, 0.8, 1.2, 2.0, 10.0))
         seconds = 12.0 if limit_per_s * times < 100 else 6.0
         fleet = play(seed, hosts, limit_per_s, times, seconds, limited=source.choice((2, 6)))
-        assert fleet.worst() <= most_allowed(limit_per_s), (hosts, seed, limit_per_s, times)
+        assert fleet.worst() <= max_allowed_requests(limit_per_s), (hosts, seed, limit_per_s, times)
 
 
 @pytest.mark.parametrize("hosts", HOSTS)
@@ -57,7 +57,7 @@
             (source.uniform(14, 16), lambda fleet: fleet.kill(*fleet.nodes)),
         ]
         fleet = play(seed, hosts, limit_per_s, source.choice((0.8, 2.0)), 20.0, events)
-        assert fleet.worst() <= most_allowed(limit_per_s), (hosts, seed, limit_per_s)
+        assert fleet.worst() <= max_allowed_requests(limit_per_s), (hosts, seed, limit_per_s)
 
 
 def assert_nine_tenths_used(fleet, limit_per_s, began=4.0, seconds=10.0):
@@ -72,7 +72,7 @@
     weights = [1] + [0] * (hosts - 1)
     for limit_per_s in (0.4, 3.8, 40.0):
         fleet = play(1, hosts, limit_per_s, 2.0, 14.0, weights=weights)
-        assert fleet.worst() <= most_allowed(limit_per_s)
+        assert fleet.worst() <= max_allowed_requests(limit_per_s)
         assert_nine_tenths_used(fleet, limit_per_s)
 
 
@@ -80,7 +80,7 @@
 def test_many_hosts_use_nine_tenths_with_more_demand_than_limits(hosts):
     for limit_per_s, times in ((0.4, 10.0), (3.8, 2.0), (10.0, 1.2)):
         fleet = play(2, hosts, limit_per_s, times, 14.0, weights=[1] * hosts)
-        assert fleet.worst() <= most_allowed(limit_per_s)
+        assert fleet.worst() <= max_allowed_requests(limit_per_s)
         assert_nine_tenths_used(fleet, limit_per_s)
 
 
@@ -95,7 +95,7 @@
         fleet.set_limits(2.0)
 
     fleet = play(4, 24, 20.0, 1.2, 14.0, [(6.0, lower_limits)])
-    assert fleet.worst(since=6.0) <= most_allowed(2.0)
+    assert fleet.worst(since=6.0) <= max_allowed_requests(2.0)
 
 
 @pytest.mark.parametrize("times", [1.2, 2.0, 5.0])
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -19,7 +19,7 @@
 import aiohttp
 from chalkyoke.tokens.codec import request_id_of
 from chalkyoke_fakes import platformdemo
-from chalkyoke_fakes.caller import Caller, Reply, Told
+from chalkyoke_fakes.caller import Caller, Reply, ReplyOutcome
 from chalkyoke_fakes.fleet import LocalFleet
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
@@ -42,7 +42,7 @@
         self.plan = plan
         self.session = session
         self.random = random.Random(SEED)
-        self.told: collections.Counter[Told] = collections.Counter()
+        self.told: collections.Counter[ReplyOutcome] = collections.Counter()
         self.wrong: list[str] = []
         self.refused: dict[str, int] = {}
         self.alive = list(fleet.nodes)
@@ -67,7 +67,7 @@
         await asyncio.sleep(PURCHASE_LEAD_S)
         self.alive.remove(victim)
         print(f"-- killing {victim} (SIGKILL)", flush=True)
-        self.fleet.nodes[victim].send(signal.SIGKILL)
+        self.fleet.nodes[victim].send_signal(signal.SIGKILL)
         tasks += [long_one, purchase]
 
     async def send(
@@ -90,7 +90,7 @@
             address = self.fleet.nodes[host].address
             headers["Chalkyoke_Token"] = await caller.take_token(address)
         reply = await self._post(caller, address, number, plain, size, headers)
-        if reply.told is Told.NOTHING:
+        if reply.outcome is ReplyOutcome.NOTHING:
             other = self.random.choice(self.alive)
             print(f"#{number:02d} {host} gave no answer; asking {other} with the same token")
             address = self.fleet.nodes[other].address
@@ -123,17 +123,17 @@
         self, number: int, spec: dict[str, Any], host: str, plain: bool, size: int, reply: Reply
     ) -> None:
         """Print and count what a caller got."""
-        self.told[reply.told] += 1
+        self.told[reply.outcome] += 1
         kind = self.plan["plain"] if plain else f"{self.plan['service']} ({size} tokens)"
-        why = f" {reply.reason}" if reply.told is not Told.WHOLE else ""
+        why = f" {reply.reason}" if reply.outcome is not ReplyOutcome.WHOLE else ""
         print(
-            f"#{number:02d} {spec['tier']:>8} {kind:<22} by {host}: {reply.told}{why}"
+            f"#{number:02d} {spec['tier']:>8} {kind:<22} by {host}: {reply.outcome}{why}"
             f" in {reply.total_s:.2f} s",
             flush=True,
         )
-        if reply.told in (Told.BAD, Told.NOTHING):
-            self.wrong.append(f"#{number} was not accounted for: {reply.told} {reply.reason}")
-        if reply.told is Told.NOT_RUN:
+        if reply.outcome in (ReplyOutcome.BAD, ReplyOutcome.NOTHING):
+            self.wrong.append(f"#{number} was not accounted for: {reply.outcome} {reply.reason}")
+        if reply.outcome is ReplyOutcome.NOT_RUN:
             self.refused[request_id_of(reply.token)] = number
 
     async def check(self) -> None:
@@ -148,8 +148,10 @@
             if seen[request]:
                 self.wrong.append(f"#{number} was told 'not run' and ran")
         print(
-            f"demo: {sent} sent, {self.told[Told.WHOLE]} whole, {self.told[Told.NOT_RUN]} not run, "
-            f"{self.told[Told.FAILED]} failed, {self.told[Told.UNKNOWN]} unknown, {doubled} doubled"
+            f"demo: {sent} sent, {self.told[ReplyOutcome.WHOLE]} whole, "
+            f"{self.told[ReplyOutcome.NOT_RUN]} not run, "
+            f"{self.told[ReplyOutcome.FAILED]} failed, {self.told[ReplyOutcome.UNKNOWN]} unknown, "
+            f"{doubled} doubled"
         )
         if doubled or sent != REQUESTS + EXTRA or self.wrong:
             print("\n".join(self.wrong))
@@ -165,7 +167,7 @@
         sys.exit(f"there is no example fleet {name!r}")
     plan = tomllib.loads((folder / "demo.toml").read_text(encoding="utf-8"))
     with tempfile.TemporaryDirectory(prefix="chalkyoke-demo-") as temporary:
-        fleet = LocalFleet.of_example(Path(temporary), folder)
+        fleet = LocalFleet.from_example(Path(temporary), folder)
         async with fleet, aiohttp.ClientSession() as session:
             print(
                 f"-- {name}: {len(fleet.nodes)} nodes, {len(fleet.upstreams)} upstreams", flush=True
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from chalkyoke_fakes.soak.play import Shape, callers_of, play
+from chalkyoke_fakes.soak.play import RunConfig, count_caller_outcomes, play_seed
 
 KEEP = Path("out/soak")
 
@@ -31,16 +31,16 @@
     chosen = parser.parse_args()
     zones = tuple("abc"[number % 3] for number in range(chosen.nodes))
     old = chosen.old and chosen.old.resolve() / "packages/chalkyoke/src"
-    shape = Shape(zones, chosen.replicas, chosen.seconds, old=old, calm=chosen.calm)
+    shape = RunConfig(zones, chosen.replicas, chosen.seconds, old_packages=old, calm=chosen.calm)
     red = 0
     for seed in range(chosen.first, chosen.first + chosen.seeds):
-        outcome = asyncio.run(play(seed, shape, KEEP))
+        outcome = asyncio.run(play_seed(seed, shape, KEEP))
         print(outcome.summary(), flush=True)
         if chosen.calm:
-            print(f"    callers: {callers_of(outcome.seen)}", flush=True)
-        for broken in outcome.broken:
-            print(f"    {broken.promise}: {broken.what}", flush=True)
-        red += bool(outcome.broken)
+            print(f"    callers: {count_caller_outcomes(outcome.observations)}", flush=True)
+        for broken in outcome.violations:
+            print(f"    {broken.promise}: {broken.detail}", flush=True)
+        red += bool(outcome.violations)
     print(f"soak: {chosen.seeds} seeds, {red} red")
     return 1 if red else 0
 
--- a/tests/limits.py
+++ b/tests/limits.py
@@ -6,9 +6,9 @@
 
 import math
 
-from chalkyoke_fakes.soak.limits import most_allowed, worst_window
+from chalkyoke_fakes.soak.limits import max_allowed_requests, max_requests_in_window
 
-__all__ = ["most_allowed", "over_limits"]
+__all__ = ["max_allowed_requests", "over_limits"]
 
 
 def told_at(got):
@@ -39,9 +39,9 @@
             continue
         arrivals = [
             (seen.at, asked[seen.headers["x-request-id"]].node)
-            for seen in (*replica.seen, *replica.turned_away)
+            for seen in (*replica.seen, *replica.rejected)
             if seen.headers["x-request-id"] in asked
         ]
         nodes = {node: at for (name, node), at in told.items() if name == replica.id}
-        found[replica.id] = worst_window(arrivals, nodes, max(first, since))
+        found[replica.id] = max_requests_in_window(arrivals, nodes, max(first, since))
     return found
--- a/tests/rests.py
+++ b/tests/rests.py
@@ -4,9 +4,9 @@
 How well times of rest are kept, from when requests reached one upstream from one node.
 """
 
-from chalkyoke_fakes.soak.checkers import MOST_IN_REST, REST_BEGINS_S
+from chalkyoke_fakes.soak.checkers import MAX_REQUESTS_IN_RETRY_AFTER, RETRY_AFTER_GRACE_S
 
-__all__ = ["MOST_IN_REST", "most_in_rest"]
+__all__ = ["MAX_REQUESTS_IN_RETRY_AFTER", "most_in_rest"]
 
 
 def most_in_rest(turned_away, rest_s):
@@ -17,7 +17,7 @@
     """
     return max(
         (
-            sum(began + REST_BEGINS_S <= at < began + rest_s for at in times)
+            sum(began + RETRY_AFTER_GRACE_S <= at < began + rest_s for at in times)
             for times in turned_away.values()
             for began in times
         ),
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -38,7 +38,7 @@
 
 
 def ends(replicas):
-    return sorted(at for replica in replicas for at in replica.ends)
+    return sorted(at for replica in replicas for at in replica.exit_times)
 
 
 def later_arrivals(replicas, body):
@@ -191,7 +191,7 @@
         async def end_in_turn():
             for _ in range(4):
                 for replica in fleet.models:
-                    replica.end_by_itself()
+                    replica.exit_and_restart()
                     await asyncio.sleep(0.5)
 
         for replica in fleet.models:
@@ -232,7 +232,7 @@
             writer.transport.is_silent = writer.transport.peer.is_silent = True
         began = loop.time()
         runs.born += 1000
-        await runs.declare("ready")
+        await runs.write_record("ready")
         got = await asked
         assert got.status == 200
         # The replica makes 8 events in 1.6 s; without the news it would be waited for in vain.
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -38,15 +38,17 @@
 def test_requests_go_whole_and_unaltered_to_one_replica_and_back():
     async def check(fleet):
         for name in fleet.nodes:
-            got = await fleet.ask(name, "/chat/x?y=%20z", body=b"\x00\xff")
+            got = await fleet.send_request(name, "/chat/x?y=%20z", body=b"\x00\xff")
             assert (got.status, got.body, got.whole) == (200, WHOLE_STREAM, True)
-        assert sum(fleet.runs().values()) == 3
+        assert sum(fleet.count_runs().values()) == 3
         seen = next(each.seen[0] for each in engines(fleet) if each.seen)
         assert (seen.method, seen.target, seen.body) == ("POST", "/chat/x?y=%20z", b"\x00\xff")
         assert seen.headers["x-tenant"] == "clerks" and "x-credential" not in seen.headers
         assert 0 < int(seen.headers["x-deadline-ms"]) <= 8000
 
-        got = await fleet.ask("n1", "/book/1", X_Tenant="forged", X_Expect_Instance="forged")
+        got = await fleet.send_request(
+            "n1", "/book/1", X_Tenant="forged", X_Expect_Instance="forged"
+        )
         assert got.status == 200 and got.headers["x-server-stamp"]
         seen = next(each.seen[-1] for each in plain(fleet) if each.seen)
         assert seen.headers["x-tenant"] == "clerks"
@@ -56,7 +58,7 @@
             ("/book/1", "nobody", 401),
             ("/book/1", None, 401),
         ):
-            assert (await fleet.ask("n1", path, key=key)).status == status
+            assert (await fleet.send_request("n1", path, key=key)).status == status
 
     with_fleet(check)
 
@@ -65,19 +67,19 @@
     async def check(fleet):
         for replica in plain(fleet):
             replica.faults.lose_answers = 1
-        got = await fleet.ask("n1", "/book/1", request_id="once")
+        got = await fleet.send_request("n1", "/book/1", request_id="once")
         assert got.status == 502
-        assert fleet.runs()["once"] == 1
+        assert fleet.count_runs()["once"] == 1
         for replica in plain(fleet):
             replica.faults.lose_answers = 0
             replica.faults.fail = 1
-        got = await fleet.ask("n1", "/find/1", method="GET", body=b"", request_id="twice")
-        assert got.status == 500 and fleet.runs()["twice"] == 2
+        got = await fleet.send_request("n1", "/find/1", method="GET", body=b"", request_id="twice")
+        assert got.status == 500 and fleet.count_runs()["twice"] == 2
         for replica in plain(fleet):
             replica.faults.fail = 0
             replica.faults.shed = 1
-        got = await fleet.ask("n1", "/book/1", request_id="declined")
-        assert got.status == 200 and fleet.runs()["declined"] == 1
+        got = await fleet.send_request("n1", "/book/1", request_id="declined")
+        assert got.status == 200 and fleet.count_runs()["declined"] == 1
 
     with_fleet(check)
 
@@ -86,22 +88,22 @@
     async def check(fleet):
         for replica in engines(fleet):
             replica.faults.break_streams = 1
-        got = await fleet.ask("n1", "/chat/1", request_id="chat")
+        got = await fleet.send_request("n1", "/chat/1", request_id="chat")
         assert not got.whole and WHOLE_STREAM.startswith(got.body) and got.body
-        assert fleet.runs()["chat"] == 1
+        assert fleet.count_runs()["chat"] == 1
         broken = next(each for each in engines(fleet) if each.faults.break_streams == 0)
         broken.faults.break_streams = 1
         for replica in engines(fleet):
             replica.faults.break_after = 3
-        got = await fleet.ask("n2", "/explain/1", request_id="explain")
-        assert fleet.runs()["explain"] == 2
+        got = await fleet.send_request("n2", "/explain/1", request_id="explain")
+        assert fleet.count_runs()["explain"] == 2
         seen = [each for replica in engines(fleet) for each in replica.seen]
         sends = [each for each in seen if each.headers["x-request-id"] == "explain"]
         assert sorted(each.headers.get("last-event-id", "") for each in sends) == ["", "2"]
         assert WHOLE_STREAM.startswith(got.body)
         for replica in engines(fleet):
             replica.faults.break_streams = 0
-        got = await fleet.ask("n2", "/explain/1", Last_Event_Id="4")
+        got = await fleet.send_request("n2", "/explain/1", Last_Event_Id="4")
         assert got.whole and got.body == WHOLE_STREAM[WHOLE_STREAM.index(b"id: 5") :]
 
     with_fleet(check)
@@ -112,7 +114,7 @@
         for replica in plain(fleet):
             replica.faults.extra_answers = 20
         for number in range(30):
-            got = await fleet.ask("n1", "/book/1", request_id=f"e{number}")
+            got = await fleet.send_request("n1", "/book/1", request_id=f"e{number}")
             assert got.status == 200 and got.body.endswith(f" did e{number}".encode())
 
     with_fleet(check, ("a",))
@@ -125,7 +127,7 @@
         port = int(old.address.rsplit(":", 1)[1])
         stranger = await fleet.add_replica("x0", "other", "a", port=port)
         for number in range(6):
-            got = await fleet.ask("n1", "/book/1", request_id=f"r{number}")
+            got = await fleet.send_request("n1", "/book/1", request_id=f"r{number}")
             assert got.status == 200
         assert not stranger.runs
 
@@ -135,16 +137,16 @@
 def test_a_replica_that_leaves_gets_nothing_once_its_node_knows():
     async def check(fleet):
         leaving = fleet.replicas["s0"]
-        await leaving.declare("draining")
+        await leaving.write_record("draining")
 
         async def is_left_alone():
             before = sum(leaving.runs.values())
             for name in fleet.nodes:
                 for _ in range(4):
-                    assert (await fleet.ask(name, "/book/1")).status == 200
+                    assert (await fleet.send_request(name, "/book/1")).status == 200
             return sum(leaving.runs.values()) == before
 
-        await fleet.until(is_left_alone, "a leaving replica to be left alone")
+        await fleet.wait_until(is_left_alone, "a leaving replica to be left alone")
 
     with_fleet(check)
 
@@ -154,8 +156,8 @@
         await fleet.replicas["m0"].crash()
         await fleet.replicas["s0"].crash()
         for name in fleet.nodes:
-            assert (await fleet.ask(name, "/chat/1")).body == WHOLE_STREAM
-            assert (await fleet.ask(name, "/book/1")).status == 200
+            assert (await fleet.send_request(name, "/chat/1")).body == WHOLE_STREAM
+            assert (await fleet.send_request(name, "/book/1")).status == 200
 
     with_fleet(check)
 
@@ -168,21 +170,23 @@
         await fleet.configure(changed)
 
         async def in_force():
-            answers = [await fleet.ask(name, "/moved/1", key="new-key") for name in fleet.nodes]
+            answers = [
+                await fleet.send_request(name, "/moved/1", key="new-key") for name in fleet.nodes
+            ]
             return all(each.status == 200 for each in answers)
 
-        await fleet.until(in_force, "a configuration to be in force")
+        await fleet.wait_until(in_force, "a configuration to be in force")
         for name in fleet.nodes:
-            assert (await fleet.ask(name, "/moved/1")).status == 401
-            assert (await fleet.ask(name, "/book/1", key="new-key")).status == 404
+            assert (await fleet.send_request(name, "/moved/1")).status == 401
+            assert (await fleet.send_request(name, "/book/1", key="new-key")).status == 404
 
         fleet.store.faults.silent = True
-        fleet.nodes["n3"].send(signal.SIGKILL)
+        fleet.nodes["n3"].send_signal(signal.SIGKILL)
         fleet.nodes["n3"].popen.wait()
         fleet.start_node("n3", first_start=False)
-        await fleet.until_ready("n3")
-        assert (await fleet.ask("n3", "/moved/1", key="new-key")).status == 200
-        assert (await fleet.ask("n3", "/book/1", key="new-key")).status == 404
+        await fleet.wait_until_ready("n3")
+        assert (await fleet.send_request("n3", "/moved/1", key="new-key")).status == 200
+        assert (await fleet.send_request("n3", "/book/1", key="new-key")).status == 404
         fleet.store.faults.silent = False
 
     with_fleet(check)
@@ -196,26 +200,28 @@
         await fleet.configure(changed)
 
         async def in_force():
-            return all([(await fleet.ask(name, "/moved/1")).status == 200 for name in fleet.nodes])
+            return all(
+                [(await fleet.send_request(name, "/moved/1")).status == 200 for name in fleet.nodes]
+            )
 
-        await fleet.until(in_force, "a configuration to be in force")
+        await fleet.wait_until(in_force, "a configuration to be in force")
 
     with_fleet(check)
 
 
 def test_the_loss_or_freeze_of_a_scheduler_stops_nobody():
     async def check(fleet):
-        await asyncio.gather(*(fleet.ask(name, "/chat/1") for name in fleet.nodes))
+        await asyncio.gather(*(fleet.send_request(name, "/chat/1") for name in fleet.nodes))
         for name in fleet.nodes:
-            fleet.nodes[name].send(signal.SIGSTOP)
+            fleet.nodes[name].send_signal(signal.SIGSTOP)
             others = [each for each in fleet.nodes if each != name]
             for other in others:
-                got = await fleet.ask(other, "/chat/1")
+                got = await fleet.send_request(other, "/chat/1")
                 assert (got.status, got.body) == (200, WHOLE_STREAM)
-            fleet.nodes[name].send(signal.SIGCONT)
-        fleet.nodes["n1"].send(signal.SIGKILL)
+            fleet.nodes[name].send_signal(signal.SIGCONT)
+        fleet.nodes["n1"].send_signal(signal.SIGKILL)
         for other in ("n2", "n3"):
-            assert (await fleet.ask(other, "/chat/1")).body == WHOLE_STREAM
+            assert (await fleet.send_request(other, "/chat/1")).body == WHOLE_STREAM
 
     with_fleet(check)
 
@@ -224,15 +230,15 @@
     async def check(fleet):
         for replica in engines(fleet):
             replica.faults.event_s = 0.15
-        tasks = [asyncio.create_task(fleet.ask("n1", "/chat/1")) for _ in range(4)]
-        await fleet.until(lambda: sum(fleet.runs().values()) == 4, "four streams to run")
-        fleet.nodes["n1"].send(signal.SIGTERM)
+        tasks = [asyncio.create_task(fleet.send_request("n1", "/chat/1")) for _ in range(4)]
+        await fleet.wait_until(lambda: sum(fleet.count_runs().values()) == 4, "four streams to run")
+        fleet.nodes["n1"].send_signal(signal.SIGTERM)
 
         async def is_not_ready():
             return not await fleet.is_ready("n1")
 
-        await fleet.until(is_not_ready, "a stopping node to say so")
-        got = await fleet.ask("n1", "/book/1")
+        await fleet.wait_until(is_not_ready, "a stopping node to say so")
+        got = await fleet.send_request("n1", "/book/1")
         assert got.status == 200
         for each in await asyncio.gather(*tasks):
             assert each.whole and each.body == WHOLE_STREAM
@@ -245,17 +251,17 @@
     async def check(fleet):
         for replica in engines(fleet):
             replica.faults.event_s = 0.1
-        task = asyncio.create_task(fleet.ask("n1", "/chat/1"))
-        await fleet.until(lambda: sum(fleet.runs().values()) == 1, "a stream to run")
+        task = asyncio.create_task(fleet.send_request("n1", "/chat/1"))
+        await fleet.wait_until(lambda: sum(fleet.count_runs().values()) == 1, "a stream to run")
         task.cancel()
         seen = [each for replica in engines(fleet) for each in replica.seen]
-        await fleet.until(lambda: seen[0].left, "a replica to notice")
+        await fleet.wait_until(lambda: seen[0].client_disconnected, "a replica to notice")
 
         def left():
             lines = (fleet.folder / "n1.log").read_text().splitlines()
             return [each for each in map(json.loads, lines) if each["event"] == "left"]
 
-        await fleet.until(left, "the line of a caller that left")
+        await fleet.wait_until(left, "the line of a caller that left")
         assert left()[0]["sends"] == 1 and 0 <= left()[0]["silent_s"] < 60
         assert left()[0]["events"] >= 0
 
@@ -264,7 +270,7 @@
 
 def test_the_pages_tell_readiness_and_metrics_and_the_log_has_each_request():
     async def check(fleet):
-        await fleet.ask("n1", "/book/1", request_id="told")
+        await fleet.send_request("n1", "/book/1", request_id="told")
         async with fleet.session.get(f"http://{fleet.nodes['n1'].metrics}/metrics") as page:
             assert "chalkyoke_requests_total" in await page.text()
 
@@ -275,7 +281,7 @@
         def told():
             return {each["event"]: each for each in lines() if each.get("request") == "told"}
 
-        await fleet.until(lambda: "ended" in told(), "a request to be in the log")
+        await fleet.wait_until(lambda: "ended" in told(), "a request to be in the log")
         sent, ended = told()["sent"], told()["ended"]
         assert sent["replica"] == ended["replica"] and sent["version"] == ended["version"] == 1
         assert ended["end"] == "delivered" and sent["deadline_s"] <= 8.0
@@ -287,14 +293,14 @@
     async def check(fleet):
         node = fleet.nodes["n1"]
         node.settings.write_text("[node]\n")
-        node.send(signal.SIGHUP)
+        node.send_signal(signal.SIGHUP)
 
         def log():
             return (fleet.folder / "n1.log").read_text()
 
-        await fleet.until(lambda: "reload_failed" in log(), "the mistake to be told")
-        assert (await fleet.ask("n1", "/book/1")).status == 200
-        node.send(signal.SIGKILL)
+        await fleet.wait_until(lambda: "reload_failed" in log(), "the mistake to be told")
+        assert (await fleet.send_request("n1", "/book/1")).status == 200
+        node.send_signal(signal.SIGKILL)
         node.popen.wait()
         command = [sys.executable, "-m", "chalkyoke.gatewayd", str(node.settings)]
         process = await asyncio.create_subprocess_exec(*command, stderr=asyncio.subprocess.PIPE)
@@ -316,7 +322,7 @@
         answer = await reader.read()
         assert answer.startswith(b"HTTP/1.1 400 ") and answer.count(b"HTTP/1.1") == 1
         writer.close()
-        assert not fleet.runs()
+        assert not fleet.count_runs()
 
     with_fleet(check, ("a",))
 
@@ -339,20 +345,20 @@
     async def check(fleet):
         await asyncio.sleep(1.0)
         node = fleet.nodes["n1"]
-        node.send(signal.SIGSTOP)
+        node.send_signal(signal.SIGSTOP)
         # Longer than all that is promised for a time: leases, grants, signs of life.
         await asyncio.sleep(6.0)
-        node.send(signal.SIGCONT)
+        node.send_signal(signal.SIGCONT)
         paths = ("/chat/1", "/explain/1", "/find/1", "/book/1")
         asked = []
         for number in range(40):
             path = paths[number % 4]
             name = f"woken-{number}"
-            asked.append(asyncio.create_task(fleet.ask("n1", path, request_id=name)))
+            asked.append(asyncio.create_task(fleet.send_request("n1", path, request_id=name)))
             await asyncio.sleep(0.025)
         got = await asyncio.gather(*asked)
         assert [(each.status, each.whole) for each in got] == [(200, True)] * 40
-        runs = fleet.runs()
+        runs = fleet.count_runs()
         assert {runs[f"woken-{number}"] for number in range(40)} == {1}
 
     with_fleet(check)
--- a/tests/test_leaving_and_rest.py
+++ b/tests/test_leaving_and_rest.py
@@ -16,11 +16,11 @@
 from collections import defaultdict
 
 from chalkyoke.node.gateway import TICK_S
-from chalkyoke_fakes.soak.checkers import LEFT_ALONE_S
+from chalkyoke_fakes.soak.checkers import LEAVING_GRACE_S
 from chalkyoke_fakes.soak.play import GOAL_S
 
 from tests.gatewayfleet import play
-from tests.rests import MOST_IN_REST, most_in_rest
+from tests.rests import MAX_REQUESTS_IN_RETRY_AFTER, most_in_rest
 
 PATHS = ("/chat/1", "/explain/1", "/find/1", "/book/1")
 CALLERS = 12
@@ -75,7 +75,7 @@
         for seen in replica.seen:
             sent = asked[seen.headers["x-request-id"]]
             since = told.get((sent.node, replica.id))
-            if since is not None and sent.asked_at > since + LEFT_ALONE_S:
+            if since is not None and sent.asked_at > since + LEAVING_GRACE_S:
                 late.append(seen.at - since)
     return late
 
@@ -85,7 +85,7 @@
     asked = {each.request: each for each in got}
     turned_away = defaultdict(list)
     for replica in replicas:
-        for seen in replica.turned_away:
+        for seen in replica.rejected:
             node = asked[seen.headers["x-request-id"]].node
             turned_away[replica.id, node].append(seen.at)
     return most_in_rest(turned_away, rest_s)
@@ -128,7 +128,7 @@
 
     for path in PATHS:
         play(check_of(path))
-    assert all(count <= MOST_IN_REST for count in most.values()), most
+    assert all(count <= MAX_REQUESTS_IN_RETRY_AFTER for count in most.values()), most
 
 
 def turn_away(replicas, rest_s=0.0):
@@ -153,7 +153,7 @@
             got = await keep_asking(fleet, path)
             served[path, rest_s] = served_share(got)
             # The first second finds out; then one request a second looks whether it serves again.
-            later = [seen for each in replicas for seen in each.turned_away if seen.at > began + 1]
+            later = [seen for each in replicas for seen in each.rejected if seen.at > began + 1]
             tried[path, rest_s] = len(later)
 
         return check
@@ -170,7 +170,7 @@
         got = await keep_asking(fleet, path, KNOWN_S)
         turn_away(replicas, REST_S)
         refused = await keep_asking(fleet, path, 2 * REST_S)
-        assert rests_in([*got, *refused], replicas) <= MOST_IN_REST
+        assert rests_in([*got, *refused], replicas) <= MAX_REQUESTS_IN_RETRY_AFTER
         assert {each.status for each in refused} == {503}
         # At once, or when its goal has passed where a replica would have been back by then: at the
         # scheduler's tick that finds that, one that lets another look, and one that ends it.
@@ -198,12 +198,12 @@
         # All nodes have been told, and a record that says otherwise changes nothing.
         replica.faults.says_leaving = False
         replica.slots += 1
-        await replica.declare("ready")
+        await replica.write_record("ready")
         await asyncio.sleep(0.5)
         told = [await fleet.ask(node, "/chat/1", until_whole=True) for node in range(6)]
         assert [each.status for each in told] == [503] * 6
         replica.born += 1000
-        await replica.declare("ready")
+        await replica.write_record("ready")
         await asyncio.sleep(0.5)
         told = [await fleet.ask(node, "/chat/1", until_whole=True) for node in range(6)]
         assert [each.status for each in told] == [200] * 6
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 import asyncio
 
 from tests.gatewayfleet import play
-from tests.limits import most_allowed, over_limits
+from tests.limits import max_allowed_requests, over_limits
 from tests.test_leaving_and_rest import PATHS, keep_asking, of_path, served_share
 
 PLAYED_S = 12.0
@@ -45,19 +45,19 @@
 
 def test_a_limit_holds_over_all_nodes_and_callers_are_served_by_the_others():
     found = {path: worst_of(path, 2, LIMIT_PER_S) for path in PATHS}
-    assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
+    assert all(most <= max_allowed_requests(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
 def test_a_limit_of_a_fraction_of_a_request_holds():
     found = {path: worst_of(path, 2, 0.4) for path in ("/chat/1", "/find/1")}
-    assert all(most <= most_allowed(0.4) for most, _ in found.values()), found
+    assert all(most <= max_allowed_requests(0.4) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
 def test_limits_hold_where_all_replicas_name_one():
     found = {path: worst_of(path, 6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
-    assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
+    assert all(most <= max_allowed_requests(LIMIT_PER_S) for most, _ in found.values()), found
 
 
 def play_change(path, before, after, seconds=PLAYED_S):
@@ -84,20 +84,20 @@
 
 def test_a_lower_limit_is_in_force_as_the_first_one_was():
     found = {path: play_change(path, 7.6, LIMIT_PER_S) for path in ("/chat/1", "/find/1")}
-    assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
+    assert all(most <= max_allowed_requests(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
 def test_a_limit_is_over_when_answers_name_none_any_more():
     # A service that all callers share evenly without a limit: a sixth of some 50 to 60 a second.
     most, served = play_change("/find/1", LIMIT_PER_S, -1.0, seconds=16.0)
-    assert most > 2 * most_allowed(LIMIT_PER_S)
+    assert most > 2 * max_allowed_requests(LIMIT_PER_S)
     assert served >= 0.99
 
 
 def test_a_limit_of_nothing_is_asked_about_now_and_then():
     found = {path: play_change(path, 0.0, -1.0, seconds=20.0) for path in ("/find/1", "/book/1")}
-    assert all(most > 2 * most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
+    assert all(most > 2 * max_allowed_requests(LIMIT_PER_S) for most, _ in found.values()), found
 
 
 def test_a_limit_holds_while_nodes_are_killed_and_start_again():
@@ -119,7 +119,7 @@
 
     for path in ("/chat/1", "/find/1"):
         play(check_of(path))
-    assert all(count <= most_allowed(LIMIT_PER_S) for count in most.values()), most
+    assert all(count <= max_allowed_requests(LIMIT_PER_S) for count in most.values()), most
 
 
 def test_a_limit_holds_over_24_nodes():
@@ -127,7 +127,7 @@
     found = {
         path: worst_of(path, 2, LIMIT_PER_S, domains=domains) for path in ("/chat/1", "/find/1")
     }
-    assert all(most <= most_allowed(LIMIT_PER_S) for most, _ in found.values()), found
+    assert all(most <= max_allowed_requests(LIMIT_PER_S) for most, _ in found.values()), found
     assert all(served >= 0.99 for _, served in found.values()), found
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,7 +9,7 @@
 import subprocess
 import sys
 
-from chalkyoke_fakes.caller import Told
+from chalkyoke_fakes.caller import ReplyOutcome
 from chalkyoke_fakes.fleet import OPERATOR_TOKEN
 
 from tests.test_processes import HASH, RESOURCES, body, until, with_fleet
@@ -60,7 +60,7 @@
         token = await caller.take_token(fleet.nodes["n1"].address)
         for host in ("n1", "n2"):
             reply = await caller.complete(fleet.nodes[host].address, body(4), Chalkyoke_Token=token)
-            assert reply.told is Told.WHOLE
+            assert reply.outcome is ReplyOutcome.WHOLE
         code, out, _ = await ctl(fleet, "events", "--token", token, "-o", "json")
         kinds = [event["kind"] for event in json.loads(out)]
         order = [
@@ -90,7 +90,9 @@
             return fleet.nodes["n2"].popen.poll() == 0
 
         await until(ended)
-        assert (await caller.complete(fleet.nodes["n3"].address, body(4))).told is Told.WHOLE
+        assert (
+            await caller.complete(fleet.nodes["n3"].address, body(4))
+        ).outcome is ReplyOutcome.WHOLE
 
     with_fleet(check)
 
@@ -106,7 +108,9 @@
             async with fleet.session.request(method, f"http://{address}{path}", json={}) as answer:
                 assert answer.status == status
                 assert answer.content_type == "application/problem+json"
-        status, answer = await fleet.apply({"team": [{"name": "Bad Name", "tiers": []}]})
+        status, answer = await fleet.apply_configuration(
+            {"team": [{"name": "Bad Name", "tiers": []}]}
+        )
         assert status == 422
         paths = {each["path"] for each in answer["problems"]}
         assert paths == {"team[0].name", "team[0].tiers"}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import aiohttp
-from chalkyoke_fakes.caller import Caller, Told
+from chalkyoke_fakes.caller import Caller, ReplyOutcome
 from chalkyoke_fakes.fleet import LocalFleet
 
 KEY = "team-key"
@@ -91,7 +91,7 @@
 
 async def gone_from(fleet, host, watcher):
     async def check():
-        status = await fleet.get(fleet.nodes[watcher].administration, "/v1/status")
+        status = await fleet.get_json(fleet.nodes[watcher].administration, "/v1/status")
         return all(each["host"] != host for each in status["nodes"])
 
     await until(check)
@@ -105,7 +105,7 @@
         await until(lambda: seen(fleet))
         second = await caller.complete(other, body(30), Chalkyoke_Token=token)
         third = await caller.complete(other, body(30), Chalkyoke_Token=token)
-        assert (await first).told is second.told is third.told is Told.WHOLE
+        assert (await first).outcome is second.outcome is third.outcome is ReplyOutcome.WHOLE
         assert (await first).body == second.body == third.body
         assert list((await seen(fleet)).values()) == [1]
 
@@ -120,17 +120,17 @@
         await fleet.set_faults(fleet.upstreams["p1"], latency_s=1.0)
         first = asyncio.create_task(call)
         await until(lambda: seen(fleet))
-        fleet.nodes["n1"].send(signal.SIGKILL)
-        assert (await first).told is Told.NOTHING
+        fleet.nodes["n1"].send_signal(signal.SIGKILL)
+        assert (await first).outcome is ReplyOutcome.NOTHING
         for each in (token, unspent):
             reply = await caller.call(
                 fleet.nodes["n2"].address, "seats", b"{}", Chalkyoke_Token=each
             )
-            assert reply.told is Told.UNKNOWN
+            assert reply.outcome is ReplyOutcome.UNKNOWN
         fleet.start_node("n1")
         await until(lambda: is_ready(fleet, "n1"))
         reply = await caller.call(fleet.nodes["n1"].address, "seats", b"{}", Chalkyoke_Token=token)
-        assert (reply.told, reply.reason) == (Told.UNKNOWN, "issuer_gone")
+        assert (reply.outcome, reply.reason) == (ReplyOutcome.UNKNOWN, "issuer_gone")
         assert list((await seen(fleet)).values()) == [1]
 
     with_fleet(check)
@@ -138,7 +138,7 @@
 
 async def is_ready(fleet, host):
     try:
-        return (await fleet.get(fleet.nodes[host].administration, "/v1/ready"))["ready"]
+        return (await fleet.get_json(fleet.nodes[host].administration, "/v1/ready"))["ready"]
     except aiohttp.ClientError:
         return False
 
@@ -151,14 +151,14 @@
             caller.call(fleet.nodes["n1"].address, "seats", b"{}", Chalkyoke_Token=token)
         )
         await until(lambda: seen(fleet))
-        fleet.nodes["n1"].send(signal.SIGSTOP)
+        fleet.nodes["n1"].send_signal(signal.SIGSTOP)
         await gone_from(fleet, "n1", "n2")
         reply = await caller.call(fleet.nodes["n2"].address, "seats", b"{}", Chalkyoke_Token=token)
-        assert reply.told is Told.UNKNOWN
-        fleet.nodes["n1"].send(signal.SIGCONT)
-        assert (await first).told is Told.WHOLE
+        assert reply.outcome is ReplyOutcome.UNKNOWN
+        fleet.nodes["n1"].send_signal(signal.SIGCONT)
+        assert (await first).outcome is ReplyOutcome.WHOLE
         reply = await caller.call(fleet.nodes["n2"].address, "seats", b"{}", Chalkyoke_Token=token)
-        assert reply.told is Told.WHOLE
+        assert reply.outcome is ReplyOutcome.WHOLE
         assert list((await seen(fleet)).values()) == [1]
 
     with_fleet(check)
@@ -166,15 +166,15 @@
 
 async def is_known_leaving(fleet, upstream):
     """Ask the scheduler of the pool whether it knows."""
-    status = await fleet.get(fleet.nodes["n1"].administration, "/v1/status")
+    status = await fleet.get_json(fleet.nodes["n1"].administration, "/v1/status")
     owner = fleet.nodes[status["pools"]["model"]]
-    status = await fleet.get(owner.administration, "/v1/status")
+    status = await fleet.get_json(owner.administration, "/v1/status")
     return status["scheduled_here"]["model"]["upstreams"][upstream]["leaving"]
 
 
 def test_a_killed_scheduler_loses_no_waiting_request():
     async def check(fleet, caller):
-        status = await fleet.get(fleet.nodes["n1"].administration, "/v1/status")
+        status = await fleet.get_json(fleet.nodes["n1"].administration, "/v1/status")
         owner = status["pools"]["model"]
         entry = next(host for host in fleet.nodes if host != owner)
         calls = [
@@ -182,9 +182,9 @@
             for _ in range(10)
         ]
         await asyncio.sleep(0.4)
-        fleet.nodes[owner].send(signal.SIGKILL)
+        fleet.nodes[owner].send_signal(signal.SIGKILL)
         replies = await asyncio.gather(*calls)
-        assert [each.told for each in replies] == [Told.WHOLE] * 10
+        assert [each.outcome for each in replies] == [ReplyOutcome.WHOLE] * 10
         assert set((await seen(fleet)).values()) == {1}
 
     with_fleet(check)
@@ -199,7 +199,7 @@
             reply = await caller.call(
                 fleet.nodes[host].address, "seats", b"{}", Chalkyoke_Token=token
             )
-            assert reply.told is Told.UNKNOWN
+            assert reply.outcome is ReplyOutcome.UNKNOWN
         assert list((await seen(fleet)).values()) == [1]
 
     with_fleet(check)
@@ -211,12 +211,12 @@
         for name in ("e0", "e1"):
             await fleet.set_faults(fleet.upstreams[name], cut_streams=1)
         reply = await caller.complete(address, body(30))
-        assert reply.told is Told.WHOLE
+        assert reply.outcome is ReplyOutcome.WHOLE
         assert reply.body.count(b"\n\n") == 32
         for name in ("e0", "e1"):
             await fleet.set_faults(fleet.upstreams[name], cut_streams=1, can_resume=False)
         reply = await caller.complete(address, body(30))
-        assert (reply.told, reply.reason) == (Told.FAILED, "cut_short")
+        assert (reply.outcome, reply.reason) == (ReplyOutcome.FAILED, "cut_short")
         assert not reply.body.endswith(b"[DONE]\n\n")
         assert set((await seen(fleet)).values()) == {1}
 
@@ -230,18 +230,18 @@
         # two engines of two slots: the fifth and sixth wait in the queue
         calls = [asyncio.create_task(caller.complete(node.address, body(60))) for _ in range(6)]
         await until(lambda: seen(fleet))
-        node.send(signal.SIGTERM)
+        node.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
         refused = await caller.complete(node.address, body(5))
-        assert (refused.told, refused.reason) == (Told.NOT_RUN, "stopping")
+        assert (refused.outcome, refused.reason) == (ReplyOutcome.NOT_RUN, "stopping")
         replies = await asyncio.gather(*calls)
-        assert [each.told for each in replies] == [Told.WHOLE] * 6
+        assert [each.outcome for each in replies] == [ReplyOutcome.WHOLE] * 6
         async with asyncio.timeout(10):
             while node.popen.poll() is None:
                 await asyncio.sleep(0.05)
         assert node.popen.returncode == 0
         reply = await caller.complete(fleet.nodes["n2"].address, body(5), Chalkyoke_Token=unspent)
-        assert reply.told is Told.UNKNOWN
+        assert reply.outcome is ReplyOutcome.UNKNOWN
         assert len(await seen(fleet)) == 6
 
     with_fleet(check)
@@ -250,20 +250,24 @@
 def test_without_the_store_requests_are_served_and_a_new_node_learns_from_its_peers():
     async def check(fleet, caller):
         await fleet.set_faults(fleet.store, outage=True)
-        status, answer = await fleet.apply(RESOURCES, change_id="while-away")
+        status, answer = await fleet.apply_configuration(RESOURCES, change_id="while-away")
         assert (status, answer["title"]) == (503, "store away")
-        fleet.nodes["n3"].send(signal.SIGKILL)
+        fleet.nodes["n3"].send_signal(signal.SIGKILL)
         fleet.nodes["n3"].popen.wait()
         fleet.start_node("n3")
         await until(lambda: is_ready(fleet, "n3"))
-        assert (await caller.complete(fleet.nodes["n3"].address, body(5))).told is Told.WHOLE
+        assert (
+            await caller.complete(fleet.nodes["n3"].address, body(5))
+        ).outcome is ReplyOutcome.WHOLE
         await fleet.set_faults(fleet.store, outage=False)
         changed = {"team": [{**RESOURCES["team"][0], "weight": 3}]}
-        status, answer = await fleet.apply(changed, change_id="after")
+        status, answer = await fleet.apply_configuration(changed, change_id="after")
         assert (status, answer["revision"]) == (200, 2)
 
         async def everywhere():
-            found = [await fleet.get(n.administration, "/v1/ready") for n in fleet.nodes.values()]
+            found = [
+                await fleet.get_json(n.administration, "/v1/ready") for n in fleet.nodes.values()
+            ]
             return all(each["revision"] == 2 for each in found)
 
         await until(everywhere)
@@ -275,24 +279,24 @@
     async def check(fleet, caller):
         await fleet.set_faults(fleet.store, outage=True)
         for node in fleet.nodes.values():
-            node.send(signal.SIGKILL)
+            node.send_signal(signal.SIGKILL)
             node.popen.wait()
         fleet.start_node("n1")
         node = fleet.nodes["n1"]
 
         async def is_up():
             try:
-                return (await fleet.get(node.administration, "/v1/health"))["alive"]
+                return (await fleet.get_json(node.administration, "/v1/health"))["alive"]
             except aiohttp.ClientError:
                 return False
 
         await until(is_up, 20)
         assert not await is_ready(fleet, "n1")
         reply = await caller.complete(node.address, body(5))
-        assert (reply.told, reply.reason) == (Told.NOT_RUN, "not_ready")
+        assert (reply.outcome, reply.reason) == (ReplyOutcome.NOT_RUN, "not_ready")
         await fleet.set_faults(fleet.store, outage=False)
         await until(lambda: is_ready(fleet, "n1"), 20)
-        assert (await caller.complete(node.address, body(5))).told is Told.WHOLE
+        assert (await caller.complete(node.address, body(5))).outcome is ReplyOutcome.WHOLE
 
     with_fleet(check)
 
@@ -302,11 +306,11 @@
         heavier = {"team": [{**RESOURCES["team"][0], "weight": 3}]}
         # the team's new chunk is written first, then the root
         await fleet.set_faults(fleet.store, lose_writes=2)
-        status, answer = await fleet.apply(heavier, "n1", "mine", 1)
+        status, answer = await fleet.apply_configuration(heavier, "n1", "mine", 1)
         assert (status, answer["revision"]) == (200, 2)
-        assert (await fleet.apply(heavier, "n2", "mine", 1))[1]["revision"] == 2
+        assert (await fleet.apply_configuration(heavier, "n2", "mine", 1))[1]["revision"] == 2
         racing = {"team": [{**RESOURCES["team"][0], "weight": 5}]}
-        status, answer = await fleet.apply(racing, "n3", "other", 1)
+        status, answer = await fleet.apply_configuration(racing, "n3", "other", 1)
         assert status == 409
         assert answer["fields"] == ["team/team.weight"]
         assert answer["other"]["change_id"] == "mine"
@@ -327,7 +331,7 @@
         await until(lambda: is_known_leaving(fleet, "e1"))
         before = (await fleet.counts())["e1"]["requests"]
         replies = await asyncio.gather(*(caller.complete(address, body(5)) for _ in range(6)))
-        assert [each.told for each in replies] == [Told.WHOLE] * 6
+        assert [each.outcome for each in replies] == [ReplyOutcome.WHOLE] * 6
         assert (await fleet.counts())["e1"]["requests"] == before
 
     with_fleet(check)
@@ -335,12 +339,12 @@
 
 def test_a_dead_engine_is_passed_over_where_no_byte_was_sent():
     async def check(fleet, caller):
-        fleet.upstreams["e0"].send(signal.SIGKILL)
+        fleet.upstreams["e0"].send_signal(signal.SIGKILL)
         fleet.upstreams["e0"].popen.wait()
         replies = await asyncio.gather(
             *(caller.complete(fleet.nodes["n2"].address, body(5)) for _ in range(4))
         )
-        assert [each.told for each in replies] == [Told.WHOLE] * 4
+        assert [each.outcome for each in replies] == [ReplyOutcome.WHOLE] * 4
 
     with_fleet(check)
 
@@ -375,7 +379,7 @@
     async def check(fleet, caller):
         token = await caller.take_token(fleet.nodes["n1"].address)
         first = await caller.complete(fleet.nodes["n1"].address, body(5), Chalkyoke_Token=token)
-        assert first.told is Told.WHOLE
+        assert first.outcome is ReplyOutcome.WHOLE
         for host in ("n1", "n2"):
             other = await caller.complete(fleet.nodes[host].address, body(6), Chalkyoke_Token=token)
             assert (other.status, other.json()["field"]) == (422, "Chalkyoke-Token")
--- a/tests/test_resting_upstreams.py
+++ b/tests/test_resting_upstreams.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections import defaultdict
 
-from tests.rests import MOST_IN_REST, most_in_rest
+from tests.rests import MAX_REQUESTS_IN_RETRY_AFTER, most_in_rest
 from tests.virtual import run
 from tests.world import World
 
@@ -47,4 +47,4 @@
 
     resting = run(main)
     assert any(each.turned_away for each in resting)
-    assert rests_of(resting) <= MOST_IN_REST
+    assert rests_of(resting) <= MAX_REQUESTS_IN_RETRY_AFTER
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -121,7 +121,7 @@
     async def story(fleet, replicas):
         operator = await restore(fleet)
         await asyncio.sleep(AGREED_S)
-        await replicas[0].declare("draining")
+        await replicas[0].write_record("draining")
         since = now()
         for _ in range(int(PLAYED_S)):
             await asyncio.sleep(1.0)
@@ -152,12 +152,12 @@
 def test_a_replica_that_left_in_the_lost_seconds_stays_left_alone(path):
     async def story(fleet, replicas):
         async def leave():
-            await replicas[0].declare("draining")
+            await replicas[0].write_record("draining")
             leave.at = now()
 
         await restore(fleet, leave)
         await asyncio.sleep(AGREED_S)
-        await replicas[0].declare("draining")
+        await replicas[0].write_record("draining")
         await asyncio.sleep(PLAYED_S)
         return later_sends(replicas[0], leave.at)
 
@@ -203,12 +203,12 @@
 def test_a_replica_that_starts_anew_after_a_restore_gets_work(path):
     async def story(fleet, replicas):
         async def leave():
-            await replicas[0].declare("draining")
+            await replicas[0].write_record("draining")
 
         await restore(fleet, leave)
         await asyncio.sleep(AGREED_S)
         replicas[0].born += 1000
-        await replicas[0].declare("ready")
+        await replicas[0].write_record("ready")
         since = now()
         await asyncio.sleep(PLAYED_S)
         return first_after(replicas[0], since)
@@ -239,7 +239,7 @@
             await fleet.kill_node(node)
             fleet.start_node(node, first_start=False)
         await asyncio.sleep(AGREED_S)
-        await replicas[0].declare("draining")
+        await replicas[0].write_record("draining")
         since = now()
         await asyncio.sleep(PLAYED_S)
         states = [node.catalog.state for node in fleet.nodes]
@@ -256,7 +256,7 @@
 def test_a_node_that_starts_after_a_restore_is_told_who_left_in_the_lost_seconds():
     async def story(fleet, replicas):
         async def leave():
-            await replicas[0].declare("draining")
+            await replicas[0].write_record("draining")
             leave.at = now()
 
         await restore(fleet, leave)
@@ -280,7 +280,7 @@
     async def story(fleet, replicas):
         for each in replicas[:3]:
             each.version = "v2"
-            await each.declare("ready")
+            await each.write_record("ready")
         await asyncio.sleep(1.0)
 
         def shares():
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from chalkyoke_fakes.soak import checkers
-from chalkyoke_fakes.soak.play import Shape, play
+from chalkyoke_fakes.soak.play import RunConfig, play_seed
 
 ROOT = Path(__file__).parents[1]
 SOURCES = "packages/chalkyoke/src"
@@ -39,7 +39,7 @@
         if not unpack(folder):
             assert list((ROOT / "tests/versions").glob("*.json"))
             return
-        shape = Shape(seconds=8.0, per_s=6.0, old=Path(folder) / SOURCES)
-        outcome = asyncio.run(play(SEED, shape))
-    assert checkers.check(outcome.seen, checkers.SAFETY) == []
-    assert len(outcome.seen.asked) > 20
+        shape = RunConfig(seconds=8.0, requests_per_s=6.0, old_packages=Path(folder) / SOURCES)
+        outcome = asyncio.run(play_seed(SEED, shape))
+    assert checkers.run_checkers(outcome.observations, checkers.SAFETY_CHECKERS) == []
+    assert len(outcome.observations.attempts) > 20
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -52,7 +52,7 @@
             if self.stopped:
                 return
             path = "/find/1" if turn % 2 else "/book/1"
-            got = await self.fleet.ask(node, path)
+            got = await self.fleet.send_request(node, path)
             self.statuses.append(got.status)
             await asyncio.sleep(0.03)
 
@@ -85,8 +85,8 @@
         old = [each for each in fleet.replicas.values() if each.service == "seats"]
         ordered = time.monotonic()
         new = await order(fleet)
-        await fleet.until(lambda: fleet.rollout_state("seats") == "running", "an answer")
-        await fleet.until(lambda: fleet.rollout_state("seats") in ENDS, "the end")
+        await fleet.wait_until(lambda: fleet.rollout_state("seats") == "running", "an answer")
+        await fleet.wait_until(lambda: fleet.rollout_state("seats") in ENDS, "the end")
         assert fleet.rollout_state("seats") == "completed", decisions(fleet)
         # The bound holds until the deadline; a good version gets everything from there on.
         window = (ordered, ordered + OVER_S)
@@ -96,7 +96,7 @@
             await replica.crash()
             await fleet.store.remove(f"servers/{replica.id}")
         ended = len(callers.statuses)
-        await fleet.until(lambda: len(callers.statuses) > ended + 100, "more answers")
+        await fleet.wait_until(lambda: len(callers.statuses) > ended + 100, "more answers")
         callers.stopped = True
         await asking
         assert set(callers.statuses) == {200}
@@ -110,11 +110,11 @@
         asking = asyncio.create_task(callers.run())
         await asyncio.sleep(0.5)
         new = await order(fleet, fail_each=2)
-        await fleet.until(lambda: fleet.rollout_state("seats") == "rolled_back", "the end")
+        await fleet.wait_until(lambda: fleet.rollout_state("seats") == "rolled_back", "the end")
         assert runs(new) <= SLACK + SHARE * len(callers.statuses)
         await asyncio.sleep(0.3)
         left, ended = runs(new), len(callers.statuses)
-        await fleet.until(lambda: len(callers.statuses) > ended + 100, "more answers")
+        await fleet.wait_until(lambda: len(callers.statuses) > ended + 100, "more answers")
         callers.stopped = True
         await asking
         assert runs(new) == left
@@ -128,10 +128,10 @@
         await fleet.store.put("op/rollout/seats", b'{"to-version": ')
         await fleet.order_rollout("nobody", "v2", OVER_S)
         await fleet.order_rollout("model", "v1", 2.0)
-        await fleet.until(lambda: fleet.rollout_state("model") == "completed", "the end")
-        await fleet.until(lambda: fleet.rollout_state("nobody") == "rolled_back", "the end")
+        await fleet.wait_until(lambda: fleet.rollout_state("model") == "completed", "the end")
+        await fleet.wait_until(lambda: fleet.rollout_state("nobody") == "rolled_back", "the end")
         for path in ("/find/1", "/chat/1"):
-            assert (await fleet.ask("n1", path)).status == 200
+            assert (await fleet.send_request("n1", path)).status == 200
         assert fleet.rollout_state("seats") == ""
 
     with_fleet(check)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,77 +12,77 @@
 from chalkyoke_fakes.replica import whole_stream
 from chalkyoke_fakes.soak import checkers
 from chalkyoke_fakes.soak.observations import (
-    Asked,
-    Drained,
+    CallerAttempt,
+    DrainStart,
+    FaultPeriod,
     Kind,
-    Limited,
+    LimitPeriod,
     Observations,
     Quota,
-    Ran,
+    Rejection,
+    ReplicaRun,
     RetryLimit,
-    Span,
-    TurnedAway,
 )
-from chalkyoke_fakes.soak.plan import Fault, draw
-from chalkyoke_fakes.soak.play import Shape, play
+from chalkyoke_fakes.soak.plan import Fault, draw_faults
+from chalkyoke_fakes.soak.play import RunConfig, play_seed
 from chalkyoke_fakes.soak.relay import Relay
 
 STREAM = whole_stream()
-SHORT = Shape(seconds=8.0, per_s=6.0)
+SHORT = RunConfig(seconds=8.0, requests_per_s=6.0)
 
 
 def asked(request, kind=Kind.ONCE, began=1.0, ended=1.2, status=200, body=None, whole=True):
     own = STREAM if kind.streams else f"s1 did {request}".encode()
-    return Asked(
+    return CallerAttempt(
         request, kind, "n1", "t", began, ended, 8.0, status, own if body is None else body, whole
     )
 
 
 def ran(request, at=1.1, replica="s1"):
-    return Ran(request, replica, "seats", "t", at)
+    return ReplicaRun(request, replica, "seats", "t", at)
 
 
 def sound():
     """A run in which all is well, with something for each checker to look at."""
     seen = Observations(stream=STREAM)
-    seen.asked = [
+    seen.attempts = [
         asked("a"),
         asked("b", Kind.REPEATABLE),
         asked("c", Kind.STREAM),
         asked("d", Kind.STREAM, body=STREAM[:30], whole=False),
         asked("e", status=503, body=b"no replica"),
     ]
-    seen.ran = [ran("a"), ran("b"), ran("b", 1.15), ran("c"), ran("d")]
-    seen.faults = [Span(Fault.NODE_KILL, "n2", 3.0, 4.0)]
-    seen.drained = [Drained("s1", 30.0)]
+    seen.runs = [ran("a"), ran("b"), ran("b", 1.15), ran("c"), ran("d")]
+    seen.faults = [FaultPeriod(Fault.NODE_KILL, "n2", 3.0, 4.0)]
+    seen.drains = [DrainStart("s1", 30.0)]
     seen.versions = {"n1/1": [1, 3, 4], "n1/2": [4, 5]}
     seen.quotas = [Quota("t", 6, 8.0)]
-    seen.retries = RetryLimit(0.2, 3.0, 10.0)
+    seen.retry_limit = RetryLimit(0.2, 3.0, 10.0)
     return seen
 
 
 def run_twice(seen):
-    seen.ran.append(ran("a", 1.3))
+    seen.runs.append(ran("a", 1.3))
 
 
 def run_what_was_refused(seen):
-    seen.ran.append(ran("e"))
+    seen.runs.append(ran("e"))
 
 
 def hand_out_another_answer(seen):
-    seen.asked[0] = asked("a", body=b"s1 did x")
+    seen.attempts[0] = asked("a", body=b"s1 did x")
 
 
 def end_a_cut_stream_as_whole(seen):
-    seen.asked[3] = asked("d", Kind.STREAM, body=STREAM[:30])
+    seen.attempts[3] = asked("d", Kind.STREAM, body=STREAM[:30])
 
 
 def join_two_runs_in_one_stream(seen):
-    seen.asked[3] = asked("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
+    seen.attempts[3] = asked("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
 
 
 def run_what_nobody_asked(seen):
-    seen.ran.append(ran("smuggled"))
+    seen.runs.append(ran("smuggled"))
 
 
 def go_back_to_an_older_version(seen):
@@ -90,23 +90,23 @@
 
 
 def send_to_a_leaving_replica(seen):
-    seen.asked.append(asked("late", began=33.4, ended=33.6))
-    seen.ran.append(ran("late", 33.5))
+    seen.attempts.append(asked("late", began=33.4, ended=33.6))
+    seen.runs.append(ran("late", 33.5))
 
 
 def hold_past_the_deadline(seen):
-    seen.asked.append(asked("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
+    seen.attempts.append(asked("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
 
 
 def pass_more_than_the_quota(seen):
     for number in range(6):
-        seen.asked.append(asked(f"q{number}"))
-        seen.ran.append(ran(f"q{number}"))
+        seen.attempts.append(asked(f"q{number}"))
+        seen.runs.append(ran(f"q{number}"))
 
 
 def repeat_too_often(seen):
     for number in range(5):
-        seen.ran.append(ran("b", 1.2 + number / 10))
+        seen.runs.append(ran("b", 1.2 + number / 10))
 
 
 def never_come_back(seen):
@@ -114,65 +114,65 @@
 
 
 def send_to_one_that_said_it_leaves(seen):
-    seen.asked.append(replace(asked("told", began=50.0, ended=50.2), leaving="s1"))
-    seen.asked.append(asked("late", began=52.3, ended=52.5))
-    seen.ran.append(ran("late", 52.4))
+    seen.attempts.append(replace(asked("told", began=50.0, ended=50.2), leaving_replica="s1"))
+    seen.attempts.append(asked("late", began=52.3, ended=52.5))
+    seen.runs.append(ran("late", 52.4))
 
 
 def send_to_one_that_rests(seen):
     for number in range(4):
         at = 60.0 + number * 0.7
-        seen.asked.append(asked(f"y{number}", began=at, ended=at, status=503))
-        seen.turned_away.append(TurnedAway(f"y{number}", "s1", at, 3.0))
+        seen.attempts.append(asked(f"y{number}", began=at, ended=at, status=503))
+        seen.rejections.append(Rejection(f"y{number}", "s1", at, 3.0))
 
 
 def send_on_a_request_that_ends_replicas(seen):
     for number in range(7):
         at = 40.0 + number * (1.0 if number < 3 else 2.0)
-        seen.asked.append(asked(f"x{number}", Kind.STREAM, began=at, status=502))
-        seen.ran.append(Ran(f"x{number}", "m1", "model", "t", at, b"crashing-1"))
-    seen.ran.append(Ran("x6", "m1", "model", "t", 55.0, b"crashing-1"))
+        seen.attempts.append(asked(f"x{number}", Kind.STREAM, began=at, status=502))
+        seen.runs.append(ReplicaRun(f"x{number}", "m1", "model", "t", at, b"crashing-1"))
+    seen.runs.append(ReplicaRun("x6", "m1", "model", "t", 55.0, b"crashing-1"))
 
 
 def send_more_than_a_limit(seen):
-    seen.limited.append(Limited("s1", 70.0, 80.0, 0.5))
-    seen.asked.append(replace(asked("named", began=70.0, ended=70.1), limited="s1"))
+    seen.limit_periods.append(LimitPeriod("s1", 70.0, 80.0, 0.5))
+    seen.attempts.append(replace(asked("named", began=70.0, ended=70.1), limiting_replica="s1"))
     for number in range(9):
         at = 74.0 + number * 0.4
-        seen.asked.append(asked(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1))
-        seen.ran.append(ran(f"z{number}", at))
+        seen.attempts.append(asked(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1))
+        seen.runs.append(ran(f"z{number}", at))
 
 
 def send_to_one_that_left_before_a_restore(seen):
-    seen.faults.append(Span(Fault.STORE_RESTORED, "store", 29.0, 32.0))
-    seen.restored.append(31.0)
-    seen.asked.append(asked("hidden", began=34.2, ended=34.4))
-    seen.ran.append(ran("hidden", 34.3))
+    seen.faults.append(FaultPeriod(Fault.STORE_RESTORED, "store", 29.0, 32.0))
+    seen.restore_times.append(31.0)
+    seen.attempts.append(asked("hidden", began=34.2, ended=34.4))
+    seen.runs.append(ran("hidden", 34.3))
 
 
 PLANTS = [
     (run_twice, checkers.runs_once),
-    (run_what_was_refused, checkers.not_run_is_true),
-    (hand_out_another_answer, checkers.answers_are_whole_and_own),
-    (end_a_cut_stream_as_whole, checkers.answers_are_whole_and_own),
-    (join_two_runs_in_one_stream, checkers.answers_are_whole_and_own),
-    (run_what_nobody_asked, checkers.runs_were_asked_for),
-    (go_back_to_an_older_version, checkers.versions_rise),
-    (send_to_a_leaving_replica, checkers.leaving_replicas_get_nothing),
-    (send_to_one_that_left_before_a_restore, checkers.restores_hide_no_leaving),
+    (run_what_was_refused, checkers.not_run_answers_are_true),
+    (hand_out_another_answer, checkers.answers_are_complete_and_own),
+    (end_a_cut_stream_as_whole, checkers.answers_are_complete_and_own),
+    (join_two_runs_in_one_stream, checkers.answers_are_complete_and_own),
+    (run_what_nobody_asked, checkers.runs_have_a_caller),
+    (go_back_to_an_older_version, checkers.versions_never_decrease),
+    (send_to_a_leaving_replica, checkers.draining_replicas_get_no_requests),
+    (send_to_one_that_left_before_a_restore, checkers.drains_survive_store_restores),
     (hold_past_the_deadline, checkers.deadlines_hold),
     (pass_more_than_the_quota, checkers.quotas_hold),
-    (repeat_too_often, checkers.retries_are_few),
+    (repeat_too_often, checkers.retries_stay_within_budget),
     (send_on_a_request_that_ends_replicas, checkers.crashing_requests_are_held_back),
-    (send_to_one_that_said_it_leaves, checkers.leaving_answers_are_heard),
-    (send_to_one_that_rests, checkers.rests_are_kept),
-    (send_more_than_a_limit, checkers.limits_are_kept),
-    (never_come_back, checkers.service_comes_back),
+    (send_to_one_that_said_it_leaves, checkers.leaving_answers_are_respected),
+    (send_to_one_that_rests, checkers.retry_after_is_respected),
+    (send_more_than_a_limit, checkers.replica_limits_are_respected),
+    (never_come_back, checkers.service_recovers),
 ]
 
 
 def test_a_sound_run_breaks_nothing():
-    assert checkers.check(sound()) == []
+    assert checkers.run_checkers(sound()) == []
 
 
 @pytest.mark.parametrize(("plant", "checker"), PLANTS, ids=lambda each: each.__name__)
@@ -189,56 +189,56 @@
 def test_what_was_out_of_touch_is_not_blamed_for_a_drain():
     seen = sound()
     send_to_a_leaving_replica(seen)
-    seen.faults.append(Span(Fault.STORE_DOWN, "store", 28.0, 29.0))
-    assert checkers.leaving_replicas_get_nothing(seen) == []
+    seen.faults.append(FaultPeriod(Fault.STORE_DOWN, "store", 28.0, 29.0))
+    assert checkers.draining_replicas_get_no_requests(seen) == []
 
 
 def test_a_leaving_that_is_written_again_counts_from_then():
     seen = sound()
     send_to_one_that_left_before_a_restore(seen)
-    seen.restored[-1] = 31.5
-    assert checkers.restores_hide_no_leaving(seen) == []
-    seen.restored.clear()
-    assert checkers.restores_hide_no_leaving(seen)
-    seen.faults.append(Span(Fault.STORE_DOWN, "store", 28.0, 29.0))
-    assert checkers.restores_hide_no_leaving(seen) == []
+    seen.restore_times[-1] = 31.5
+    assert checkers.drains_survive_store_restores(seen) == []
+    seen.restore_times.clear()
+    assert checkers.drains_survive_store_restores(seen)
+    seen.faults.append(FaultPeriod(Fault.STORE_DOWN, "store", 28.0, 29.0))
+    assert checkers.drains_survive_store_restores(seen) == []
 
 
 def test_a_node_that_started_since_or_a_replica_that_did_is_not_blamed():
     seen = sound()
     send_to_one_that_said_it_leaves(seen)
-    seen.ends["s1"] = [51.0]
-    assert checkers.leaving_answers_are_heard(seen) == []
-    seen.ends.clear()
-    seen.faults.append(Span(Fault.NODE_KILL, "n1", 51.0, 51.5))
-    assert checkers.leaving_answers_are_heard(seen) == []
+    seen.replica_exits["s1"] = [51.0]
+    assert checkers.leaving_answers_are_respected(seen) == []
+    seen.replica_exits.clear()
+    seen.faults.append(FaultPeriod(Fault.NODE_KILL, "n1", 51.0, 51.5))
+    assert checkers.leaving_answers_are_respected(seen) == []
     send_to_one_that_rests(seen)
-    seen.faults.append(Span(Fault.LINKS_SILENT, "n1", 61.0, 61.5))
-    assert checkers.rests_are_kept(seen) == []
+    seen.faults.append(FaultPeriod(Fault.LINKS_SILENT, "n1", 61.0, 61.5))
+    assert checkers.retry_after_is_respected(seen) == []
 
 
 def test_a_node_that_was_struck_is_not_blamed_for_a_limit():
     seen = sound()
     send_more_than_a_limit(seen)
-    seen.faults.append(Span(Fault.LINKS_SILENT, "n1", 72.0, 78.0))
-    assert not checkers.limits_are_kept(seen)
-    seen.faults[-1] = Span(Fault.LINKS_SILENT, "n2", 72.0, 78.0)
-    assert checkers.limits_are_kept(seen)
+    seen.faults.append(FaultPeriod(Fault.LINKS_SILENT, "n1", 72.0, 78.0))
+    assert not checkers.replica_limits_are_respected(seen)
+    seen.faults[-1] = FaultPeriod(Fault.LINKS_SILENT, "n2", 72.0, 78.0)
+    assert checkers.replica_limits_are_respected(seen)
 
 
 def test_who_was_out_of_touch_is_not_blamed_for_a_request_that_ends_replicas():
     seen = sound()
     send_on_a_request_that_ends_replicas(seen)
-    seen.faults.append(Span(Fault.NODE_FREEZE, "n1", 41.0, 42.0))
+    seen.faults.append(FaultPeriod(Fault.NODE_FREEZE, "n1", 41.0, 42.0))
     assert checkers.crashing_requests_are_held_back(seen) == []
 
 
 def test_a_plan_hangs_on_its_seed_alone_and_its_series_overlap():
     places = (["n1", "n2"], ["m1", "s1"])
-    steps = draw(5, 60.0, *places)
-    assert steps == draw(5, 60.0, *places) != draw(6, 60.0, *places)
-    assert any(one.at < other.at < one.at + one.for_s for one in steps for other in steps)
-    assert {each.fault for each in draw(1, 900.0, *places)} == set(Fault)
+    steps = draw_faults(5, 60.0, *places)
+    assert steps == draw_faults(5, 60.0, *places) != draw_faults(6, 60.0, *places)
+    assert any(one.at < other.at < one.at + one.duration_s for one in steps for other in steps)
+    assert {each.fault for each in draw_faults(1, 900.0, *places)} == set(Fault)
 
 
 def through_a_relay(check):
@@ -278,10 +278,10 @@
         relay.faults.silent_to_caller = True
         writer.write(b"two")
         await says_nothing(reader)
-        relay.heal()
+        relay.clear_faults()
         assert await reader.read(100) == b"TWO"
         relay.faults.refuse = True
-        relay.reset()
+        relay.reset_connections()
         with pytest.raises((ConnectionError, AssertionError)):
             writer.write(b"three")
             assert await reader.read(100)
@@ -294,7 +294,7 @@
 
 def test_a_relay_lets_open_connections_go_dead_while_new_ones_work():
     async def check(relay, reader, writer):
-        relay.silence()
+        relay.silence_open_connections()
         writer.write(b"two")
         await says_nothing(reader)
         other, its_writer = await connect(relay)
@@ -307,7 +307,9 @@
 
 def test_a_short_run_over_real_processes_breaks_no_promise_of_safety():
     """What hangs on the clock is left to ``make soak``: this machine may be busy."""
-    outcome = asyncio.run(play(7, SHORT))
-    assert checkers.check(outcome.seen, checkers.SAFETY) == [], outcome.summary()
-    assert any(each.status == 200 for each in outcome.seen.asked)
-    assert outcome.seen.ran and outcome.seen.versions
+    outcome = asyncio.run(play_seed(7, SHORT))
+    assert checkers.run_checkers(outcome.observations, checkers.SAFETY_CHECKERS) == [], (
+        outcome.summary()
+    )
+    assert any(each.status == 200 for each in outcome.observations.attempts)
+    assert outcome.observations.runs and outcome.observations.versions
