--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from chalkyoke_fakes.soak.play import Shape, callers_of, play
+from chalkyoke_fakes.soak.play import RunConfig, count_caller_outcomes, play_seed
 
 KEPT_LOGS_FOLDER = Path("out/soak")
 
@@ -35,16 +35,16 @@
     arguments = parser.parse_args()
     zones = tuple("abc"[number % 3] for number in range(arguments.nodes))
     old = arguments.old and arguments.old.resolve() / "packages/chalkyoke/src"
-    shape = Shape(zones, arguments.replicas, arguments.seconds, old=old, calm=arguments.calm)
+    shape = RunConfig(zones, arguments.replicas, arguments.seconds, old_packages=old, calm=arguments.calm)
     failed = 0
     for seed in range(arguments.first, arguments.first + arguments.seeds):
-        outcome = asyncio.run(play(seed, shape, KEPT_LOGS_FOLDER))
+        outcome = asyncio.run(play_seed(seed, shape, KEPT_LOGS_FOLDER))
         print(outcome.summary(), flush=True)
         if arguments.calm:
-            print(f"    callers: {callers_of(outcome.seen)}", flush=True)
-        for broken in outcome.broken:
-            print(f"    {broken.promise}: {broken.what}", flush=True)
-        failed += bool(outcome.broken)
+            print(f"    callers: {count_caller_outcomes(outcome.observations)}", flush=True)
+        for broken in outcome.violations:
+            print(f"    {broken.promise}: {broken.detail}", flush=True)
+        failed += bool(outcome.violations)
     print(f"soak: {arguments.seeds} seeds, {failed} red")
     return 1 if failed else 0
 
