--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -145,7 +145,9 @@
             flush=True,
         )
         if reply.outcome in (ReplyOutcome.BAD, ReplyOutcome.NOTHING):
-            self.violations.append(f"#{number} was not accounted for: {reply.outcome} {reply.reason}")
+            self.violations.append(
+                f"#{number} was not accounted for: {reply.outcome} {reply.reason}"
+            )
         if reply.outcome is ReplyOutcome.NOT_RUN:
             self.not_run_requests[request_id_of(reply.token)] = number
 
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -35,7 +35,9 @@
     arguments = parser.parse_args()
     zones = tuple("abc"[number % 3] for number in range(arguments.nodes))
     old = arguments.old and arguments.old.resolve() / "packages/chalkyoke/src"
-    shape = RunConfig(zones, arguments.replicas, arguments.seconds, old_packages=old, calm=arguments.calm)
+    shape = RunConfig(
+        zones, arguments.replicas, arguments.seconds, old_packages=old, calm=arguments.calm
+    )
     failed = 0
     for seed in range(arguments.first, arguments.first + arguments.seeds):
         outcome = asyncio.run(play_seed(seed, shape, KEPT_LOGS_FOLDER))
