--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -255,7 +255,9 @@
         await fleet.wait_until(lambda: sum(fleet.count_runs().values()) == 1, "a stream to run")
         task.cancel()
         seen = [each for replica in engine_replicas(fleet) for each in replica.seen]
-        await fleet.wait_until(lambda: seen[0].client_disconnected, "a replica to see the disconnect")
+        await fleet.wait_until(
+            lambda: seen[0].client_disconnected, "a replica to see the disconnect"
+        )
 
         def left_lines():
             lines = (fleet.folder / "n1.log").read_text().splitlines()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -304,7 +304,9 @@
         assert (reply.outcome, reply.reason) == (ReplyOutcome.NOT_RUN, "not_ready")
         await fleet.set_faults(fleet.store, outage=False)
         await wait_until(lambda: is_ready(fleet, "n1"), 20)
-        assert (await caller.complete(node.address, completion_body(5))).outcome is ReplyOutcome.WHOLE
+        assert (
+            await caller.complete(node.address, completion_body(5))
+        ).outcome is ReplyOutcome.WHOLE
 
     with_fleet(check)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -31,14 +31,14 @@
 SHORT_RUN = RunConfig(seconds=8.0, requests_per_s=6.0)
 
 
-def make_asked(request, kind=Kind.ONCE, began=1.0, ended=1.2, status=200, body=None, whole=True):
+def make_attempt(request, kind=Kind.ONCE, began=1.0, ended=1.2, status=200, body=None, whole=True):
     own = STREAM if kind.streams else f"s1 did {request}".encode()
     return CallerAttempt(
         request, kind, "n1", "t", began, ended, 8.0, status, own if body is None else body, whole
     )
 
 
-def make_ran(request, at=1.1, replica="s1"):
+def make_run(request, at=1.1, replica="s1"):
     return ReplicaRun(request, replica, "seats", "t", at)
 
 
@@ -46,13 +46,13 @@
     """Build a run without violations that has observations for each checker."""
     seen = Observations(stream=STREAM)
     seen.attempts = [
-        make_asked("a"),
-        make_asked("b", Kind.REPEATABLE),
-        make_asked("c", Kind.STREAM),
-        make_asked("d", Kind.STREAM, body=STREAM[:30], whole=False),
-        make_asked("e", status=503, body=b"no replica"),
+        make_attempt("a"),
+        make_attempt("b", Kind.REPEATABLE),
+        make_attempt("c", Kind.STREAM),
+        make_attempt("d", Kind.STREAM, body=STREAM[:30], whole=False),
+        make_attempt("e", status=503, body=b"no replica"),
     ]
-    seen.runs = [make_ran("a"), make_ran("b"), make_ran("b", 1.15), make_ran("c"), make_ran("d")]
+    seen.runs = [make_run("a"), make_run("b"), make_run("b", 1.15), make_run("c"), make_run("d")]
     seen.faults = [FaultPeriod(Fault.NODE_KILL, "n2", 3.0, 4.0)]
     seen.drains = [DrainStart("s1", 30.0)]
     seen.versions = {"n1/1": [1, 3, 4], "n1/2": [4, 5]}
@@ -62,27 +62,27 @@
 
 
 def run_twice(seen):
-    seen.runs.append(make_ran("a", 1.3))
+    seen.runs.append(make_run("a", 1.3))
 
 
 def run_a_refused_request(seen):
-    seen.runs.append(make_ran("e"))
+    seen.runs.append(make_run("e"))
 
 
 def return_the_answer_of_another_request(seen):
-    seen.attempts[0] = make_asked("a", body=b"s1 did x")
+    seen.attempts[0] = make_attempt("a", body=b"s1 did x")
 
 
 def end_a_truncated_stream_as_complete(seen):
-    seen.attempts[3] = make_asked("d", Kind.STREAM, body=STREAM[:30])
+    seen.attempts[3] = make_attempt("d", Kind.STREAM, body=STREAM[:30])
 
 
 def join_two_runs_in_one_stream(seen):
-    seen.attempts[3] = make_asked("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
+    seen.attempts[3] = make_attempt("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
 
 
 def run_an_unknown_request(seen):
-    seen.runs.append(make_ran("smuggled"))
+    seen.runs.append(make_run("smuggled"))
 
 
 def revert_to_an_older_version(seen):
@@ -90,23 +90,23 @@
 
 
 def send_to_a_leaving_replica(seen):
-    seen.attempts.append(make_asked("late", began=33.4, ended=33.6))
-    seen.runs.append(make_ran("late", 33.5))
+    seen.attempts.append(make_attempt("late", began=33.4, ended=33.6))
+    seen.runs.append(make_run("late", 33.5))
 
 
 def answer_after_the_deadline(seen):
-    seen.attempts.append(make_asked("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
+    seen.attempts.append(make_attempt("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
 
 
 def exceed_the_quota(seen):
     for number in range(6):
-        seen.attempts.append(make_asked(f"q{number}"))
-        seen.runs.append(make_ran(f"q{number}"))
+        seen.attempts.append(make_attempt(f"q{number}"))
+        seen.runs.append(make_run(f"q{number}"))
 
 
 def repeat_too_often(seen):
     for number in range(5):
-        seen.runs.append(make_ran("b", 1.2 + number / 10))
+        seen.runs.append(make_run("b", 1.2 + number / 10))
 
 
 def never_recover(seen):
@@ -114,40 +114,44 @@
 
 
 def send_to_a_replica_that_announced_leaving(seen):
-    seen.attempts.append(replace(make_asked("told", began=50.0, ended=50.2), leaving_replica="s1"))
-    seen.attempts.append(make_asked("late", began=52.3, ended=52.5))
-    seen.runs.append(make_ran("late", 52.4))
+    seen.attempts.append(
+        replace(make_attempt("told", began=50.0, ended=50.2), leaving_replica="s1")
+    )
+    seen.attempts.append(make_attempt("late", began=52.3, ended=52.5))
+    seen.runs.append(make_run("late", 52.4))
 
 
 def send_to_a_resting_replica(seen):
     for number in range(4):
         at = 60.0 + number * 0.7
-        seen.attempts.append(make_asked(f"y{number}", began=at, ended=at, status=503))
+        seen.attempts.append(make_attempt(f"y{number}", began=at, ended=at, status=503))
         seen.rejections.append(Rejection(f"y{number}", "s1", at, 3.0))
 
 
 def keep_sending_a_crashing_request(seen):
     for number in range(7):
         at = 40.0 + number * (1.0 if number < 3 else 2.0)
-        seen.attempts.append(make_asked(f"x{number}", Kind.STREAM, began=at, status=502))
+        seen.attempts.append(make_attempt(f"x{number}", Kind.STREAM, began=at, status=502))
         seen.runs.append(ReplicaRun(f"x{number}", "m1", "model", "t", at, b"crashing-1"))
     seen.runs.append(ReplicaRun("x6", "m1", "model", "t", 55.0, b"crashing-1"))
 
 
 def exceed_a_limit(seen):
     seen.limit_periods.append(LimitPeriod("s1", 70.0, 80.0, 0.5))
-    seen.attempts.append(replace(make_asked("named", began=70.0, ended=70.1), limiting_replica="s1"))
+    seen.attempts.append(
+        replace(make_attempt("named", began=70.0, ended=70.1), limiting_replica="s1")
+    )
     for number in range(9):
         at = 74.0 + number * 0.4
-        seen.attempts.append(make_asked(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1))
-        seen.runs.append(make_ran(f"z{number}", at))
+        seen.attempts.append(make_attempt(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1))
+        seen.runs.append(make_run(f"z{number}", at))
 
 
 def send_to_a_replica_that_left_before_a_restore(seen):
     seen.faults.append(FaultPeriod(Fault.STORE_RESTORED, "store", 29.0, 32.0))
     seen.restore_times.append(31.0)
-    seen.attempts.append(make_asked("hidden", began=34.2, ended=34.4))
-    seen.runs.append(make_ran("hidden", 34.3))
+    seen.attempts.append(make_attempt("hidden", began=34.2, ended=34.4))
+    seen.runs.append(make_run("hidden", 34.3))
 
 
 PLANTED_FAULTS = [
