--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/caller.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/caller.py
@@ -1,7 +1,8 @@
 """
 chalkyoke_fakes.caller
 
-A caller: sends requests as a clerk's, kiosk's or desk's program would, and tells what it got.
+A client that sends requests as a clerk's, kiosk's or desk's program would and classifies the
+answers.
 """
 
 import json
@@ -17,7 +18,11 @@
 
 
 class ReplyOutcome(StrEnum):
-    """What a caller got."""
+    """The outcome of a request as the caller can know it.
+
+    ``BAD`` is a problem without an outcome, ``NOTHING`` an answer that is missing or ends early
+    without a problem.
+    """
 
     WHOLE = "whole"
     NOT_RUN = "not_run"
@@ -29,9 +34,10 @@
 
 @dataclass
 class Reply:
-    """One answer, as the caller saw it.
+    """One answer as the caller received it.
 
-    :param first_s: until the first byte, in seconds; -1 where none came.
+    :param first_s: time until the first byte of the body, in seconds; -1 where none arrived.
+    :param total_s: time until the end of the request, in seconds.
     """
 
     outcome: ReplyOutcome
@@ -45,7 +51,7 @@
     headers: dict[str, str] = field(default_factory=dict)
 
     def json(self) -> Any:
-        """Read the body as JSON."""
+        """Parse the body as JSON."""
         return json.loads(self.body)
 
 
@@ -60,14 +66,14 @@
         self._key = key
 
     async def take_token(self, address: str) -> str:
-        """Take a token for a request to come."""
+        """Request a token for a later request."""
         async with self._session.post(
             f"http://{address}/v1/tokens", headers={"Authorization": f"Bearer {self._key}"}
         ) as response:
             return str((await response.json())["token"])
 
     async def complete(self, address: str, body: dict[str, Any], **headers: str) -> Reply:
-        """Ask for a completion; headers are written with ``_`` for ``-``."""
+        """Request a completion; the names of ``headers`` have ``_`` for ``-``."""
         return await self.post(address, "/v1/completions", json.dumps(body).encode(), **headers)
 
     async def call(self, address: str, service: str, body: bytes, **headers: str) -> Reply:
@@ -75,7 +81,7 @@
         return await self.post(address, f"/v1/services/{service}/call", body, **headers)
 
     async def post(self, address: str, path: str, body: bytes, **headers: str) -> Reply:
-        """Send one request and read all that comes."""
+        """Send one request and read its whole answer; connection errors become ``NOTHING``."""
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
         sent.setdefault("Authorization", f"Bearer {self._key}")
         sent.setdefault("Content-Type", "application/json")
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/children.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/children.py
@@ -1,8 +1,8 @@
 """
 chalkyoke_fakes.children
 
-Start the processes of a stand-in fleet so that they end with the process that started them, also
-when that one is killed.
+Start the processes of a stand-in fleet so that they end with their parent process, also when the
+parent is killed.
 """
 
 import ctypes
@@ -15,23 +15,25 @@
 PR_SET_PDEATHSIG = 1
 
 
-# Numbers of the addresses at which a fleet's replicas and relays listen; its nodes have lower ones.
+# Numbers of the addresses on which a fleet's replicas and relays listen, for :func:`own_address`.
+# The fleet's nodes have lower numbers.
 REPLICA_ADDRESS_NUMBER, RELAY_ADDRESS_NUMBER = 200, 201
 
 
 def own_address(number: int) -> str:
-    """Give a loopback address that stand-in fleets of no other process use.
+    """Return a loopback address that stand-in fleets of other processes do not use.
 
-    Free ports are looked for before the nodes bind them; two fleets at one address found the same.
+    Free ports are found before the nodes bind them, so two fleets on one address could be given the
+    same ports.
 
-    :param number: of the node, from 0 on.
+    :param number: number of the address: the node's, from 0 on, or one of the numbers above.
     """
     process = os.getpid()
     return f"127.{16 + process % 200}.{process // 200 % 250}.{number + 1}"
 
 
 def _ends_with(parent: int) -> Callable[[], None]:
-    """Make what the child runs first: ask the kernel for SIGKILL at its parent's death."""
+    """Return a function with which a child asks the kernel for SIGKILL when its parent dies."""
     prctl = ctypes.CDLL(None, use_errno=True).prctl
 
     def ask() -> None:
@@ -45,10 +47,10 @@
 def spawn(
     command: list[str], log: Path, variables: dict[str, str] | None = None
 ) -> "subprocess.Popen[bytes]":
-    """Start a process in a session of its own; call from the main thread.
+    """Start a process in a session of its own; call this from the main thread.
 
-    :param log: file to which its output is added.
-    :param variables: of its environment, beside those of this process.
+    :param log: file to which the process's output is appended.
+    :param variables: environment variables in addition to those of this process.
     """
     with log.open("ab") as output:
         return subprocess.Popen(
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/engine.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/engine.py
@@ -33,11 +33,16 @@
 class Faults:
     """Faults that can be switched at run time.
 
-    :ivar slow: so many times slower.
-    :ivar refuse: answer 503 to new work.
-    :ivar hang: take work and go no further.
-    :ivar cut_streams: so many streams are cut half-way.
-    :ivar die: end the process at once.
+    :ivar slow: factor by which each step takes longer.
+    :ivar refuse: answer 503 to new requests.
+    :ivar hang: accept requests without processing them.
+    :ivar cut_streams: the number of streams to cut after 3 events.
+    :ivar can_resume: whether a stream can be resumed at an offset.
+    :ivar draining: report draining and answer 503 to new requests.
+    :ivar report_lag_s: age of the reported load, in seconds.
+    :ivar event_lag_s: delay of the reported cache events, in seconds.
+    :ivar event_gap: share of cache events (0 to 1) that are never reported.
+    :ivar die: end the process at the next request or event.
     """
 
     slow: float = 1.0
@@ -54,7 +59,14 @@
 
 @dataclass
 class Sequence:
-    """One request in the engine."""
+    """One request in the engine.
+
+    :ivar arrived: when the request arrived, in seconds of the monotonic clock.
+    :ivar prefill_left: prompt tokens that are neither cached nor processed yet.
+    :ivar changed: set when there are new events or the request was cancelled.
+    :ivar delivered: whether a reader received the whole output.
+    :ivar abandoned: whether the request was given up because it has no reader.
+    """
 
     id: str
     prompt_tokens: int
@@ -73,11 +85,11 @@
 
     @property
     def prefill_done(self) -> int:
-        """Prompt tokens that were read for it."""
+        """Prompt tokens that were processed for the request."""
         return self.prompt_tokens - self.cached_tokens - self.prefill_left
 
     def append_token(self) -> None:
-        """Make one more token, or the end."""
+        """Append the next token's event, and after the last token those that end the stream."""
         made = len(self.events)
         choice = {"index": 0, "text": f"w{made} ", "finish_reason": None}
         self._add({"id": self.id, "model": "fake", "choices": [choice]})
@@ -98,7 +110,14 @@
 
 
 class Engine:
-    """The engine: its queue, its batch, its cache, its counts."""
+    """The engine's queue, batch, prefix cache and counters.
+
+    :ivar prefill_s: time to process one prompt token, in seconds.
+    :ivar token_s: time of a decoding step with one stream, in seconds.
+    :ivar slope: relative slowdown of a decoding step for each further stream.
+    :ivar seen: the number of arrivals of each request id.
+    :ivar prefill_wasted: processed prompt tokens of requests that were never delivered.
+    """
 
     def __init__(self, arguments: Any) -> None:
         self.faults = Faults()
@@ -122,7 +141,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def counts(self) -> dict[str, Any]:
-        """Count work and requests."""
+        """Return the counters of requests, prompt tokens and output tokens."""
         doubled = sum(1 for count in self.seen.values() if count > 1)
         return {
             "requests": len(self.seen),
@@ -137,7 +156,7 @@
     # Work.
 
     def admit(self, name: str, body: dict[str, Any]) -> Sequence:
-        """Take a request into the queue."""
+        """Add a request to the queue, ordered by priority and arrival."""
         if self._task is None:
             self._task = asyncio.create_task(self._run_batches())
         self.seen[name] += 1
@@ -166,7 +185,7 @@
         return sequence
 
     def cancel(self, name: str) -> None:
-        """Stop work on a request that nobody waits for."""
+        """Stop work on a request; does nothing where it is unknown, done or cancelled."""
         sequence = self.sequences.get(name)
         if sequence is None or sequence.done or sequence.cancelled:
             return
@@ -193,9 +212,9 @@
             await asyncio.sleep(max(0.0, seconds - (time.monotonic() - started)))
 
     def _run_step(self) -> float:
-        """Read one chunk of one prompt and make one token for each stream.
+        """Process one chunk of one prompt and make one token for each stream.
 
-        :return: seconds that the step takes.
+        :return: the simulated time of the step, in seconds.
         """
         seconds = 0.0
         reading = next((each for each in self.batch if each.prefill_left > 0), None)
@@ -235,7 +254,7 @@
     # Reports.
 
     def load_report(self) -> dict[str, Any]:
-        """Tell the load as it was a while ago, and some of the cache events."""
+        """Return the load with a lag of ``report_lag_s``, and some of the dropped cache blocks."""
         now = time.monotonic()
         self._reports.append((now, len(self.batch), len(self.queue)))
         while len(self._reports) > 1 and self._reports[1][0] <= now - self.faults.report_lag_s:
@@ -256,13 +275,13 @@
 
 
 def _output_length(name: str, most: int) -> int:
-    """Draw a length from a long-tailed distribution, the same for the same request."""
+    """Draw an output length in tokens from a long-tailed distribution seeded by the request id."""
     source = random.Random(name)
     return max(1, min(most, int(math.exp(source.gauss(math.log(max(2, most / 3)), 0.7)))))
 
 
 class CompletionsPage:
-    """New work."""
+    """The route for new requests."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -283,13 +302,13 @@
 
 
 class EventsPage:
-    """Resume and cancel."""
+    """The routes that resume and cancel a request."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response, name: str) -> None:
-        """Go on with a stream at an offset."""
+        """Resume a stream at an offset, in events."""
         sequence = self._engine.sequences.get(name)
         if sequence is None or sequence.cancelled or not self._engine.faults.can_resume:
             raise falcon.HTTPServiceUnavailable(description="nothing to resume")
@@ -299,13 +318,13 @@
     async def on_delete(
         self, _: falcon.asgi.Request, resp: falcon.asgi.Response, name: str
     ) -> None:
-        """Cancel."""
+        """Cancel a request; an unknown request is ignored."""
         self._engine.cancel(name)
         resp.status = 204
 
 
 async def stream_events(engine: Engine, sequence: Sequence, offset: int) -> AsyncIterator[bytes]:
-    """Send a sequence's events from an offset on."""
+    """Yield a sequence's events from an offset on, and wait for those to come."""
     sequence.readers += 1
     sent = 0
     try:
@@ -336,7 +355,7 @@
 
 
 def _abandon_sequence(engine: Engine, sequence: Sequence) -> None:
-    """Give up a sequence that nobody reads any more; what it cost brought no answer."""
+    """Cancel an undelivered sequence without readers, and count its prefill work as wasted."""
     if sequence.readers > 0 or sequence.delivered or sequence.abandoned:
         return
     sequence.abandoned = True
@@ -347,13 +366,13 @@
 
 
 class LoadPage:
-    """The load report."""
+    """The route of the load report."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Tell the load."""
+        """Return the load report."""
         resp.media = self._engine.load_report()
 
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/fleet.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/fleet.py
@@ -1,8 +1,8 @@
 """
 chalkyoke_fakes.fleet
 
-A whole fleet on this machine's loopback addresses: stand-ins and nodes as separate processes, for
-the demo, tests and benches.
+A whole fleet on the loopback addresses of this machine, with stand-ins and nodes as separate
+processes, for the demo, tests and benches.
 """
 
 import asyncio
@@ -39,7 +39,11 @@
 
 @dataclass
 class Process:
-    """One process of the fleet."""
+    """One process of the fleet.
+
+    :param address: where callers or clients reach the process.
+    :param arguments: the whole command line of a stand-in.
+    """
 
     name: str
     address: str
@@ -50,17 +54,18 @@
     arguments: list[str] = field(default_factory=list)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to it."""
+        """Send a signal to the process, unless it has ended."""
         if self.popen.poll() is None:
             self.popen.send_signal(number)
 
 
 class LocalFleet:
-    """Start, fault and end a fleet.
+    """Start a fleet, inject faults into it and end its processes.
 
-    :param folder: where settings and logs go.
+    :param folder: folder for settings and logs.
     :param platform: engines, plain services and entry hosts.
     :param resources: the fleet's configuration.
+    :ivar host_entries: the initial entries of the host list.
     """
 
     def __init__(self, folder: Path, platform: dict[str, Any], resources: dict[str, Any]) -> None:
@@ -76,7 +81,7 @@
 
     @classmethod
     def from_example(cls, folder: Path, example: Path) -> "LocalFleet":
-        """Make the fleet of an example: a folder with ``platform.toml`` and ``fleet.toml``."""
+        """Create the fleet of an example folder with ``platform.toml`` and ``fleet.toml``."""
         platform = tomllib.loads((example / "platform.toml").read_text(encoding="utf-8"))
         resources = tomllib.loads((example / "fleet.toml").read_text(encoding="utf-8"))
         return cls(folder, platform, resources)
@@ -186,7 +191,7 @@
         )
 
     def start_node(self, host: str) -> None:
-        """Start a node, also one that was ended before."""
+        """Write a node's settings and start the node; it may have run before."""
         node = self.nodes[host]
         assert self.store is not None
         assert self.hosts is not None
@@ -205,22 +210,22 @@
         command = [sys.executable, "-m", "chalkyoke.cli", "serve", "--settings", str(settings)]
         node.popen = self._spawn(host, command)
 
-    # Asking.
+    # Requests.
 
     async def get_json(self, address: str, path: str) -> Any:
-        """Read a page of a control or administration route."""
+        """Read the JSON answer of a control or administration route."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         async with self.session.get(f"http://{address}{path}", headers=headers) as response:
             return await response.json()
 
     async def set_faults(self, process: Process | None, **faults: object) -> None:
-        """Switch faults of a stand-in."""
+        """Set faults of a stand-in by name."""
         assert process is not None
         async with self.session.put(f"http://{process.address}/control", json=faults) as response:
             response.raise_for_status()
 
     async def change_host(self, **host: object) -> None:
-        """Change an entry of the host list."""
+        """Add, update or remove an entry of the host list, after the list's lag."""
         assert self.hosts is not None
         async with self.session.post(
             f"http://{self.hosts.address}/v1/hosts", json=host
@@ -236,6 +241,8 @@
     ) -> tuple[int, Any]:
         """Apply a configuration through one node.
 
+        :param host: the node; empty for the first one.
+        :param base: the revision that the change is based on, or None.
         :return: status and body of the answer.
         """
         node = self.nodes[host or next(iter(self.nodes))]
@@ -247,7 +254,7 @@
             return response.status, json.loads(await response.read())
 
     async def counts(self) -> dict[str, Any]:
-        """Read the counts of all upstreams that answer."""
+        """Return the counts of all upstreams that answer, by upstream."""
         found: dict[str, Any] = {}
         for name, process in self.upstreams.items():
             try:
@@ -304,7 +311,7 @@
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
             raise RuntimeError(
-                f"waited in vain for {what}; see the logs in {self.folder}"
+                f"timed out waiting for {what}; see the logs in {self.folder}"
             ) from None
 
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/hosts.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/hosts.py
@@ -1,7 +1,7 @@
 """
 chalkyoke_fakes.hosts
 
-A stand-in for the platform's list of live and leaving hosts; changes show after a lag.
+A stand-in for the platform's list of live and leaving hosts. Changes appear in it after a lag.
 """
 
 import asyncio
@@ -20,7 +20,8 @@
 class Faults:
     """Faults that can be switched at run time.
 
-    :ivar lag_s: so much later a change shows.
+    :ivar lag_s: delay until a change appears in the list, in seconds.
+    :ivar outage: reads are answered with 503.
     """
 
     lag_s: float = 0.0
@@ -28,7 +29,7 @@
 
 
 class HostList:
-    """The list as it shows, and the changes under way."""
+    """The published list of hosts, and changes that are still pending."""
 
     def __init__(self, hosts: list[dict[str, Any]], lag_s: float) -> None:
         self.faults = Faults(lag_s)
@@ -38,11 +39,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def counts(self) -> dict[str, Any]:
-        """Count the calls."""
+        """Return the number of reads and the list's version."""
         return {"calls": self.calls, "version": self.version}
 
     def schedule_change(self, host: dict[str, Any]) -> None:
-        """Add, change or (state ``gone``) remove a host, after the lag."""
+        """Add, update or (state ``gone``) remove a host after the lag."""
         task = asyncio.create_task(self._change_later(host))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -58,13 +59,13 @@
 
 
 class ListPage:
-    """The list."""
+    """The route of the host list."""
 
     def __init__(self, hosts: HostList) -> None:
         self._hosts = hosts
 
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Read the list."""
+        """Return the version and the hosts."""
         self._hosts.calls += 1
         if self._hosts.faults.outage:
             raise falcon.HTTPServiceUnavailable(description="outage")
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/load.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/load.py
@@ -1,8 +1,8 @@
 """
 chalkyoke_fakes.load
 
-The load tool: callers that arrive at random, take a token first, and ask again with it when a node
-gives no answer. ``python -m chalkyoke_fakes.load --plan FILE --nodes ip:port,ip:port``.
+The load generator: callers arrive at random, take a token first and retry with it when a node gives
+no answer. ``python -m chalkyoke_fakes.load --plan FILE --nodes ip:port,ip:port``.
 """
 
 import argparse
@@ -26,7 +26,10 @@
 
 @dataclass
 class Tally:
-    """What the callers of one tier got."""
+    """The outcomes of one tier's requests.
+
+    :ivar first_s: time to the first byte of each request, in seconds; -1 where none arrived.
+    """
 
     outcomes: Counter[ReplyOutcome] = field(default_factory=Counter)
     reasons: Counter[str] = field(default_factory=Counter)
@@ -34,14 +37,14 @@
 
     @property
     def sent(self) -> int:
-        """Requests sent."""
+        """The number of finished requests."""
         return sum(self.outcomes.values())
 
 
 class Load:
-    """Send a plan's requests to nodes for some time.
+    """Send a plan's requests to nodes.
 
-    :param nodes: callers' addresses; it may shrink while the load runs.
+    :param nodes: the nodes' addresses for callers; the list may shrink while the load runs.
     """
 
     def __init__(
@@ -57,7 +60,7 @@
         self._heads = ["".join(head.choices("abcdefgh ", k=4096)) for _ in range(8)]
 
     async def send_load(self, seconds: float) -> None:
-        """Send for some time, and wait for all answers."""
+        """Send requests for some seconds, then wait for all answers."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         calls: list[asyncio.Task[None]] = []
@@ -117,7 +120,7 @@
         }
 
     def summary_lines(self) -> list[str]:
-        """Write what each tier's callers got."""
+        """Return one line for each tier with its outcomes and the reasons of failures."""
         return [
             f"{tier}: {tally.sent} sent, {tally.outcomes[ReplyOutcome.WHOLE]} whole, "
             f"{dict(tally.reasons)}"
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/metastore.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/metastore.py
@@ -1,8 +1,9 @@
 """
 chalkyoke_fakes.metastore
 
-A stand-in for the users' platform's metadata store: revisions, conditional writes, leases, watches,
-a bounded history, outages, lost answers and returns from a copy. It runs in the loop of its test.
+A stand-in for the metadata store of the users' platform: revisions, conditional writes, leases,
+watches, a bounded history, outages, lost answers and restores from a snapshot. It runs in the event
+loop of its test.
 """
 
 import asyncio
@@ -25,10 +26,10 @@
 class Faults:
     """Faults that can be switched at run time.
 
-    :ivar down: every call gets 503.
-    :ivar silent: no call is answered.
-    :ivar slow_s: every call takes so much longer.
-    :ivar lose_writes: so many writes are done and not answered.
+    :ivar down: every call is answered with 503.
+    :ivar silent: calls are not answered while this is set.
+    :ivar slow_s: additional latency of every call, in seconds.
+    :ivar lose_writes: the number of writes that are committed without an answer in time.
     """
 
     down: bool = False
@@ -39,7 +40,11 @@
 
 @dataclass
 class Entry:
-    """One key."""
+    """The value of one key.
+
+    :ivar created_revision: the revision at which the key was created.
+    :ivar lease: number of the lease that the key is bound to; 0 for none.
+    """
 
     value: bytes
     revision: int
@@ -49,7 +54,10 @@
 
 @dataclass
 class Lease:
-    """A lease; it runs out at a moment of the steady clock."""
+    """A lease.
+
+    :ivar expires_at: when the lease expires, in seconds of the monotonic clock.
+    """
 
     ttl_s: float
     expires_at: float
@@ -58,10 +66,10 @@
 
 @dataclass
 class StoreState:
-    """What the store keeps.
+    """The state that a snapshot contains.
 
     :ivar history: revisions and keys of the last changes.
-    :ivar oldest: the first revision from which all changes are known.
+    :ivar oldest_revision: the first revision from which all changes are known.
     :ivar next_lease: number of the next lease.
     """
 
@@ -76,7 +84,7 @@
 class MetaStore:
     """The store's state and faults.
 
-    :ivar epoch: rises by one each time the store comes back from a copy.
+    :ivar epoch: rises by one at each restore from a snapshot.
     """
 
     def __init__(self) -> None:
@@ -92,7 +100,7 @@
 
     @property
     def entries(self) -> dict[str, Entry]:
-        """What is stored, by key."""
+        """The stored entries by key."""
         return self._state.entries
 
     @property
@@ -145,16 +153,17 @@
         return self._add_epoch_header(answer)
 
     def _add_epoch_header(self, answer: web.StreamResponse) -> web.StreamResponse:
-        """Name the epoch in an answer."""
+        """Add the header with the store's epoch to an answer."""
         answer.headers["Store-Era"] = str(self.epoch)
         return answer
 
-    # What the operator and the replicas do.
+    # Writes of the operator and the replicas.
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a key.
+        """Write a key as the operator or a replica does, without a condition.
 
-        :return: the revision.
+        :param lease: number of the lease to bind the key to; 0 for none.
+        :return: the revision of the write.
         """
         self._put_entry(key, value, lease)
         self._platform_writes[key] = self.revision
@@ -162,26 +171,30 @@
         return self.revision
 
     async def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Remove a key; does nothing where the key does not exist."""
         if self._remove_entry(key):
             self._platform_writes[key] = self.revision
             await self._notify_watchers()
 
     async def forget_history(self) -> None:
-        """Forget what has changed, and cut the watches."""
+        """Clear the history, so that all watches end with 410."""
         self._state.history.clear()
         self._state.oldest_revision = self.revision + 1
         self._state.revision += 1
         await self._notify_watchers()
 
-    # Returns from a copy.
+    # Restores from a snapshot.
 
     def take_snapshot(self) -> StoreState:
-        """Make a copy of all that there is."""
+        """Return a deep copy of the store's state."""
         return copy.deepcopy(self._state)
 
     async def restore_snapshot(self, state: StoreState) -> None:
-        """Come back from a copy; what was written since is gone, until it is written again."""
+        """Restore a snapshot under a new epoch.
+
+        Later writes are lost. Those of operators and replicas are remembered for
+        :meth:`rewrite_lost_writes`.
+        """
         self._lost_writes = {
             key: copy.copy(self.entries.get(key))
             for key, revision in self._platform_writes.items()
@@ -193,7 +206,7 @@
         await self._notify_watchers()
 
     async def rewrite_lost_writes(self) -> None:
-        """Write what operators and replicas had written that the copy lacks."""
+        """Repeat the lost writes of operators and replicas, except to keys written meanwhile."""
         lost, self._lost_writes = self._lost_writes, {}
         for key, entry in lost.items():
             if key in self._platform_writes:
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/plain.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/plain.py
@@ -2,7 +2,7 @@
 chalkyoke_fakes.plain
 
 A stand-in for a plain service (seat reservations, claims) whose calls may not be repeated. It
-counts its runs for each request; one variant refuses a request that it has run before.
+counts the runs of each request; with ``--checks`` it refuses a request that it has run before.
 """
 
 import asyncio
@@ -23,7 +23,12 @@
 class Faults:
     """Faults that can be switched at run time.
 
-    :ivar lose_answers: so many calls run and their answers are lost.
+    :ivar latency_s: time that a call runs, in seconds.
+    :ivar refuse: answer 503 without running the call.
+    :ivar hang: calls do not finish while this is set.
+    :ivar lose_answers: the number of calls that run and whose connection is then broken.
+    :ivar draining: report draining in the load report.
+    :ivar die: end the process after the next run.
     """
 
     latency_s: float = 0.03
@@ -35,7 +40,7 @@
 
 
 class Service:
-    """The runs."""
+    """The service's faults and run counters."""
 
     def __init__(self, checks: bool, latency_s: float) -> None:
         self.faults = Faults(latency_s)
@@ -44,13 +49,13 @@
         self.running = 0
 
     def counts(self) -> dict[str, Any]:
-        """Count the runs."""
+        """Return the number of runs, in total and by request, and of requests run twice."""
         doubled = sum(1 for count in self.runs.values() if count > 1)
         return {"runs": sum(self.runs.values()), "doubled": doubled, "seen": dict(self.runs)}
 
 
 class CallPage:
-    """Calls."""
+    """The route of calls."""
 
     def __init__(self, service: Service) -> None:
         self._service = service
@@ -58,7 +63,7 @@
     async def on_post(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response, path: str
     ) -> None:
-        """Run one call."""
+        """Run one call, unless a fault or the check for repeated requests prevents it."""
         service = self._service
         body = await req.stream.read()
         if service.faults.refuse:
@@ -89,13 +94,13 @@
 
 
 class LoadPage:
-    """The load report."""
+    """The route of the load report."""
 
     def __init__(self, service: Service) -> None:
         self._service = service
 
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Tell the load."""
+        """Return the load report."""
         resp.media = {
             "running": self._service.running,
             "waiting": 0,
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformfleet.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformfleet.py
@@ -1,8 +1,8 @@
 """
 chalkyoke_fakes.platformfleet
 
-The users' platform on loopback addresses: a store and replicas in this loop, and gateway nodes as
-separate processes.
+The users' platform on loopback addresses: a store and replicas in this event loop, and gateway
+nodes as separate processes.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 def default_configuration(version: int = 1) -> dict[str, Any]:
-    """Make a configuration with a model, a booking service and a look-up service.
+    """Make a configuration with routes to a model service and to a seat service.
 
     :rtype: dict
     """
@@ -80,7 +80,7 @@
 
 
 def _free_addresses(ip: str, count: int) -> list[str]:
-    """Find free ports that differ: each is held until all are found."""
+    """Find distinct free ports: each port stays bound until all are found."""
     with contextlib.ExitStack() as held:
         probes = [held.enter_context(socket.socket()) for _ in range(count)]
         for probe in probes:
@@ -90,9 +90,10 @@
 
 @dataclass
 class CallerResponse:
-    """What a caller got.
+    """The answer that a caller received.
 
-    :ivar whole: whether the answer ended as it should.
+    :ivar status: HTTP status; 0 where no answer came.
+    :ivar whole: whether the answer was received up to its regular end.
     """
 
     status: int
@@ -105,9 +106,9 @@
 class GatewayProcess:
     """One gateway node.
 
-    :param advertised: where others reach its links; empty is ``links`` itself.
-    :param store: where it reaches the store; empty is the store itself.
-    :param source: folder of the packages that it runs; nothing where that is this build.
+    :param advertised: address at which other nodes reach its links; empty for ``links`` itself.
+    :param store: address at which the node reaches the store; empty for the store itself.
+    :param source: folder of the packages that the node runs; None for this build.
     """
 
     name: str
@@ -124,20 +125,20 @@
 
     @property
     def advertised_address(self) -> str:
-        """Where other nodes reach its links."""
+        """The address at which other nodes reach the node's links."""
         return self.advertised or self.links
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to it."""
+        """Send a signal to the process, unless it has ended."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.send_signal(number)
 
 
 class PlatformFleet:
-    """Start, fault and end a fleet on the stand-in of the platform.
+    """Start a fleet on the stand-in of the platform, control its processes and end them.
 
-    :param folder: where settings and logs go.
-    :param zones: failure domain of each node.
+    :param folder: folder for settings and logs.
+    :param zones: the failure domain of each node.
     """
 
     def __init__(self, folder: Path, zones: tuple[str, ...] = ("a", "b", "c")) -> None:
@@ -208,12 +209,15 @@
         return replica
 
     async def order_rollout(self, service: str, version: str, over_s: float) -> None:
-        """Order that a service's traffic moves to replicas of a version."""
+        """Order a roll-out: a service's traffic moves to replicas of a version.
+
+        :param over_s: duration of the roll-out in seconds.
+        """
         order = {"service": service, "to-version": version, "over-s": over_s}
         await self.store.put(f"op/rollout/{service}", json.dumps(order).encode())
 
     def rollout_state(self, service: str) -> str:
-        """Read what the system has answered to an order; empty where it has not."""
+        """Return the state of a service's roll-out; empty where the system has not written one."""
         entry = self.store.entries.get(f"status/rollout/{service}")
         return json.loads(entry.value)["state"] if entry else ""
 
@@ -223,7 +227,7 @@
         self.nodes[name] = GatewayProcess(name, zone, callers, ready, links, metrics, path)
 
     def start_node(self, name: str, *, first_start: bool = True) -> None:
-        """Start a node, also one that was ended before."""
+        """Write a node's settings and start the node; it may have run before."""
         node = self.nodes[name]
         limits = "".join(f"{key} = {value}\n" for key, value in self.limits.items())
         seeds = [each.advertised_address for each in self.nodes.values()][:3]
@@ -243,10 +247,10 @@
         other = {} if node.source is None else {"PYTHONPATH": str(node.source)}
         node.popen = spawn(command, self.folder / f"{name}.log", other)
 
-    # Asking.
+    # Requests.
 
     async def is_ready(self, name: str) -> bool:
-        """Ask a node whether callers may be sent to it."""
+        """Check whether a node reports that it is ready for callers."""
         try:
             async with self.session.get(f"http://{self.nodes[name].ready}/readyz") as answer:
                 return answer.status == 200
@@ -256,7 +260,8 @@
     async def wait_until_ready(self, name: str) -> None:
         """Wait until a node is ready.
 
-        :raises RuntimeError: when it is not within some seconds, or has ended by itself.
+        :raises RuntimeError: when the node is not ready within :data:`START_TIMEOUT_S`, or has
+            exited.
         """
 
         async def is_ready() -> bool:
@@ -269,7 +274,7 @@
         await self.wait_until(is_ready, f"{name} to be ready")
 
     def log_tails(self) -> str:
-        """Give the last lines of each node's log, since the folder may go with the fleet."""
+        """Return the end of each node's log, since the folder may be removed with the fleet."""
         tails = []
         for path in sorted(self.folder.glob("*.log")):
             lines = path.read_text(encoding="utf-8", errors="replace").splitlines()
@@ -277,9 +282,11 @@
         return "\n".join(tails)
 
     async def wait_until(self, check: Any, what: str, seconds: float = START_TIMEOUT_S) -> None:
-        """Wait until something holds.
+        """Wait until a condition holds.
 
-        :raises RuntimeError: when it does not within some seconds.
+        :param check: function or coroutine function that returns whether the condition holds.
+        :param what: description of the condition for the error message.
+        :raises RuntimeError: when the condition does not hold within ``seconds``.
         """
         end = time.monotonic() + seconds
         while True:
@@ -289,7 +296,7 @@
             if held:
                 return
             if time.monotonic() > end:
-                raise RuntimeError(f"waited in vain for {what}\n{self.log_tails()}")
+                raise RuntimeError(f"timed out waiting for {what}\n{self.log_tails()}")
             await asyncio.sleep(POLL_S)
 
     async def send_request(
@@ -303,7 +310,10 @@
         request_id: str = "",
         **headers: str,
     ) -> CallerResponse:
-        """Send one request as a caller."""
+        """Send one request as a caller.
+
+        :param headers: additional headers, with ``_`` for ``-``.
+        """
         sent = {
             "Host": HOST,
             "X-Request-Id": request_id or f"q{next(self._numbers)}",
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/replica.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/replica.py
@@ -1,8 +1,8 @@
 """
 chalkyoke_fakes.replica
 
-A stand-in for one replica on the users' platform: an incarnation with an id, slots, streams of
-events that can be resumed, and the faults that replicas have. It runs in the loop of its test.
+A stand-in for one replica on the users' platform: an incarnation with an id, slots, resumable event
+streams and injectable faults. It runs in the event loop of its test.
 """
 
 import asyncio
@@ -28,22 +28,28 @@
 
 @dataclass
 class ReplicaFaults:
-    """Faults that can be switched at run time; counts go down as they strike.
+    """Faults that can be switched at run time.
 
-    :ivar lose_answers: run, then close without an answer.
-    :ivar break_streams: close in the middle of an event, after so many whole ones.
+    ``lose_answers``, ``break_streams``, ``extra_answers``, ``fail`` and ``shed`` are numbers of
+    requests to affect; each affected request lowers its number by one.
+
+    :ivar lose_answers: run the request, then close the connection without an answer.
+    :ivar break_streams: close the connection in the middle of an event.
+    :ivar break_after: the number of whole events before such a break.
     :ivar extra_answers: send a second answer after the first.
     :ivar fail: answer 500 after the run.
-    :ivar shed: answer that it has not run.
-    :ivar fail_each: answer 500 to each so-manieth request; 0 is none.
-    :ivar crash_bodies: end by itself after it has begun to run a request with such a body.
-    :ivar crash_after_s: how long after, in seconds.
-    :ivar back_after_s: how long it is gone then, in seconds.
-    :ivar says_leaving: say in all answers that it leaves, whatever its record says.
-    :ivar rest_s: in answers that it has not run, ask for so many seconds of rest; 0 asks for none.
-    :ivar renamed: whether it is back under another id, or else under its own with another start.
-    :ivar limit_per_s: requests a second that it says it takes from all nodes together; negative
-        where it says nothing of it. It takes whatever comes all the same.
+    :ivar shed: answer 503 without running the request.
+    :ivar fail_each: answer 500 to every n-th run; 0 disables this.
+    :ivar event_s: time before each event of a stream, in seconds.
+    :ivar work_s: time that a plain request runs, in seconds.
+    :ivar crash_bodies: exit after the start of a request with one of these bodies.
+    :ivar crash_after_s: time between that start and the exit, in seconds.
+    :ivar back_after_s: time between the exit and the restart, in seconds.
+    :ivar says_leaving: announce in all answers that the replica leaves, whatever its record says.
+    :ivar rest_s: the ``Retry-After`` of 503 answers, in seconds; 0 sends none.
+    :ivar renamed: whether the replica restarts under a new id, or under its own id as a new start.
+    :ivar limit_per_s: the limit announced in answers, in requests a second from all nodes together;
+        negative announces none. The replica does not enforce it.
     """
 
     lose_answers: int = 0
@@ -66,11 +72,12 @@
 
 @dataclass
 class ReceivedRequest:
-    """One request as it arrived.
+    """One received request.
 
-    :ivar left: whether its connection was closed while it ran.
-    :ivar at: when it arrived, on the replica's clock.
-    :ivar rest_s: for how long the replica asked for rest when it turned it away, in seconds.
+    :ivar client_disconnected: whether the connection was closed while the request ran.
+    :ivar at: when the request arrived, in seconds of the replica's clock.
+    :ivar rest_s: the ``Retry-After`` with which the replica rejected the request, in seconds; 0 for
+        none.
     """
 
     method: str
@@ -86,16 +93,19 @@
 class Replica:
     """One replica.
 
-    :param service: service that it belongs to.
-    :param engine: whether it answers with streams of events.
-    :param version: of its software.
-    :param now: a steady clock, in seconds.
-    :ivar address: where it says that it is reached.
-    :ivar own_address: where it listens.
-    :ivar misdirected: requests that were meant for another replica.
-    :ivar turned_away: requests that it has answered 503 and not run.
-    :ivar ends: when it has ended by itself.
-    :ivar born: its start, in milliseconds of its own clock.
+    :param service: the service that the replica belongs to.
+    :param engine: whether the replica answers with event streams.
+    :param events: the number of events in each stream.
+    :param version: version of the replica's software.
+    :param now: a monotonic clock, in seconds.
+    :ivar seen: requests that the replica began to run.
+    :ivar address: the address in the replica's record.
+    :ivar listen_address: the address on which the replica listens.
+    :ivar misdirected: the number of requests that were meant for another replica.
+    :ivar rejected: requests that the replica answered with 503 and did not run.
+    :ivar runs: the number of runs of each request id.
+    :ivar exit_times: when the replica exited by itself.
+    :ivar born: the replica's start, in milliseconds of its own clock.
     """
 
     id: str
@@ -122,10 +132,10 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, ip: str, port: int = 0, advertised_address: str = "") -> str:
-        """Serve, and declare itself in the store.
+        """Start serving and write the replica's record to the store.
 
-        :param reached_at: the address to declare, where that is not its own.
-        :return: its own address.
+        :param advertised_address: the address for the record; empty for the listening address.
+        :return: the listening address.
         """
         self._server = await asyncio.start_server(self._serve, ip, port, limit=READ_LIMIT_BYTES)
         self.born = round(self.now() * 1000) + 1
@@ -135,7 +145,7 @@
         return self.listen_address
 
     async def write_record(self, state: str) -> None:
-        """Write its own record."""
+        """Set the state and write the replica's record to the store."""
         self.state = state
         record = {
             "service": self.service,
@@ -151,14 +161,14 @@
         await self.store.put(f"servers/{self.id}", json.dumps(record).encode())
 
     async def crash(self) -> None:
-        """End without a word; its record stays."""
+        """Stop serving and abort all connections; the record in the store stays."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def exit_and_restart(self) -> None:
-        """End without a word, and come back after a while."""
+        """Exit without an announcement and restart after ``back_after_s``."""
         if self._server is not None and self._server.is_serving():
             self.exit_times.append(self.now())
             back = asyncio.ensure_future(self._restart_after_exit())
@@ -206,7 +216,7 @@
         self.seen.append(request)
         if request.body in self.faults.crash_bodies:
             asyncio.get_running_loop().call_later(self.faults.crash_after_s, self.exit_and_restart)
-            # No answer comes of it before the end.
+            # The replica exits before this request gets an answer.
             await asyncio.sleep(2 * self.faults.crash_after_s)
             return False
         if self.engine:
@@ -239,7 +249,7 @@
     def _reject_request(
         self, name: str, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer that a request has not run."""
+        """Answer that a request was not run: 400 without a request id, else 503."""
         head = {"X-Request-Id": name, "X-Not-Run": "1", **self._announcement_headers()}
         if not name:
             _write(writer, 400, head, b"")
@@ -283,20 +293,20 @@
         }
 
     def _announcement_headers(self) -> dict[str, str]:
-        """Say in an answer what becomes of the replica itself, and how much it takes."""
-        said = {"Server-Leaving": "1"} if self.faults.says_leaving else {}
+        """Return the headers with which an answer announces leaving and the replica's limit."""
+        headers = {"Server-Leaving": "1"} if self.faults.says_leaving else {}
         if self.faults.limit_per_s >= 0:
-            said["Server-Limit"] = f"{self.faults.limit_per_s:g}"
-        return said
+            headers["Server-Limit"] = f"{self.faults.limit_per_s:g}"
+        return headers
 
 
 def encode_event(number: int) -> bytes:
-    """Give one event of a stream."""
+    """Encode one event of a stream in the server-sent events format."""
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
 def whole_stream() -> bytes:
-    """Give the body of a whole stream."""
+    """Return the body of a complete stream."""
     return b"".join(encode_event(number) for number in range(EVENTS_PER_STREAM))
 
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/serving.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/serving.py
@@ -14,7 +14,7 @@
 def parser(text: str) -> argparse.ArgumentParser:
     """Make the argument parser that all stand-ins share.
 
-    :param text: what the stand-in is.
+    :param text: description of the stand-in.
     :rtype: argparse.ArgumentParser
     """
     made = argparse.ArgumentParser(description=text)
@@ -45,18 +45,18 @@
 class Control:
     """The control route: switch faults at run time and read counts.
 
-    :param target: an object whose public attributes are the faults.
+    :param target: an object with a ``faults`` attribute and a ``counts`` method.
     """
 
     def __init__(self, target: Any) -> None:
         self._target = target
 
     async def on_get(self, _: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Read the counts."""
+        """Return the counts."""
         resp.media = self._target.counts()
 
     async def on_put(self, req: falcon.asgi.Request, resp: falcon.asgi.Response) -> None:
-        """Set faults by name."""
+        """Set faults by name; an unknown name is answered with 400."""
         for name, value in (await req.get_media()).items():
             if not hasattr(self._target.faults, name):
                 raise falcon.HTTPBadRequest(description=f"no fault {name!r}")
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/__init__.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/__init__.py
@@ -1,6 +1,6 @@
 """
 chalkyoke_fakes.soak
 
-Random faults from outside against real node processes, while clients ask; what must always hold is
-checked from what callers and replicas saw.
+Inject random faults from outside into real node processes while callers send requests, and check
+the system's promises from the records of callers and replicas.
 """
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/checkers.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/checkers.py
@@ -1,7 +1,7 @@
 """
 chalkyoke_fakes.soak.checkers
 
-What must always hold, judged from observations alone. Each checker lists what it found broken.
+Check the system's promises from the records of a run alone. Each checker lists its violations.
 """
 
 from collections import Counter
@@ -19,33 +19,37 @@
 from chalkyoke_fakes.soak.plan import Fault
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+# A draining replica may still get requests for this long after its announcement.
 DRAIN_GRACE_S = 3.0
+# A node may have outdated state for this long after a fault.
 FAULT_AFTERMATH_S = 4.0
 DEADLINE_SLACK_S = 1.5
 MAX_RECOVERY_S = 12.0
-# How long all nodes have to know a request that ends replicas, and what is allowed after that.
+# The time in which all nodes must learn of a request that ends replicas, in seconds, and the number
+# of its runs that are allowed after that.
 QUARANTINE_SPREAD_S = 3.0
 MAX_LATER_RUNS = 3
-# How long after an answer that said so a replica gets nothing more of the node that passed it on,
-# and how many requests a node may send to a replica in a time of rest, from its first half second
-# on; both as operators allow it.
+# A node that forwarded an answer announcing that a replica leaves sends that replica nothing more
+# after ``LEAVING_GRACE_S``. After a ``Retry-After`` a node may send a replica at most
+# ``MAX_REQUESTS_IN_RETRY_AFTER`` requests until the time is over, not counting the first half
+# second. These are the operators' requirements.
 LEAVING_GRACE_S = 2.0
 RETRY_AFTER_GRACE_S = 0.5
 MAX_REQUESTS_IN_RETRY_AFTER = 2
-# Faults after which a node has forgotten, or did not notice for a while.
+# Faults in which a node loses its state or receives nothing for a while.
 NODE_OUTAGE_PREFIXES = ("node_", "all_", "roll")
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One promise that did not hold."""
+    """One violation of a promise."""
 
     promise: str
     detail: str
 
 
 def runs_once(observations: Observations) -> list[Violation]:
-    """A request that may not be repeated runs at most once."""
+    """Check that a request that may not be repeated runs at most once."""
     runs = Counter(each.request for each in observations.runs)
     single = (each for each in observations.attempts if not each.kind.repeatable)
     return [
@@ -56,7 +60,7 @@
 
 
 def not_run_answers_are_true(observations: Observations) -> list[Violation]:
-    """A caller that is told "not run" had no run."""
+    """Check that a non-repeatable request that was answered "not run" did not run."""
     runs = Counter(each.request for each in observations.runs)
     return [
         Violation("not run is true", f"{each.request} got {each.status} and ran")
@@ -66,7 +70,10 @@
 
 
 def answers_are_complete_and_own(observations: Observations) -> list[Violation]:
-    """An answer that looks whole is the whole answer to its own request."""
+    """Check that an answer that looks complete is the complete answer to its own request.
+
+    An incomplete stream must be a prefix of the complete one.
+    """
     return [
         Violation("whole and own", f"{each.request}: {each.status}, {each.body[:60]!r}")
         for each in observations.attempts
@@ -74,24 +81,24 @@
     ]
 
 
-def _matches_request(asked: CallerAttempt, stream: bytes) -> bool:
-    if not asked.kind.streams:
-        return not asked.complete or asked.body.endswith(f" did {asked.request}".encode())
-    return asked.body == stream if asked.complete else stream.startswith(asked.body)
+def _matches_request(attempt: CallerAttempt, stream: bytes) -> bool:
+    if not attempt.kind.streams:
+        return not attempt.complete or attempt.body.endswith(f" did {attempt.request}".encode())
+    return attempt.body == stream if attempt.complete else stream.startswith(attempt.body)
 
 
 def runs_have_a_caller(observations: Observations) -> list[Violation]:
-    """No replica runs what nobody has asked for."""
-    asked = {each.request for each in observations.attempts}
+    """Check that each request that a replica ran was sent by a caller."""
+    sent = {each.request for each in observations.attempts}
     return [
         Violation("asked for", f"{each.request} ran at {each.replica}")
         for each in observations.runs
-        if each.request not in asked
+        if each.request not in sent
     ]
 
 
 def versions_never_decrease(observations: Observations) -> list[Violation]:
-    """The configuration of a process never goes back."""
+    """Check that no process goes back to an older version of the configuration."""
     return [
         Violation("versions rise", f"{process}: {versions}")
         for process, versions in observations.versions.items()
@@ -100,9 +107,9 @@
 
 
 def draining_replicas_get_no_requests(observations: Observations) -> list[Violation]:
-    """A replica that leaves gets no request some seconds after it said so.
+    """Check that a draining replica gets no request :data:`DRAIN_GRACE_S` after its announcement.
 
-    Only where no fault was near: a node that is out of touch can't know.
+    Drains with a fault near them are skipped, since a disconnected node cannot know of the drain.
     """
     return [
         Violation("drain", f"{run.request} ran at {each.replica} {run.at - each.at:.1f} s after")
@@ -120,10 +127,11 @@
 
 
 def drains_survive_store_restores(observations: Observations) -> list[Violation]:
-    """A replica that leaves gets no request some seconds after, though the store was restored.
+    """Check that a draining replica gets no request although the store was restored.
 
-    Counted from when it was written again, where it was written while the store was away. Only
-    where no node and no link was at fault, nor the store in another way.
+    The time counts from when the lost records were written again, if a restore ended less than
+    :data:`DRAIN_GRACE_S` after the drain began. Drains near a fault of a node, of a link or another
+    fault of the store are skipped.
     """
     violations: list[Violation] = []
     for each in observations.drains:
@@ -155,19 +163,20 @@
 
 
 def leaving_answers_are_respected(observations: Observations) -> list[Violation]:
-    """A node sends a replica nothing more some time after it passed on that the replica leaves.
+    """Check that a node that forwarded a replica's leaving announcement stops sending to it.
 
-    A node that was frozen, killed or stopped since then is excused.
+    A node that was frozen, killed or stopped since then is exempt, and so is a replica that has
+    restarted since then.
     """
     violations: list[Violation] = []
-    asked = {each.request: each for each in observations.attempts}
-    told: dict[tuple[str, str], float] = {}
+    attempts = {each.request: each for each in observations.attempts}
+    announced_at: dict[tuple[str, str], float] = {}
     for each in sorted(observations.attempts, key=lambda each: each.ended):
         if each.leaving_replica:
-            told.setdefault((each.node, each.leaving_replica), each.ended)
+            announced_at.setdefault((each.node, each.leaving_replica), each.ended)
     for run in observations.runs:
-        sent = asked.get(run.request)
-        since = told.get((sent.node, run.replica)) if sent is not None else None
+        sent = attempts.get(run.request)
+        since = announced_at.get((sent.node, run.replica)) if sent is not None else None
         if sent is None or since is None or sent.began <= since + LEAVING_GRACE_S:
             continue
         is_other_start = any(
@@ -182,7 +191,10 @@
 
 
 def retry_after_is_respected(observations: Observations) -> list[Violation]:
-    """A replica that asked a node for rest has few requests of it until that is over."""
+    """Check that a node respects ``Retry-After``: few requests reach the replica until it is over.
+
+    A node with an outage or a link fault meanwhile is exempt.
+    """
     violations: list[Violation] = []
     nodes = {each.request: each.node for each in observations.attempts}
     arrivals: dict[tuple[str, str], list[float]] = {}
@@ -208,9 +220,9 @@
 
 
 def replica_limits_are_respected(observations: Observations) -> list[Violation]:
-    """A replica gets from the nodes that it told what operators allow beside its limit.
+    """Check that the nodes that know a replica's limit send no more than the limit allows.
 
-    What a node sent around a restart, a freeze or a cut of its own does not count.
+    Requests that a node sent around its own restart, freeze or link fault do not count.
     """
 
     def excused(node: str, at: float) -> bool:
@@ -218,13 +230,18 @@
             node, (*NODE_OUTAGE_PREFIXES, "links_"), at - FAULT_AFTERMATH_S, at, observations
         )
 
-    return [Violation("limits", what) for what in describe_exceeded_windows(observations, excused)]
+    return [
+        Violation("limits", detail) for detail in describe_exceeded_windows(observations, excused)
+    ]
 
 
 def _node_had_fault(
     node: str, kinds: tuple[str, ...], began: float, ended: float, observations: Observations
 ) -> bool:
-    """Tell whether a fault of some kinds struck a node meanwhile."""
+    """Check whether a fault of some kinds affected a node within a period.
+
+    :param kinds: prefixes of the names of faults.
+    """
     return any(
         each.target == node and each.fault.startswith(kinds) and each.overlaps(began, ended)
         for each in observations.faults
@@ -232,7 +249,10 @@
 
 
 def deadlines_hold(observations: Observations) -> list[Violation]:
-    """A node that nothing is the matter with ends each request by its deadline."""
+    """Check that a node without a fault of its own ends each request by its deadline.
+
+    :data:`DEADLINE_SLACK_S` is allowed beyond the deadline.
+    """
     return [
         Violation(
             "deadlines", f"{each.request} took {each.ended - each.began:.1f} s at {each.node}"
@@ -247,9 +267,9 @@
 
 
 def quotas_hold(observations: Observations) -> list[Violation]:
-    """No window sees more of a team's requests than its quota allows.
+    """Check that no window contains more of a team's requests than its quota allows.
 
-    A request counts once it was both sent and run within the window.
+    A request counts if it was both sent and run within the window.
     """
     violations: list[Violation] = []
     began = {each.request: each.began for each in observations.attempts}
@@ -265,7 +285,7 @@
 
 
 def _max_spans_in_window(spans: list[tuple[float, float]], window_s: float) -> int:
-    """Count the most spans that lie whole in any window; ``spans`` are sorted by their begin."""
+    """Count the most spans that lie wholly in one window; ``spans`` are sorted by their start."""
     most = 0
     for index, (start, _) in enumerate(spans):
         inside = sum(1 for _, end in spans[index:] if end <= start + window_s)
@@ -274,7 +294,7 @@
 
 
 def retries_stay_within_budget(observations: Observations) -> list[Violation]:
-    """Arrivals beyond the first of each request stay within the budget of each service."""
+    """Check that arrivals beyond the first of each request stay within the service's budget."""
     limit = observations.retry_limit
     violations: list[Violation] = []
     for service in {each.service for each in observations.runs}:
@@ -297,10 +317,10 @@
 
 
 def crashing_requests_are_held_back(observations: Observations) -> list[Violation]:
-    """A request under which replicas end reaches few more once all nodes could know of it.
+    """Check that a request that ends replicas is held back once all nodes could know of it.
 
-    Each run under it ends a replica here, so the third run is the third end. Only where no node or
-    link was at fault: who is out of touch can't know.
+    Each of its runs ends a replica here, so the third run is the third end. Periods with a fault of
+    a node, a link or the store are skipped, since a disconnected node cannot know of the request.
     """
     violations: list[Violation] = []
     bodies = {each.body for each in observations.runs if each.body.startswith(b"crashing-")}
@@ -319,7 +339,7 @@
 def _had_infrastructure_fault(
     began: float, ended: float, observations: Observations, but: str = ""
 ) -> bool:
-    """Tell whether a node, a link or the store was at fault.
+    """Check whether a node, a link or the store had a fault within or shortly before a period.
 
     :param but: a kind of fault that does not count.
     """
@@ -333,7 +353,7 @@
 
 
 def service_recovers(observations: Observations) -> list[Violation]:
-    """All nodes serve again soon after the last fault."""
+    """Check that all nodes serve again within :data:`MAX_RECOVERY_S` after the last fault."""
     if observations.recovered_s is not None and observations.recovered_s <= MAX_RECOVERY_S:
         return []
     return [Violation("recovery", f"after {observations.recovered_s} s")]
@@ -361,7 +381,7 @@
     service_recovers,
 )
 CHECKERS = SAFETY_CHECKERS + TIMED_CHECKERS
-# What an old build can be asked for beside a new one; it does not hear what answers say.
+# Old builds ignore the announcements in answers, so these promises do not hold for a mixed fleet.
 NEW_VERSION_CHECKERS = (
     drains_survive_store_restores,
     leaving_answers_are_respected,
@@ -374,5 +394,5 @@
 def run_checkers(
     observations: Observations, checkers: Iterable[Checker] = CHECKERS
 ) -> list[Violation]:
-    """Apply checkers; those of :data:`SAFETY` hang on no clock."""
+    """Run checkers; the results of :data:`SAFETY_CHECKERS` do not depend on timing."""
     return [violations for checker in checkers for violations in checker(observations)]
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/fleet.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/fleet.py
@@ -1,8 +1,8 @@
 """
 chalkyoke_fakes.soak.fleet
 
-The stand-in fleet with a relay before the links of each node, between each node and the store, and
-before each replica.
+The stand-in fleet with a relay in front of the links of each node, between each node and the store,
+and in front of each replica.
 """
 
 import itertools
@@ -14,6 +14,8 @@
 from chalkyoke_fakes.replica import Replica
 from chalkyoke_fakes.soak.relay import Relay
 
+# The quota of one team, as a rate, a burst of requests, an allowed excess as a share and a slack in
+# requests, and the retry budget of each service, as a slack in requests and a share of requests.
 QUOTA_TEAM = "kiosks"
 QUOTA_KEY = "kiosks-key"
 QUOTA_RATE_PER_S = 6.0
@@ -27,10 +29,12 @@
 
 
 class SoakFleet(PlatformFleet):
-    """A fleet whose every connection can be harmed from outside.
+    """A fleet in which faults can be injected into every connection from outside.
 
-    :param old: folder of the packages of another build, with which all nodes begin.
-    :ivar past: replicas that are gone.
+    :param replicas_each: replicas of each service in each failure domain.
+    :param old: folder of the packages of another build, with which all nodes start; None for this
+        build.
+    :ivar removed_replicas: replicas that were replaced by a new incarnation.
     """
 
     def __init__(
@@ -108,15 +112,15 @@
         self.replicas[name] = replica
 
     def choose_build(self, name: str, *, is_new: bool) -> None:
-        """Let a node run the new or the old build from its next start on."""
+        """Set the build that a node runs from its next start on."""
         self.nodes[name].source = None if is_new else self._old
 
     def replica_at(self, place: str) -> Replica:
-        """Give the replica that serves at a place now."""
+        """Return the replica that currently serves at a place."""
         return next(each for each in self.replicas.values() if _place_of(each) == place)
 
     async def replace_replica(self, replica: Replica) -> None:
-        """Start another incarnation at a replica's place; the old one is gone."""
+        """Remove a replica and start another incarnation at its place."""
         place = _place_of(replica)
         del self.replicas[replica.id]
         self.removed_replicas.append(replica)
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/injector.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/injector.py
@@ -1,7 +1,7 @@
 """
 chalkyoke_fakes.soak.injector
 
-Do the faults of a plan to a fleet, from outside.
+Inject the faults of a plan into a fleet, from outside.
 """
 
 import asyncio
@@ -19,52 +19,56 @@
 RESTART_DELAY_S = 0.3
 STOP_TIMEOUT_S = 12.0
 LEAVING_S = 2.5
-# What a replica asks for that wants rest, in seconds.
+# The ``Retry-After`` that a replica sends while it sheds, in seconds.
 RETRY_AFTER_S = 3.0
-# What a replica takes that names a limit, in requests a second, one value after the other, and for
-# how long each at least, in seconds: windows that are judged begin 3 s after the first word.
+# The limits that a replica announces one after the other, in requests a second, and the shortest
+# period of each, in seconds. It exceeds 3 s, since checked windows begin 3 s after the first
+# announcement.
 LIMITS_PER_S = (1.0, 0.5)
 MIN_LIMIT_PERIOD_S = 4.0
+# The number of requests or writes that a counted fault affects, and a number that is never used up.
 FAULT_COUNT = 3
 UNLIMITED_COUNT = 1_000_000
+# Delay of a chunk on a slow link, share of lost chunks, and added latency of a slow store's calls.
 SLOW_LINK_S = 0.2
 LOST_CHUNK_SHARE = 0.05
 SLOW_STORE_S = 0.4
+# A fault counts as active for this long after its end.
 AFTERMATH_S = 1.0
-# How long the store is away when it comes back from a copy, and how soon after that operators and
-# replicas write again what was lost, in seconds.
+# How long the store is down for a restore from a snapshot, and how soon after that operators and
+# replicas write the lost records again, in seconds.
 RESTORE_OUTAGE_S = 0.5
 REWRITE_DELAY_S = 0.5
 
 
 class Injector:
-    """Strike a fleet.
+    """Inject faults into a fleet.
 
-    :param seen: faults are noted here, for the checkers.
-    :param now: seconds since the run began.
-    :param send_crashing: lets callers send a body for some seconds.
-    :ivar struck: nodes, places of replicas and the store, where something is done to them now.
+    :param observations: receives the records of the faults, for the checkers.
+    :param now: returns the seconds since the run began.
+    :param send_crashing: makes callers send a body for some seconds.
+    :ivar active_targets: nodes, places of replicas and the store that currently have a fault.
     """
 
     def __init__(
         self,
         fleet: SoakFleet,
-        seen: Observations,
+        observations: Observations,
         now: Callable[[], float],
         send_crashing: Callable[[bytes, float], None],
     ) -> None:
         self._fleet = fleet
-        self._seen = seen
+        self._observations = observations
         self._now = now
         self.send_crashing = send_crashing
         self.active_targets: set[str] = set()
         self._version = 1
 
     async def inject_fault(self, step: FaultStep) -> None:
-        """Do one fault and undo it; one at a time for each node, replica and the store."""
+        """Apply one fault and end it; a fault is skipped while its target has another one."""
         place = step.target or "store"
         if step.fault is Fault.REPLICA_LIMITS:
-            # What it says of its limit goes beside whatever else strikes it.
+            # An announced limit may overlap with any other fault of the same replica.
             place = f"{place}, limit"
         if place in self.active_targets or (step.fault is Fault.ALL_KILL and self.active_targets):
             return
@@ -77,7 +81,7 @@
             self._record_fault(step, place, began)
 
     async def roll_node(self, step: RollStep) -> None:
-        """Replace a host by one of the other build; waits until nothing else strikes it."""
+        """Replace a host by one of the other build, once no other fault is active on it."""
         while step.node in self.active_targets:
             await asyncio.sleep(0.05)
         self.active_targets.add(step.node)
@@ -90,14 +94,16 @@
             await self._fleet.wait_until_ready(step.node)
         finally:
             self.active_targets.discard(step.node)
-            self._seen.faults.append(FaultPeriod(ROLL, step.node, began, self._now() + AFTERMATH_S))
+            self._observations.faults.append(
+                FaultPeriod(ROLL, step.node, began, self._now() + AFTERMATH_S)
+            )
 
     def _record_fault(self, step: FaultStep, place: str, began: float) -> None:
         if step.fault is Fault.CONFIGURE:
             return
         places = list(self._fleet.nodes) if step.fault is Fault.ALL_KILL else [place]
         for each in places:
-            self._seen.faults.append(
+            self._observations.faults.append(
                 FaultPeriod(step.fault, each, began, self._now() + AFTERMATH_S)
             )
 
@@ -202,7 +208,7 @@
         faults.slow_s, faults.lose_writes = 0.0, 0
 
     async def _restore_store(self, step: FaultStep) -> None:
-        """Let the store lose its last seconds, be away for a moment and come back from a copy."""
+        """Restore the store from a snapshot after a short outage; its last writes are lost."""
         store = self._fleet.store
         copied = store.take_snapshot()
         await asyncio.sleep(step.duration_s)
@@ -212,7 +218,7 @@
         store.faults.down = False
         await asyncio.sleep(REWRITE_DELAY_S)
         await store.rewrite_lost_writes()
-        self._seen.restore_times.append(self._now())
+        self._observations.restore_times.append(self._now())
 
     # Replicas.
 
@@ -250,18 +256,20 @@
             setattr(faults, counts[step.fault], 0)
 
     async def _announce_limits(self, replica: Replica, step: FaultStep) -> None:
-        """Let it name a limit, then a lower one, then none, and take whatever comes."""
+        """Let a replica announce a limit, then a lower one, then none, without enforcing them."""
         for limit_per_s in LIMITS_PER_S:
             name, began = replica.id, self._now()
             replica.faults.limit_per_s = limit_per_s
             await asyncio.sleep(MIN_LIMIT_PERIOD_S + step.duration_s)
-            self._seen.limit_periods.append(LimitPeriod(name, began, self._now(), limit_per_s))
+            self._observations.limit_periods.append(
+                LimitPeriod(name, began, self._now(), limit_per_s)
+            )
         replica.faults.limit_per_s = -1.0
 
     async def _send_crashing_body(self, step: FaultStep) -> None:
-        """Let replicas end under the requests with one body, which callers send from now on."""
-        self._seen.crashing_bodies += 1
-        body = b"crashing-%d" % self._seen.crashing_bodies
+        """Make all replicas exit under requests with one body, and let callers send that body."""
+        self._observations.crashing_bodies += 1
+        body = b"crashing-%d" % self._observations.crashing_bodies
         replicas = list(self._fleet.replicas.values())
         for replica in replicas:
             replica.faults.crash_bodies |= {body}
@@ -270,7 +278,7 @@
         await asyncio.sleep(step.duration_s)
 
     async def _write_foreign_records(self, step: FaultStep) -> None:
-        """Write records that no replica has written, one of them over a living one's."""
+        """Write unreadable or foreign replica records, one of them over a live replica's record."""
         store = self._fleet.store
         replica = next(iter(self._fleet.replicas.values()))
         await store.put("servers/other-1", b"\xff\x00")
@@ -282,7 +290,7 @@
         await store.remove("servers/other-2")
 
     async def _crash_replica(self, replica: Replica) -> None:
-        """Crash one; another incarnation comes back at its address, and its record goes later."""
+        """Crash a replica and replace it at its address; the old record is removed 1 s later."""
         await replica.crash()
         await asyncio.sleep(RESTART_DELAY_S)
         await self._fleet.replace_replica(replica)
@@ -290,7 +298,7 @@
         await self._fleet.store.remove(f"servers/{replica.id}")
 
     async def _announce_leaving(self, replica: Replica, step: FaultStep) -> None:
-        """Let it say in its answers only that it leaves, serve on, and end."""
+        """Let a replica announce only in its answers that it leaves, serve on and then end."""
         replica.faults.says_leaving = True
         await asyncio.sleep(LEAVING_S + step.duration_s)
         await replica.crash()
@@ -299,7 +307,7 @@
 
     async def _drain_replica(self, replica: Replica) -> None:
         await replica.write_record("draining")
-        self._seen.drains.append(DrainStart(replica.id, self._now()))
+        self._observations.drains.append(DrainStart(replica.id, self._now()))
         await asyncio.sleep(LEAVING_S * 2.6)
         await replica.crash()
         await self._fleet.store.remove(f"servers/{replica.id}")
@@ -308,7 +316,7 @@
     # The operators.
 
     async def _change_configuration(self) -> None:
-        """Write a new version, in which one route has moved to and fro."""
+        """Write a new configuration version, in which the timeout of one route changes."""
         self._version += 1 + self._version % 3
         changed = default_configuration(self._version)
         changed["tenants"] = self._fleet.tenants
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/limits.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/limits.py
@@ -1,8 +1,8 @@
 """
 chalkyoke_fakes.soak.limits
 
-What operators allow beyond the limits that replicas name in their answers, summed over the nodes
-that have passed on such an answer.
+Check the limits that replicas announce in their answers. Requests are summed over the nodes that
+have forwarded such an answer, and operators allow some excess.
 """
 
 import math
@@ -10,20 +10,21 @@
 
 from chalkyoke_fakes.soak.observations import Observations, Rejection, ReplicaRun
 
-# Windows begin so long after a replica first named its limit, in seconds.
+# The first window begins this many seconds after a replica first announced its limit.
 LIMIT_GRACE_S = 3.0
-# A node counts from so long after it passed on an answer that names a limit, in seconds.
+# A node's requests count from this many seconds after it forwarded an answer with a limit.
 NODE_GRACE_S = 0.5
-# What a window may see: so many times the limit, and so many requests.
+# A window of this many seconds may contain ``MAX_LIMIT_FACTOR`` times the limit plus
+# ``SLACK_REQUESTS`` requests.
 WINDOW_S = 4.0
 MAX_LIMIT_FACTOR = 1.5
 SLACK_REQUESTS = 5
 
 
 def max_allowed_requests(limit_per_s: float) -> int:
-    """Give the most requests that a window may see.
+    """Return the most requests that are allowed in one window.
 
-    :param limit_per_s: the highest limit that was named within it.
+    :param limit_per_s: the highest limit announced within the window, in requests a second.
     """
     return math.floor(MAX_LIMIT_FACTOR * limit_per_s * WINDOW_S + SLACK_REQUESTS)
 
@@ -33,11 +34,11 @@
     known_since: Mapping[str | int, float],
     first: float,
 ) -> int:
-    """Count the most requests that reached one replica within a window.
+    """Count the most requests that reached one replica within any window.
 
-    :param arrivals: when requests reached it, and the nodes that sent them.
-    :param told: when each node had first passed on an answer that names a limit.
-    :param first: when the replica first named one.
+    :param arrivals: when requests reached the replica, and the nodes that sent them.
+    :param known_since: when each node first forwarded an answer with a limit.
+    :param first: when the replica first announced a limit.
     """
     counted = sorted(
         at
@@ -56,9 +57,9 @@
 def describe_exceeded_windows(
     observations: Observations, excused: Callable[[str, float], bool]
 ) -> list[str]:
-    """Word the windows that saw more than is allowed, one at most for each time of a limit.
+    """Describe the windows with more requests than allowed, at most one for each limit period.
 
-    :param excused: tells whether what a node sent at a moment does not count.
+    :param excused: returns whether a request that a node sent at a given time does not count.
     """
     nodes = {each.request: each.node for each in observations.attempts}
     known_since: dict[str, dict[str | int, float]] = {}
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/observations.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/observations.py
@@ -1,7 +1,7 @@
 """
 chalkyoke_fakes.soak.observations
 
-What callers, replicas and logs showed during a run. All times are seconds since the run began.
+The records of a run, from callers, replicas and logs. All times are seconds since the run began.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class Kind(StrEnum):
-    """What a request may bear."""
+    """The kind of a request: whether it may be repeated, and whether its answer is a stream."""
 
     ONCE = "once"
     REPEATABLE = "repeatable"
@@ -18,23 +18,23 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self in (Kind.REPEATABLE, Kind.RESUMABLE)
 
     @property
     def streams(self) -> bool:
-        """Whether its answer is a series of events."""
+        """Whether the answer is a stream of events."""
         return self in (Kind.STREAM, Kind.RESUMABLE)
 
 
 @dataclass(frozen=True, slots=True)
 class CallerAttempt:
-    """One attempt of a caller and what came of it.
+    """One request of a caller and its answer.
 
-    :param status: 0 where no answer came.
-    :param whole: whether the answer ended as an answer ends.
-    :param leaving: the replica whose answer this was, where the answer said that it leaves.
-    :param limited: the replica whose answer this was, where the answer named a limit.
+    :param status: HTTP status of the answer; 0 where no answer came.
+    :param complete: whether the answer arrived up to its regular end.
+    :param leaving_replica: the replica that answered, where its answer announced that it leaves.
+    :param limiting_replica: the replica that answered, where its answer announced a limit.
     """
 
     request: str
@@ -53,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A replica answered that it has not run a request.
+    """A replica's answer that it has not run a request.
 
-    :param rest_s: for how long it asked for rest; 0 where it did not.
+    :param retry_after_s: the ``Retry-After`` of the answer, in seconds; 0 where it had none.
     """
 
     request: str
@@ -66,9 +66,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitPeriod:
-    """A replica named a limit for some time.
+    """A period in which a replica announced one limit.
 
-    :param limit_per_s: requests a second that it said it takes from all nodes.
+    :param limit_per_s: the announced limit for all nodes together, in requests a second.
     """
 
     replica: str
@@ -91,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPeriod:
-    """A time in which something was at fault.
+    """A period in which a fault was active.
 
-    :param what: the kind of fault.
-    :param target: the node, replica or ``store`` that it struck.
+    :param fault: the kind of fault.
+    :param target: the node, replica or ``store`` that the fault affected.
     """
 
     fault: str
@@ -103,13 +103,13 @@
     ended: float
 
     def overlaps(self, began: float, ended: float) -> bool:
-        """Tell whether it overlaps with another time."""
+        """Check whether this period overlaps with another one; the ends are included."""
         return self.began <= ended and began <= self.ended
 
 
 @dataclass(frozen=True, slots=True)
 class DrainStart:
-    """A replica declared that it leaves."""
+    """The moment at which a replica's record announced that it leaves."""
 
     replica: str
     at: float
@@ -117,7 +117,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """What a team may have within a window: ``(rate * window + burst) * (1 + over) + slack``."""
+    """A team's quota for one window.
+
+    :param max_requests: ``(rate * window + burst) * (1 + over) + slack``.
+    """
 
     team: str
     max_requests: float
@@ -126,7 +129,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLimit:
-    """How many arrivals beyond the first of each request a service may get in a window."""
+    """The retry budget of a service: arrivals beyond the first of each request in a window.
+
+    :param ratio: retries allowed for each first arrival.
+    :param slack: retries allowed in addition.
+    """
 
     ratio: float
     slack: float
@@ -135,16 +142,19 @@
 
 @dataclass
 class Observations:
-    """All that a run showed.
+    """All records of a run.
 
     :ivar versions: for each process, the configuration versions that it logged, in order.
-    :ivar recovered_s: how long after the last fault all nodes served again; nothing where not.
-    :ivar turned_away: what replicas have not run.
-    :ivar limited: the limits that replicas have named.
-    :ivar ends: when replicas have ended by themselves; each is back under its id as a new start.
-    :ivar crashing: how many bodies there were that end replicas.
-    :ivar restored: when the store came back from a copy, and its writers wrote again.
-    :ivar stream: the body of a whole stream.
+    :ivar recovered_s: how long after the last fault all nodes served again; None where they did
+        not.
+    :ivar rejections: requests that replicas rejected without running them.
+    :ivar limit_periods: the limits that replicas announced.
+    :ivar replica_exits: when replicas exited by themselves; each returns under its id as a new
+        start.
+    :ivar crashing_bodies: the number of request bodies that make replicas exit.
+    :ivar restore_times: when the store had been restored from a snapshot and its writers had
+        written the lost records again.
+    :ivar stream: the body of a complete stream.
     """
 
     attempts: list[CallerAttempt] = field(default_factory=list)
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/plan.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/plan.py
@@ -1,7 +1,7 @@
 """
 chalkyoke_fakes.soak.plan
 
-Which faults strike when: series that overlap, drawn from a seed.
+The fault plan of a run: overlapping series of faults, drawn from a seed.
 """
 
 import random
@@ -10,10 +10,10 @@
 
 
 class Fault(StrEnum):
-    """What may be done to a fleet.
+    """A kind of fault that the injector can apply to a fleet.
 
-    What is ``dead`` are the connections that are open: they carry nothing any more, for good and
-    without an end, while new ones work.
+    The ``*_dead`` kinds affect connections that are already open: they silently drop all data for
+    good without being closed, while new connections work.
     """
 
     NODE_FREEZE = "node_freeze"
@@ -57,7 +57,8 @@
 NODE_FAULTS = frozenset(each for each in Fault if each.startswith(("node_", "links_")))
 STORE_LINK_FAULTS = frozenset({Fault.STORE_CUT, Fault.STORE_DEAD, Fault.STORE_REFUSES})
 REPLICA_FAULTS = frozenset(each for each in Fault if each.startswith("replica_"))
-# Drawn from sources of their own, so that the plans of earlier seeds stay as they are beside them.
+# These groups are drawn from separate random sources, so that the plans of existing seeds do not
+# change. Each mask is XORed with the run's seed.
 LATER_FAULTS = (Fault.REPLICA_RETURNS, Fault.OTHER_WRITERS, Fault.CRASHING_REQUEST)
 LATER_SEED_MASK = 0x5EED
 ANSWER_FAULTS = (Fault.REPLICA_RESTS, Fault.REPLICA_SAYS_LEAVING)
@@ -68,11 +69,14 @@
 RESTORE_SEED_MASK = 0xE90C
 SEPARATELY_DRAWN_FAULTS = frozenset((*LATER_FAULTS, *ANSWER_FAULTS, *LIMIT_FAULTS, *RESTORE_FAULTS))
 BASE_FAULTS = tuple(each for each in Fault if each not in SEPARATELY_DRAWN_FAULTS)
-# Hosts are replaced one after the other by those of another build.
+# The name under which a roll (hosts replaced one by one by another build) is recorded as a fault.
 ROLL = "roll"
-# A roll goes forward, forward and back, or waits half-way; a step each so many seconds.
+# A roll goes forward, forward and back, or waits half-way. ``ROLL_GAP_S`` is the time between two
+# steps, ``MAX_HALF_WAY_S`` the longest wait half-way, both in seconds.
 ROLL_GAP_S = 0.8
 MAX_HALF_WAY_S = 4.0
+# The duration of a fault, the number of series of base faults, the mean pause between two faults of
+# a series and the time without faults at the start of a run.
 MIN_FAULT_S, MAX_FAULT_S = 0.4, 4.0
 SERIES_COUNT = 4
 MEAN_PAUSE_S = 1.0
@@ -81,10 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultStep:
-    """One fault.
+    """One planned fault.
 
-    :param at: when it begins, in seconds since the run began.
-    :param target: a node or a replica's place; empty where it strikes the store or all.
+    :param at: when the fault begins, in seconds since the run began.
+    :param target: a node or a replica's place; empty for the store or all nodes.
+    :param duration_s: how long the fault lasts, in seconds.
     """
 
     at: float
@@ -95,9 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RollStep:
-    """One host is replaced by one of the other build.
+    """The replacement of one host by one that runs the other build.
 
-    :param is_new: whether it runs the new build from then on.
+    :param at: when the host is replaced, in seconds since the run began.
+    :param is_new: whether the host runs the new build from then on.
     """
 
     at: float
@@ -106,7 +112,7 @@
 
 
 def draw_roll(seed: int, nodes: list[str]) -> list[RollStep]:
-    """Draw how nodes of the old build are rolled: forward, half-way and on, half-way and back."""
+    """Draw the steps of a roll from the old build: forward, or half-way and then on or back."""
     source = random.Random(seed ^ 0x2011)
     order = source.sample(nodes, len(nodes))
     half = len(order) // 2
@@ -131,10 +137,11 @@
 def draw_faults(
     seed: int, seconds: float, nodes: list[str], replicas: list[str]
 ) -> list[FaultStep]:
-    """Draw the faults of a run: some series, each one fault after the other.
+    """Draw the faults of a run: several overlapping series of consecutive faults.
 
+    :param seconds: the time before which each fault begins, in seconds since the run began.
     :param replicas: the places of replicas.
-    :return: in the order of their begin; none begins in the first :data:`QUIET_S`.
+    :return: the faults in order of their start; none starts in the first :data:`FAULT_FREE_S`.
     """
     source = random.Random(seed)
     steps: list[FaultStep] = []
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/play.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/play.py
@@ -1,7 +1,7 @@
 """
 chalkyoke_fakes.soak.play
 
-Play one seed: start a fleet, let callers ask while faults strike, and check what was seen.
+Play one seed: start a fleet, send requests while faults are injected, and check the records.
 """
 
 import asyncio
@@ -36,28 +36,30 @@
     "/chat/1": Kind.STREAM,
     "/explain/1": Kind.RESUMABLE,
 }
+# The deadline that callers send with each request, and the time after which they stop waiting.
 DEADLINE_S = 8.0
 CALLER_TIMEOUT_S = 20.0
-# The goal of the stand-in's routes, in seconds.
+# The time by which the first output of the stand-in's routes is due, in seconds.
 GOAL_S = 1.0
 RECOVERED_REQUESTS_IN_A_ROW = 3
 RECOVERY_TIMEOUT_S = 30.0
-# How often a request that ends replicas comes again, and for how long after its fault, in seconds.
+# The interval at which a request that ends replicas is repeated, and for how long it is repeated
+# after its fault has ended, in seconds.
 CRASHING_INTERVAL_S = 0.3
 CRASHING_EXTRA_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunConfig:
-    """How large a run is.
+    """The size and options of a run.
 
     :param zones: the failure domain of each node.
-    :param replicas_each: replicas of each service in each failure domain.
-    :param seconds: how long faults strike.
-    :param per_s: requests a second for each node.
-    :param old: folder of the packages of another build, from which the nodes are rolled to this one
-        while faults strike; nothing where all run this one.
-    :param calm: whether nothing strikes but the roll, to measure what callers notice of that.
+    :param replicas_per_zone: replicas of each service in each failure domain.
+    :param seconds: how long callers send requests; faults begin until 2 s before the end.
+    :param requests_per_s: requests a second for each node.
+    :param old_packages: folder of the packages of another build, from which the nodes are rolled to
+        this one while faults are injected; None where all nodes run this build.
+    :param calm: whether the roll is the only fault, to show its effect on callers.
     """
 
     zones: tuple[str, ...] = ("a", "b", "c")
@@ -70,43 +72,50 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOutcome:
-    """What came of a run."""
+    """The records of a run and the violations found in them."""
 
     seed: int
     observations: Observations
     violations: list[Violation]
 
     def summary(self) -> str:
-        """Say it in one line."""
-        seen = self.observations
-        good = sum(1 for each in seen.attempts if each.status == 200 and each.complete)
-        back = "never" if seen.recovered_s is None else f"{seen.recovered_s:.1f} s"
+        """Summarize the run in one line."""
+        observations = self.observations
+        good = sum(1 for each in observations.attempts if each.status == 200 and each.complete)
+        back = "never" if observations.recovered_s is None else f"{observations.recovered_s:.1f} s"
         return (
-            f"seed {self.seed}: {len(seen.attempts)} asked, {good} whole, {len(seen.runs)} runs, "
-            f"{len(seen.faults)} faults, {len(seen.drains)} drained, back after {back}, "
+            f"seed {self.seed}: {len(observations.attempts)} asked, {good} whole, "
+            f"{len(observations.runs)} runs, {len(observations.faults)} faults, "
+            f"{len(observations.drains)} drained, back after {back}, "
             f"{len(self.violations)} broken"
         )
 
 
-def count_caller_outcomes(seen: Observations) -> dict[str, int]:
-    """Count what callers noticed: who was refused, failed or late, of all that asked."""
-    told = {"asked": len(seen.attempts), "refused": 0, "over quota": 0, "failed": 0, "late": 0}
-    for each in seen.attempts:
+def count_caller_outcomes(observations: Observations) -> dict[str, int]:
+    """Count the refused, failed and late requests of all requests, and the reasons of refusals."""
+    counts = {
+        "asked": len(observations.attempts),
+        "refused": 0,
+        "over quota": 0,
+        "failed": 0,
+        "late": 0,
+    }
+    for each in observations.attempts:
         if each.status == 429:
-            told["over quota"] += 1
+            counts["over quota"] += 1
         elif each.status == 503:
-            told["refused"] += 1
+            counts["refused"] += 1
             reason = f"refused: {each.body.decode(errors='replace')}"
-            told[reason] = told.get(reason, 0) + 1
+            counts[reason] = counts.get(reason, 0) + 1
         elif each.status != 200 or not each.complete:
-            told["failed"] += 1
+            counts["failed"] += 1
         elif each.ended - each.began > GOAL_S:
-            told["late"] += 1
-    return told
+            counts["late"] += 1
+    return counts
 
 
 class SoakRun:
-    """One run of a seed over a fleet."""
+    """One run of a seed with a fleet."""
 
     def __init__(self, fleet: SoakFleet, seed: int, shape: RunConfig) -> None:
         self._fleet = fleet
@@ -116,21 +125,23 @@
         self._numbers = itertools.count(1)
         self._began = time.monotonic()
         self._crashing: list[asyncio.Task[None]] = []
-        self.seen = Observations(
+        self.observations = Observations(
             retry_limit=RetryLimit(fleets.RETRY_RATIO, fleets.RETRY_SLACK, fleets.RETRY_WINDOW_S),
             stream=whole_stream(),
         )
         rate = fleets.QUOTA_RATE_PER_S * fleets.QUOTA_WINDOW_S + fleets.QUOTA_BURST
         most = rate * (1.0 + fleets.QUOTA_OVER) + fleets.QUOTA_SLACK
-        self.seen.quotas.append(Quota(fleets.QUOTA_TEAM, most, fleets.QUOTA_WINDOW_S))
+        self.observations.quotas.append(Quota(fleets.QUOTA_TEAM, most, fleets.QUOTA_WINDOW_S))
 
     def elapsed_s(self) -> float:
-        """Give the seconds since the run began."""
+        """Return the seconds since the run began."""
         return time.monotonic() - self._began
 
     async def play_faults(self) -> Observations:
-        """Let callers ask while faults strike, then wait until all is well again."""
-        injector = Injector(self._fleet, self.seen, self.elapsed_s, self._start_crashing_caller)
+        """Send requests while faults are injected, then wait until all nodes serve again."""
+        injector = Injector(
+            self._fleet, self.observations, self.elapsed_s, self._start_crashing_caller
+        )
         callers = asyncio.create_task(self._run_callers(self._shape.seconds, injector))
         steps = draw_faults(
             self._seed,
@@ -147,9 +158,9 @@
         await callers
         await asyncio.gather(*self._crashing)
         await asyncio.gather(*strikes)
-        self.seen.recovered_s = await self._wait_for_recovery()
+        self.observations.recovered_s = await self._wait_for_recovery()
         self._collect_replica_records()
-        return self.seen
+        return self.observations
 
     async def _roll_nodes(self, injector: Injector) -> None:
         for step in draw_roll(self._seed, list(self._fleet.nodes)):
@@ -165,7 +176,7 @@
             path = self._random.choice(list(KIND_BY_PATH))
             nodes = list(self._fleet.nodes)
             if self._shape.calm:
-                # As behind a balancer, which sends nobody to a host that stops or starts.
+                # A load balancer sends no requests to a host that stops or starts.
                 nodes = [each for each in nodes if each not in injector.active_targets]
             node = self._random.choice(nodes)
             team = fleets.QUOTA_TEAM if self._random.random() < 0.4 else TEAM
@@ -177,7 +188,7 @@
         self._crashing.append(asyncio.create_task(self._repeat_crashing_request(body, seconds)))
 
     async def _repeat_crashing_request(self, body: bytes, seconds: float) -> None:
-        """Send one request again and again, at any node, for longer than nodes take to know it."""
+        """Repeat one request at random nodes for longer than the nodes need to quarantine it."""
         until = min(self.elapsed_s() + seconds + CRASHING_EXTRA_S, self._shape.seconds)
         path = self._random.choice(list(KIND_BY_PATH))
         while self.elapsed_s() < until:
@@ -202,7 +213,7 @@
             limited = replica if "server-limit" in got.headers else ""
         except TimeoutError:
             pass
-        self.seen.attempts.append(
+        self.observations.attempts.append(
             CallerAttempt(
                 name,
                 KIND_BY_PATH[path],
@@ -221,7 +232,10 @@
         return status
 
     async def _wait_for_recovery(self) -> float | None:
-        """Ask each node until it has answered some requests in a row."""
+        """Send requests to each node until it has answered some in a row.
+
+        :return: the seconds that this took; None if :data:`RECOVERY_TIMEOUT_S` passed first.
+        """
         began = self.elapsed_s()
         for node in self._fleet.nodes:
             row = 0
@@ -233,23 +247,27 @@
                 await asyncio.sleep(0.05)
         return self.elapsed_s() - began
 
-    # What the others saw.
+    # Records of replicas and logs.
 
     def _collect_replica_records(self) -> None:
         for replica in [*self._fleet.replicas.values(), *self._fleet.removed_replicas]:
-            self.seen.replica_exits[replica.id] = [at - self._began for at in replica.exit_times]
-            for seen in replica.rejected:
-                name, at = seen.headers["x-request-id"], seen.at - self._began
-                self.seen.rejections.append(Rejection(name, replica.id, at, seen.rest_s))
-            for seen in replica.seen:
-                self.seen.runs.append(
+            self.observations.replica_exits[replica.id] = [
+                at - self._began for at in replica.exit_times
+            ]
+            for received in replica.rejected:
+                name, at = received.headers["x-request-id"], received.at - self._began
+                self.observations.rejections.append(
+                    Rejection(name, replica.id, at, received.rest_s)
+                )
+            for received in replica.seen:
+                self.observations.runs.append(
                     ReplicaRun(
-                        seen.headers["x-request-id"],
+                        received.headers["x-request-id"],
                         replica.id,
                         replica.service,
-                        seen.headers.get("x-tenant", ""),
-                        seen.at - self._began,
-                        seen.body,
+                        received.headers.get("x-tenant", ""),
+                        received.at - self._began,
+                        received.body,
                     )
                 )
         for name in self._fleet.nodes:
@@ -266,25 +284,25 @@
             if entry.get("event") == "started":
                 process = entry["process"]
             elif entry.get("event") == "version":
-                self.seen.versions.setdefault(process, []).append(entry["version"])
+                self.observations.versions.setdefault(process, []).append(entry["version"])
 
 
 async def play_seed(seed: int, shape: RunConfig, keep: Path | None = None) -> RunOutcome:
-    """Play a seed.
+    """Play a seed and check the records of the run.
 
-    :param keep: where the logs of a run that broke something are kept.
+    :param keep: folder to which the logs of a run with violations are copied.
     """
     with tempfile.TemporaryDirectory(prefix="chalkyoke-soak-") as folder:
         async with SoakFleet(
             Path(folder), shape.zones, shape.replicas_per_zone, shape.old_packages
         ) as fleet:
-            seen = await SoakRun(fleet, seed, shape).play_faults()
+            observations = await SoakRun(fleet, seed, shape).play_faults()
         broken = run_checkers(
-            seen, CHECKERS if shape.old_packages is None else MIXED_VERSION_CHECKERS
+            observations, CHECKERS if shape.old_packages is None else MIXED_VERSION_CHECKERS
         )
         if broken and keep is not None:
             _copy_logs(Path(folder), keep / f"seed-{seed}")
-    return RunOutcome(seed, seen, broken)
+    return RunOutcome(seed, observations, broken)
 
 
 def _copy_logs(folder: Path, kept: Path) -> None:
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/relay.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/relay.py
@@ -1,8 +1,7 @@
 """
 chalkyoke_fakes.soak.relay
 
-A TCP relay on loopback that stands between two programs and can delay, hold back or reset what
-passes.
+A TCP relay on loopback between two programs. It can delay, hold back, drop or reset the traffic.
 """
 
 import asyncio
@@ -12,7 +11,7 @@
 
 CHUNK_BYTES = 65_536
 POLL_S = 0.02
-# When a system sends again what was not acknowledged, in seconds.
+# The delay of a lost segment: the time until the sender retransmits it, in seconds.
 RETRANSMIT_S = 0.2
 
 
@@ -20,10 +19,10 @@
 class RelayFaults:
     """Faults that can be switched at run time.
 
-    :ivar silent_to_target: bytes towards the target are held back until it is over.
-    :ivar silent_to_caller: bytes towards the caller are held back until it is over.
-    :ivar delay_s: each piece passes so much later.
-    :ivar lost_share: so many of the pieces pass only when they are sent again.
+    :ivar silent_to_target: bytes towards the target are held back while this is set.
+    :ivar silent_to_caller: bytes towards the caller are held back while this is set.
+    :ivar delay_s: delay of each chunk, in seconds.
+    :ivar lost_share: share of chunks (0 to 1) that pass only after a simulated retransmission.
     :ivar refuse: new connections are reset at once.
     """
 
@@ -35,9 +34,9 @@
 
 
 class Relay:
-    """Pass connections on to a target.
+    """Forward connections to a target.
 
-    :ivar target: ``ip:port``; it may change, for connections to come.
+    :ivar target: ``ip:port``; a change applies to new connections only.
     """
 
     def __init__(self, target: str = "") -> None:
@@ -60,16 +59,16 @@
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Reset all connections."""
+        """Abort all open connections; new ones are still accepted."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def silence_open_connections(self) -> None:
-        """Let all open connections go silent for good: what is sent on them is lost, both ways."""
+        """Drop all data on the open connections for good, both ways, without closing them."""
         self._silent |= self._writers
 
     def clear_faults(self) -> None:
-        """End all faults."""
+        """Clear all faults; connections that were silenced for good stay silent."""
         self.faults = RelayFaults()
 
     async def _relay_connection(
@@ -96,7 +95,7 @@
                 self._close_writers(writer, back)
 
     def _close_writers(self, *writers: asyncio.StreamWriter) -> None:
-        """Close both ends. Of a dead connection neither hears of the other's, until all stops."""
+        """Close both ends; connections silenced for good stay open until the relay stops."""
         for each in writers:
             self._writers.discard(each)
             with contextlib.suppress(ConnectionError):
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/store.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/store.py
@@ -2,8 +2,8 @@
 chalkyoke_fakes.store
 
 A stand-in for the platform's key-value service, in the wire format of Consul's KV HTTP API:
-compare-and-swap by modify index, blocking queries, sessions (leases); calls are counted and
-rate-limited, values are at most a megabyte.
+compare-and-swap by modify index, blocking queries and sessions (leases). Calls are counted and
+rate-limited, and a value has at most one megabyte.
 """
 
 import asyncio
@@ -26,9 +26,11 @@
 class Faults:
     """Faults that can be switched at run time.
 
-    :ivar outage: every call fails at once.
-    :ivar delay_s: every call takes so much longer.
-    :ivar lose_writes: so many writes take effect and their answers are lost.
+    :ivar outage: every call fails at once with 503.
+    :ivar delay_s: additional latency of every call, in seconds.
+    :ivar lose_writes: the number of writes that take effect and are answered with 500.
+    :ivar writes_per_s: rate limit of writes, in calls a second.
+    :ivar reads_per_s: rate limit of reads, in calls a second.
     """
 
     outage: bool = False
@@ -49,13 +51,19 @@
 
 @dataclass
 class Bucket:
-    """A token bucket of one second's calls."""
+    """A token bucket that holds the calls of one second.
+
+    :ivar filled: when tokens were last added, in seconds of the monotonic clock.
+    """
 
     tokens: float = 0.0
     filled: float = field(default_factory=time.monotonic)
 
     def try_take_call(self, rate: float) -> bool:
-        """Take one call, if the rate allows it."""
+        """Take one token, if there is one.
+
+        :param rate: calls a second, and the capacity of the bucket.
+        """
         now = time.monotonic()
         self.tokens = min(rate, self.tokens + (now - self.filled) * rate)
         self.filled = now
@@ -66,7 +74,10 @@
 
 
 class Store:
-    """The values, sessions, faults and counts."""
+    """The values, sessions, faults and counters.
+
+    :ivar sessions: time to live in seconds and expiry on the monotonic clock, by session.
+    """
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -81,11 +92,14 @@
         }
 
     def counts(self) -> dict[str, Any]:
-        """Count calls by kind."""
+        """Return the number of calls by kind and the number of keys."""
         return {**self.calls, "keys": len(self.entries)}
 
     async def admit(self, kind: str) -> None:
-        """Count a call, and fail it where a fault or the rate says so."""
+        """Count a call, and reject it during an outage (503) or above the rate limit (429).
+
+        :param kind: ``read`` or ``write``.
+        """
         self.calls[kind] += 1
         if self.faults.outage:
             raise falcon.HTTPServiceUnavailable(description="outage")
@@ -97,7 +111,7 @@
             await asyncio.sleep(self.faults.delay_s)
 
     def expire_sessions(self) -> None:
-        """End the sessions whose time to live is over, and free what they hold."""
+        """Remove expired sessions and release the keys that they hold."""
         now = time.monotonic()
         for name in [each for each, (_, until) in self.sessions.items() if until < now]:
             del self.sessions[name]
@@ -106,7 +120,12 @@
                     entry.session = ""
 
     async def write(self, key: str, value: bytes, cas: int | None, session: str) -> bool:
-        """Write a value if its index is still the expected one."""
+        """Write a value if its modify index is the expected one and no other session holds the key.
+
+        :param cas: the expected modify index, 0 for a new key; None writes without this condition.
+        :param session: session that acquires the key; empty for none.
+        :return: whether the value was written.
+        """
         self.expire_sessions()
         held = self.entries.get(key)
         if cas is not None and (held.index if held else 0) != cas:
@@ -122,13 +141,13 @@
 
 
 class KeyPage:
-    """One key."""
+    """The route of one key."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     async def on_get(self, req: falcon.asgi.Request, resp: falcon.asgi.Response, key: str) -> None:
-        """Read a value, or wait until its index is another."""
+        """Read a value; with ``index`` wait until the modify index differs from it."""
         store = self._store
         await store.admit("read")
         index = req.get_param_as_int("index")
@@ -178,7 +197,7 @@
 
 
 class SessionPage:
-    """Sessions: leases by another name."""
+    """The routes of sessions, which are Consul's leases."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
--- a/tests/test_children.py
+++ b/tests/test_children.py
@@ -1,7 +1,7 @@
 """
 tests.test_children
 
-What a stand-in fleet has started ends with it, also when the starter is killed.
+The processes that a stand-in fleet starts end with their parent, also when the parent is killed.
 """
 
 import os
@@ -22,7 +22,7 @@
 
 
 def is_running(pid):
-    """Whether a process is there; one that is only waited for counts as ended."""
+    """Check whether a process runs; a zombie counts as ended."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8")
     except FileNotFoundError:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,8 +1,8 @@
 """
 tests.test_soak
 
-Each checker of the soak goes red at a planted fault; the relay does what it is told; a short run of
-a fixed seed over real processes.
+Tests of the soak: each checker detects a planted violation, the relay injects its faults, and a
+short run with a fixed seed over real processes keeps the safety promises.
 """
 
 import asyncio
@@ -31,209 +31,223 @@
 SHORT = RunConfig(seconds=8.0, requests_per_s=6.0)
 
 
-def asked(request, kind=Kind.ONCE, began=1.0, ended=1.2, status=200, body=None, whole=True):
+def make_attempt(request, kind=Kind.ONCE, began=1.0, ended=1.2, status=200, body=None, whole=True):
     own = STREAM if kind.streams else f"s1 did {request}".encode()
     return CallerAttempt(
         request, kind, "n1", "t", began, ended, 8.0, status, own if body is None else body, whole
     )
 
 
-def ran(request, at=1.1, replica="s1"):
+def make_run(request, at=1.1, replica="s1"):
     return ReplicaRun(request, replica, "seats", "t", at)
 
 
-def sound():
-    """A run in which all is well, with something for each checker to look at."""
-    seen = Observations(stream=STREAM)
-    seen.attempts = [
-        asked("a"),
-        asked("b", Kind.REPEATABLE),
-        asked("c", Kind.STREAM),
-        asked("d", Kind.STREAM, body=STREAM[:30], whole=False),
-        asked("e", status=503, body=b"no replica"),
+def make_sound_run():
+    """Make the records of a run without violations, with data for each checker."""
+    observations = Observations(stream=STREAM)
+    observations.attempts = [
+        make_attempt("a"),
+        make_attempt("b", Kind.REPEATABLE),
+        make_attempt("c", Kind.STREAM),
+        make_attempt("d", Kind.STREAM, body=STREAM[:30], whole=False),
+        make_attempt("e", status=503, body=b"no replica"),
     ]
-    seen.runs = [ran("a"), ran("b"), ran("b", 1.15), ran("c"), ran("d")]
-    seen.faults = [FaultPeriod(Fault.NODE_KILL, "n2", 3.0, 4.0)]
-    seen.drains = [DrainStart("s1", 30.0)]
-    seen.versions = {"n1/1": [1, 3, 4], "n1/2": [4, 5]}
-    seen.quotas = [Quota("t", 6, 8.0)]
-    seen.retry_limit = RetryLimit(0.2, 3.0, 10.0)
-    return seen
+    observations.runs = [
+        make_run("a"),
+        make_run("b"),
+        make_run("b", 1.15),
+        make_run("c"),
+        make_run("d"),
+    ]
+    observations.faults = [FaultPeriod(Fault.NODE_KILL, "n2", 3.0, 4.0)]
+    observations.drains = [DrainStart("s1", 30.0)]
+    observations.versions = {"n1/1": [1, 3, 4], "n1/2": [4, 5]}
+    observations.quotas = [Quota("t", 6, 8.0)]
+    observations.retry_limit = RetryLimit(0.2, 3.0, 10.0)
+    return observations
 
 
-def run_twice(seen):
-    seen.runs.append(ran("a", 1.3))
+def run_twice(observations):
+    observations.runs.append(make_run("a", 1.3))
 
 
-def run_what_was_refused(seen):
-    seen.runs.append(ran("e"))
+def run_a_rejected_request(observations):
+    observations.runs.append(make_run("e"))
 
 
-def hand_out_another_answer(seen):
-    seen.attempts[0] = asked("a", body=b"s1 did x")
+def return_another_answer(observations):
+    observations.attempts[0] = make_attempt("a", body=b"s1 did x")
 
 
-def end_a_cut_stream_as_whole(seen):
-    seen.attempts[3] = asked("d", Kind.STREAM, body=STREAM[:30])
+def end_a_cut_stream_as_complete(observations):
+    observations.attempts[3] = make_attempt("d", Kind.STREAM, body=STREAM[:30])
 
 
-def join_two_runs_in_one_stream(seen):
-    seen.attempts[3] = asked("d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False)
+def join_two_runs_in_one_stream(observations):
+    observations.attempts[3] = make_attempt(
+        "d", Kind.STREAM, body=STREAM[:30] + STREAM[:30], whole=False
+    )
 
 
-def run_what_nobody_asked(seen):
-    seen.runs.append(ran("smuggled"))
+def run_an_unsent_request(observations):
+    observations.runs.append(make_run("smuggled"))
 
 
-def go_back_to_an_older_version(seen):
-    seen.versions["n1/1"].append(2)
+def go_back_to_an_older_version(observations):
+    observations.versions["n1/1"].append(2)
 
 
-def send_to_a_leaving_replica(seen):
-    seen.attempts.append(asked("late", began=33.4, ended=33.6))
-    seen.runs.append(ran("late", 33.5))
+def send_to_a_draining_replica(observations):
+    observations.attempts.append(make_attempt("late", began=33.4, ended=33.6))
+    observations.runs.append(make_run("late", 33.5))
 
 
-def hold_past_the_deadline(seen):
-    seen.attempts.append(asked("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
+def answer_after_the_deadline(observations):
+    observations.attempts.append(make_attempt("slow", Kind.REPEATABLE, began=5.0, ended=15.0))
 
 
-def pass_more_than_the_quota(seen):
+def run_more_than_the_quota(observations):
     for number in range(6):
-        seen.attempts.append(asked(f"q{number}"))
-        seen.runs.append(ran(f"q{number}"))
+        observations.attempts.append(make_attempt(f"q{number}"))
+        observations.runs.append(make_run(f"q{number}"))
 
 
-def repeat_too_often(seen):
+def exceed_the_retry_budget(observations):
     for number in range(5):
-        seen.runs.append(ran("b", 1.2 + number / 10))
+        observations.runs.append(make_run("b", 1.2 + number / 10))
 
 
-def never_come_back(seen):
-    seen.recovered_s = None
+def never_recover(observations):
+    observations.recovered_s = None
 
 
-def send_to_one_that_said_it_leaves(seen):
-    seen.attempts.append(replace(asked("told", began=50.0, ended=50.2), leaving_replica="s1"))
-    seen.attempts.append(asked("late", began=52.3, ended=52.5))
-    seen.runs.append(ran("late", 52.4))
+def send_after_a_leaving_answer(observations):
+    observations.attempts.append(
+        replace(make_attempt("told", began=50.0, ended=50.2), leaving_replica="s1")
+    )
+    observations.attempts.append(make_attempt("late", began=52.3, ended=52.5))
+    observations.runs.append(make_run("late", 52.4))
 
 
-def send_to_one_that_rests(seen):
+def send_during_retry_after(observations):
     for number in range(4):
         at = 60.0 + number * 0.7
-        seen.attempts.append(asked(f"y{number}", began=at, ended=at, status=503))
-        seen.rejections.append(Rejection(f"y{number}", "s1", at, 3.0))
+        observations.attempts.append(make_attempt(f"y{number}", began=at, ended=at, status=503))
+        observations.rejections.append(Rejection(f"y{number}", "s1", at, 3.0))
 
 
-def send_on_a_request_that_ends_replicas(seen):
+def keep_running_a_crashing_request(observations):
     for number in range(7):
         at = 40.0 + number * (1.0 if number < 3 else 2.0)
-        seen.attempts.append(asked(f"x{number}", Kind.STREAM, began=at, status=502))
-        seen.runs.append(ReplicaRun(f"x{number}", "m1", "model", "t", at, b"crashing-1"))
-    seen.runs.append(ReplicaRun("x6", "m1", "model", "t", 55.0, b"crashing-1"))
+        observations.attempts.append(make_attempt(f"x{number}", Kind.STREAM, began=at, status=502))
+        observations.runs.append(ReplicaRun(f"x{number}", "m1", "model", "t", at, b"crashing-1"))
+    observations.runs.append(ReplicaRun("x6", "m1", "model", "t", 55.0, b"crashing-1"))
 
 
-def send_more_than_a_limit(seen):
-    seen.limit_periods.append(LimitPeriod("s1", 70.0, 80.0, 0.5))
-    seen.attempts.append(replace(asked("named", began=70.0, ended=70.1), limiting_replica="s1"))
+def exceed_a_replica_limit(observations):
+    observations.limit_periods.append(LimitPeriod("s1", 70.0, 80.0, 0.5))
+    observations.attempts.append(
+        replace(make_attempt("named", began=70.0, ended=70.1), limiting_replica="s1")
+    )
     for number in range(9):
         at = 74.0 + number * 0.4
-        seen.attempts.append(asked(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1))
-        seen.runs.append(ran(f"z{number}", at))
+        observations.attempts.append(
+            make_attempt(f"z{number}", Kind.REPEATABLE, began=at, ended=at + 0.1)
+        )
+        observations.runs.append(make_run(f"z{number}", at))
 
 
-def send_to_one_that_left_before_a_restore(seen):
-    seen.faults.append(FaultPeriod(Fault.STORE_RESTORED, "store", 29.0, 32.0))
-    seen.restore_times.append(31.0)
-    seen.attempts.append(asked("hidden", began=34.2, ended=34.4))
-    seen.runs.append(ran("hidden", 34.3))
+def send_to_a_draining_replica_after_a_restore(observations):
+    observations.faults.append(FaultPeriod(Fault.STORE_RESTORED, "store", 29.0, 32.0))
+    observations.restore_times.append(31.0)
+    observations.attempts.append(make_attempt("hidden", began=34.2, ended=34.4))
+    observations.runs.append(make_run("hidden", 34.3))
 
 
-PLANTS = [
+VIOLATIONS = [
     (run_twice, checkers.runs_once),
-    (run_what_was_refused, checkers.not_run_answers_are_true),
-    (hand_out_another_answer, checkers.answers_are_complete_and_own),
-    (end_a_cut_stream_as_whole, checkers.answers_are_complete_and_own),
+    (run_a_rejected_request, checkers.not_run_answers_are_true),
+    (return_another_answer, checkers.answers_are_complete_and_own),
+    (end_a_cut_stream_as_complete, checkers.answers_are_complete_and_own),
     (join_two_runs_in_one_stream, checkers.answers_are_complete_and_own),
-    (run_what_nobody_asked, checkers.runs_have_a_caller),
+    (run_an_unsent_request, checkers.runs_have_a_caller),
     (go_back_to_an_older_version, checkers.versions_never_decrease),
-    (send_to_a_leaving_replica, checkers.draining_replicas_get_no_requests),
-    (send_to_one_that_left_before_a_restore, checkers.drains_survive_store_restores),
-    (hold_past_the_deadline, checkers.deadlines_hold),
-    (pass_more_than_the_quota, checkers.quotas_hold),
-    (repeat_too_often, checkers.retries_stay_within_budget),
-    (send_on_a_request_that_ends_replicas, checkers.crashing_requests_are_held_back),
-    (send_to_one_that_said_it_leaves, checkers.leaving_answers_are_respected),
-    (send_to_one_that_rests, checkers.retry_after_is_respected),
-    (send_more_than_a_limit, checkers.replica_limits_are_respected),
-    (never_come_back, checkers.service_recovers),
+    (send_to_a_draining_replica, checkers.draining_replicas_get_no_requests),
+    (send_to_a_draining_replica_after_a_restore, checkers.drains_survive_store_restores),
+    (answer_after_the_deadline, checkers.deadlines_hold),
+    (run_more_than_the_quota, checkers.quotas_hold),
+    (exceed_the_retry_budget, checkers.retries_stay_within_budget),
+    (keep_running_a_crashing_request, checkers.crashing_requests_are_held_back),
+    (send_after_a_leaving_answer, checkers.leaving_answers_are_respected),
+    (send_during_retry_after, checkers.retry_after_is_respected),
+    (exceed_a_replica_limit, checkers.replica_limits_are_respected),
+    (never_recover, checkers.service_recovers),
 ]
 
 
-def test_a_sound_run_breaks_nothing():
-    assert checkers.run_checkers(sound()) == []
+def test_a_sound_run_has_no_violations():
+    assert checkers.run_checkers(make_sound_run()) == []
 
 
-@pytest.mark.parametrize(("plant", "checker"), PLANTS, ids=lambda each: each.__name__)
-def test_a_planted_fault_turns_its_checker_red(plant, checker):
-    seen = sound()
-    plant(seen)
-    assert checker(seen)
+@pytest.mark.parametrize(("plant", "checker"), VIOLATIONS, ids=lambda each: each.__name__)
+def test_a_planted_violation_is_detected_by_its_checker(plant, checker):
+    observations = make_sound_run()
+    plant(observations)
+    assert checker(observations)
 
 
-def test_each_checker_has_a_planted_fault():
-    assert {checker for _, checker in PLANTS} == set(checkers.CHECKERS)
+def test_each_checker_has_a_planted_violation():
+    assert {checker for _, checker in VIOLATIONS} == set(checkers.CHECKERS)
 
 
-def test_what_was_out_of_touch_is_not_blamed_for_a_drain():
-    seen = sound()
-    send_to_a_leaving_replica(seen)
-    seen.faults.append(FaultPeriod(Fault.STORE_DOWN, "store", 28.0, 29.0))
-    assert checkers.draining_replicas_get_no_requests(seen) == []
+def test_a_drain_near_a_store_outage_is_not_a_violation():
+    observations = make_sound_run()
+    send_to_a_draining_replica(observations)
+    observations.faults.append(FaultPeriod(Fault.STORE_DOWN, "store", 28.0, 29.0))
+    assert checkers.draining_replicas_get_no_requests(observations) == []
 
 
-def test_a_leaving_that_is_written_again_counts_from_then():
-    seen = sound()
-    send_to_one_that_left_before_a_restore(seen)
-    seen.restore_times[-1] = 31.5
-    assert checkers.drains_survive_store_restores(seen) == []
-    seen.restore_times.clear()
-    assert checkers.drains_survive_store_restores(seen)
-    seen.faults.append(FaultPeriod(Fault.STORE_DOWN, "store", 28.0, 29.0))
-    assert checkers.drains_survive_store_restores(seen) == []
+def test_a_drain_counts_from_the_rewrite_after_a_restore():
+    observations = make_sound_run()
+    send_to_a_draining_replica_after_a_restore(observations)
+    observations.restore_times[-1] = 31.5
+    assert checkers.drains_survive_store_restores(observations) == []
+    observations.restore_times.clear()
+    assert checkers.drains_survive_store_restores(observations)
+    observations.faults.append(FaultPeriod(Fault.STORE_DOWN, "store", 28.0, 29.0))
+    assert checkers.drains_survive_store_restores(observations) == []
 
 
-def test_a_node_that_started_since_or_a_replica_that_did_is_not_blamed():
-    seen = sound()
-    send_to_one_that_said_it_leaves(seen)
-    seen.replica_exits["s1"] = [51.0]
-    assert checkers.leaving_answers_are_respected(seen) == []
-    seen.replica_exits.clear()
-    seen.faults.append(FaultPeriod(Fault.NODE_KILL, "n1", 51.0, 51.5))
-    assert checkers.leaving_answers_are_respected(seen) == []
-    send_to_one_that_rests(seen)
-    seen.faults.append(FaultPeriod(Fault.LINKS_SILENT, "n1", 61.0, 61.5))
-    assert checkers.retry_after_is_respected(seen) == []
+def test_restarts_and_link_faults_excuse_requests_after_leaving_and_rest_answers():
+    observations = make_sound_run()
+    send_after_a_leaving_answer(observations)
+    observations.replica_exits["s1"] = [51.0]
+    assert checkers.leaving_answers_are_respected(observations) == []
+    observations.replica_exits.clear()
+    observations.faults.append(FaultPeriod(Fault.NODE_KILL, "n1", 51.0, 51.5))
+    assert checkers.leaving_answers_are_respected(observations) == []
+    send_during_retry_after(observations)
+    observations.faults.append(FaultPeriod(Fault.LINKS_SILENT, "n1", 61.0, 61.5))
+    assert checkers.retry_after_is_respected(observations) == []
 
 
-def test_a_node_that_was_struck_is_not_blamed_for_a_limit():
-    seen = sound()
-    send_more_than_a_limit(seen)
-    seen.faults.append(FaultPeriod(Fault.LINKS_SILENT, "n1", 72.0, 78.0))
-    assert not checkers.replica_limits_are_respected(seen)
-    seen.faults[-1] = FaultPeriod(Fault.LINKS_SILENT, "n2", 72.0, 78.0)
-    assert checkers.replica_limits_are_respected(seen)
+def test_a_node_with_a_link_fault_does_not_count_for_a_limit():
+    observations = make_sound_run()
+    exceed_a_replica_limit(observations)
+    observations.faults.append(FaultPeriod(Fault.LINKS_SILENT, "n1", 72.0, 78.0))
+    assert not checkers.replica_limits_are_respected(observations)
+    observations.faults[-1] = FaultPeriod(Fault.LINKS_SILENT, "n2", 72.0, 78.0)
+    assert checkers.replica_limits_are_respected(observations)
 
 
-def test_who_was_out_of_touch_is_not_blamed_for_a_request_that_ends_replicas():
-    seen = sound()
-    send_on_a_request_that_ends_replicas(seen)
-    seen.faults.append(FaultPeriod(Fault.NODE_FREEZE, "n1", 41.0, 42.0))
-    assert checkers.crashing_requests_are_held_back(seen) == []
+def test_a_frozen_node_excuses_runs_of_a_crashing_request():
+    observations = make_sound_run()
+    keep_running_a_crashing_request(observations)
+    observations.faults.append(FaultPeriod(Fault.NODE_FREEZE, "n1", 41.0, 42.0))
+    assert checkers.crashing_requests_are_held_back(observations) == []
 
 
-def test_a_plan_hangs_on_its_seed_alone_and_its_series_overlap():
+def test_a_plan_depends_on_its_seed_alone_and_its_series_overlap():
     places = (["n1", "n2"], ["m1", "s1"])
     steps = draw_faults(5, 60.0, *places)
     assert steps == draw_faults(5, 60.0, *places) != draw_faults(6, 60.0, *places)
@@ -241,8 +255,8 @@
     assert {each.fault for each in draw_faults(1, 900.0, *places)} == set(Fault)
 
 
-def through_a_relay(check):
-    """Run a check with a relay before an echo, and a connection that has carried something."""
+def run_through_a_relay(check):
+    """Run a check with a relay in front of an upper-casing echo server and one used connection."""
 
     async def echo(reader, writer):
         while data := await reader.read(100):
@@ -268,16 +282,16 @@
     return await asyncio.open_connection(ip, int(port))
 
 
-async def says_nothing(reader):
+async def assert_receives_nothing(reader):
     with pytest.raises(TimeoutError):
         await asyncio.wait_for(reader.read(100), 0.2)
 
 
-def test_a_relay_passes_holds_back_and_resets():
+def test_a_relay_forwards_holds_back_and_resets():
     async def check(relay, reader, writer):
         relay.faults.silent_to_caller = True
         writer.write(b"two")
-        await says_nothing(reader)
+        await assert_receives_nothing(reader)
         relay.clear_faults()
         assert await reader.read(100) == b"TWO"
         relay.faults.refuse = True
@@ -289,24 +303,24 @@
             other, _ = await connect(relay)
             assert await other.read(100)
 
-    through_a_relay(check)
+    run_through_a_relay(check)
 
 
-def test_a_relay_lets_open_connections_go_dead_while_new_ones_work():
+def test_a_relay_silences_open_connections_while_new_ones_work():
     async def check(relay, reader, writer):
         relay.silence_open_connections()
         writer.write(b"two")
-        await says_nothing(reader)
+        await assert_receives_nothing(reader)
         other, its_writer = await connect(relay)
         its_writer.write(b"three")
         assert await other.read(100) == b"THREE"
         its_writer.close()
 
-    through_a_relay(check)
+    run_through_a_relay(check)
 
 
-def test_a_short_run_over_real_processes_breaks_no_promise_of_safety():
-    """What hangs on the clock is left to ``make soak``: this machine may be busy."""
+def test_a_short_run_over_real_processes_keeps_the_safety_promises():
+    """Timed checkers run only in ``make soak``, since a busy machine would make them fail here."""
     outcome = asyncio.run(play_seed(7, SHORT))
     assert checkers.run_checkers(outcome.observations, checkers.SAFETY_CHECKERS) == [], (
         outcome.summary()
