--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/children.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/children.py
@@ -36,12 +36,12 @@
     """Return a function with which a child asks the kernel for SIGKILL when its parent dies."""
     prctl = ctypes.CDLL(None, use_errno=True).prctl
 
-    def ask() -> None:
+    def set_death_signal() -> None:
         prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
         if os.getppid() != parent:
             os._exit(1)
 
-    return ask
+    return set_death_signal
 
 
 def spawn(
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/engine.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/engine.py
@@ -92,7 +92,7 @@
         """Append the next token's event, and after the last token those that end the stream."""
         made = len(self.events)
         choice = {"index": 0, "text": f"w{made} ", "finish_reason": None}
-        self._add({"id": self.id, "model": "fake", "choices": [choice]})
+        self._append_event({"id": self.id, "model": "fake", "choices": [choice]})
         if made + 1 >= self.output_tokens:
             usage = {
                 "prompt_tokens": self.prompt_tokens,
@@ -100,12 +100,14 @@
                 "prompt_tokens_details": {"cached_tokens": self.cached_tokens},
             }
             choice = {"index": 0, "text": "", "finish_reason": "stop"}
-            self._add({"id": self.id, "model": "fake", "choices": [choice], "usage": usage})
+            self._append_event(
+                {"id": self.id, "model": "fake", "choices": [choice], "usage": usage}
+            )
             self.events.append(b"data: [DONE]\n\n")
             self.done = True
         self.changed.set()
 
-    def _add(self, event: dict[str, Any]) -> None:
+    def _append_event(self, event: dict[str, Any]) -> None:
         self.events.append(b"data: " + json.dumps(event).encode() + b"\n\n")
 
 
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/metastore.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/metastore.py
@@ -117,7 +117,7 @@
 
     async def start(self, ip: str) -> None:
         """Serve on a free port."""
-        app = web.Application(middlewares=[self._admit])
+        app = web.Application(middlewares=[self._handle_call])
         app.router.add_get("/kv-key", self._get_key)
         app.router.add_get("/kv-range", self._list_range)
         app.router.add_get("/kv-watch", self._watch_prefix)
@@ -138,7 +138,7 @@
             await self._runner.cleanup()
 
     @web.middleware
-    async def _admit(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _handle_call(self, request: web.Request, handler: Any) -> web.StreamResponse:
         self.calls[request.path.split("/")[1]] += 1
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformfleet.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/platformfleet.py
@@ -41,10 +41,10 @@
     return {
         "version": version,
         "routes": [
-            _route("explain", "stream", "model", resumable=True, attempts=2),
-            _route("chat", "stream", "model"),
-            _route("book", "non_idempotent", "seats"),
-            _route("find", "idempotent", "seats", attempts=2),
+            _make_route("explain", "stream", "model", resumable=True, attempts=2),
+            _make_route("chat", "stream", "model"),
+            _make_route("book", "non_idempotent", "seats"),
+            _make_route("find", "idempotent", "seats", attempts=2),
         ],
         "services": [
             {
@@ -64,7 +64,7 @@
     }
 
 
-def _route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
+def _make_route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
     route = {
         "name": name,
         "host": HOST,
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/replica.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/replica.py
@@ -137,7 +137,9 @@
         :param advertised_address: the address for the record; empty for the listening address.
         :return: the listening address.
         """
-        self._server = await asyncio.start_server(self._serve, ip, port, limit=READ_LIMIT_BYTES)
+        self._server = await asyncio.start_server(
+            self._serve_connection, ip, port, limit=READ_LIMIT_BYTES
+        )
         self.born = round(self.now() * 1000) + 1
         self.listen_address = f"{ip}:{self._server.sockets[0].getsockname()[1]}"
         self.address = advertised_address or self.listen_address
@@ -185,12 +187,14 @@
             self.id = f"{self.id.partition('+')[0]}+{len(self.exit_times)}"
         await self.start(ip, int(port), advertised_address)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self._writers.add(writer)
         try:
             while True:
                 request = await _read_request(reader)
-                if request is None or not await self._answer(request, reader, writer):
+                if request is None or not await self._handle_request(request, reader, writer):
                     return
         except (ConnectionError, asyncio.IncompleteReadError):
             return
@@ -199,14 +203,14 @@
             with contextlib.suppress(ConnectionError):
                 writer.close()
 
-    async def _answer(
+    async def _handle_request(
         self, request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         name = request.headers.get("x-request-id", "")
         expected = request.headers.get("x-expect-instance", self.id)
         if expected != self.id:
             self.misdirected += 1
-            _write(writer, 421, {"X-Request-Id": name, "X-Instance": self.id}, b"")
+            _write_response(writer, 421, {"X-Request-Id": name, "X-Instance": self.id}, b"")
             return True
         request.at = self.now()
         if not name or self.faults.shed > 0:
@@ -221,7 +225,7 @@
             return False
         if self.engine:
             try:
-                return await self._stream(name, request, writer)
+                return await self._stream_events(name, request, writer)
             except ConnectionError:
                 request.client_disconnected = True
                 return False
@@ -239,10 +243,10 @@
         if self.faults.fail_each and self.runs.total() % self.faults.fail_each == 0:
             status = 500
         body = f"{self.id} did {name}".encode()
-        _write(writer, status, self._headers(name), body)
+        _write_response(writer, status, self._headers(name), body)
         if self.faults.extra_answers > 0:
             self.faults.extra_answers -= 1
-            _write(writer, 200, self._headers(name), b"an answer that nobody asked for")
+            _write_response(writer, 200, self._headers(name), b"an answer that nobody asked for")
         await writer.drain()
         return True
 
@@ -252,16 +256,16 @@
         """Answer that a request was not run: 400 without a request id, else 503."""
         head = {"X-Request-Id": name, "X-Not-Run": "1", **self._announcement_headers()}
         if not name:
-            _write(writer, 400, head, b"")
+            _write_response(writer, 400, head, b"")
             return
         self.faults.shed -= 1
         self.rejected.append(request)
         request.rest_s = self.faults.rest_s
         if self.faults.rest_s:
             head["Retry-After"] = f"{self.faults.rest_s:g}"
-        _write(writer, 503, head, b"")
+        _write_response(writer, 503, head, b"")
 
-    async def _stream(
+    async def _stream_events(
         self, name: str, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> bool:
         after = request.headers.get("last-event-id", "")
@@ -329,6 +333,8 @@
     writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
 
 
-def _write(writer: asyncio.StreamWriter, status: int, headers: dict[str, str], body: bytes) -> None:
+def _write_response(
+    writer: asyncio.StreamWriter, status: int, headers: dict[str, str], body: bytes
+) -> None:
     _write_head(writer, status, {**headers, "Content-Length": str(len(body))})
     writer.write(body)
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/checkers.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/checkers.py
@@ -395,4 +395,4 @@
     observations: Observations, checkers: Iterable[Checker] = CHECKERS
 ) -> list[Violation]:
     """Run checkers; the results of :data:`SAFETY_CHECKERS` do not depend on timing."""
-    return [violations for checker in checkers for violations in checker(observations)]
+    return [violation for checker in checkers for violation in checker(observations)]
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/injector.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/injector.py
@@ -18,6 +18,8 @@
 
 RESTART_DELAY_S = 0.3
 STOP_TIMEOUT_S = 12.0
+# The shortest time for which a replica serves on after it announced leaving only in its answers; a
+# replica that drains serves on for 2.6 times as long.
 LEAVING_S = 2.5
 # The ``Retry-After`` that a replica sends while it sheds, in seconds.
 RETRY_AFTER_S = 3.0
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/play.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/soak/play.py
@@ -117,10 +117,10 @@
 class SoakRun:
     """One run of a seed with a fleet."""
 
-    def __init__(self, fleet: SoakFleet, seed: int, shape: RunConfig) -> None:
+    def __init__(self, fleet: SoakFleet, seed: int, config: RunConfig) -> None:
         self._fleet = fleet
         self._seed = seed
-        self._shape = shape
+        self._config = config
         self._random = random.Random(seed + 1)
         self._numbers = itertools.count(1)
         self._began = time.monotonic()
@@ -142,22 +142,22 @@
         injector = Injector(
             self._fleet, self.observations, self.elapsed_s, self._start_crashing_caller
         )
-        callers = asyncio.create_task(self._run_callers(self._shape.seconds, injector))
+        callers = asyncio.create_task(self._run_callers(self._config.seconds, injector))
         steps = draw_faults(
             self._seed,
-            self._shape.seconds - 2.0,
+            self._config.seconds - 2.0,
             list(self._fleet.nodes),
             list(self._fleet.replica_relays),
         )
-        strikes = []
-        if self._shape.old_packages is not None:
-            strikes.append(asyncio.create_task(self._roll_nodes(injector)))
-        for step in [] if self._shape.calm else steps:
+        injections = []
+        if self._config.old_packages is not None:
+            injections.append(asyncio.create_task(self._roll_nodes(injector)))
+        for step in [] if self._config.calm else steps:
             await asyncio.sleep(max(0.0, step.at - self.elapsed_s()))
-            strikes.append(asyncio.create_task(injector.inject_fault(step)))
+            injections.append(asyncio.create_task(injector.inject_fault(step)))
         await callers
         await asyncio.gather(*self._crashing)
-        await asyncio.gather(*strikes)
+        await asyncio.gather(*injections)
         self.observations.recovered_s = await self._wait_for_recovery()
         self._collect_replica_records()
         return self.observations
@@ -171,11 +171,11 @@
 
     async def _run_callers(self, seconds: float, injector: Injector) -> None:
         tasks: list[asyncio.Task[int]] = []
-        pause = 1.0 / (self._shape.requests_per_s * len(self._fleet.nodes))
+        pause = 1.0 / (self._config.requests_per_s * len(self._fleet.nodes))
         while self.elapsed_s() < seconds:
             path = self._random.choice(list(KIND_BY_PATH))
             nodes = list(self._fleet.nodes)
-            if self._shape.calm:
+            if self._config.calm:
                 # A load balancer sends no requests to a host that stops or starts.
                 nodes = [each for each in nodes if each not in injector.active_targets]
             node = self._random.choice(nodes)
@@ -189,7 +189,7 @@
 
     async def _repeat_crashing_request(self, body: bytes, seconds: float) -> None:
         """Repeat one request at random nodes for longer than the nodes need to quarantine it."""
-        until = min(self.elapsed_s() + seconds + CRASHING_EXTRA_S, self._shape.seconds)
+        until = min(self.elapsed_s() + seconds + CRASHING_EXTRA_S, self._config.seconds)
         path = self._random.choice(list(KIND_BY_PATH))
         while self.elapsed_s() < until:
             node = self._random.choice(list(self._fleet.nodes))
@@ -238,12 +238,16 @@
         """
         began = self.elapsed_s()
         for node in self._fleet.nodes:
-            row = 0
-            while row < RECOVERED_REQUESTS_IN_A_ROW:
+            answered_in_a_row = 0
+            while answered_in_a_row < RECOVERED_REQUESTS_IN_A_ROW:
                 if self.elapsed_s() - began > RECOVERY_TIMEOUT_S:
                     return None
                 path = self._random.choice(list(KIND_BY_PATH))
-                row = row + 1 if await self._send_request(node, path, TEAM) == 200 else 0
+                answered_in_a_row = (
+                    answered_in_a_row + 1
+                    if await self._send_request(node, path, TEAM) == 200
+                    else 0
+                )
                 await asyncio.sleep(0.05)
         return self.elapsed_s() - began
 
@@ -287,18 +291,18 @@
                 self.observations.versions.setdefault(process, []).append(entry["version"])
 
 
-async def play_seed(seed: int, shape: RunConfig, keep: Path | None = None) -> RunOutcome:
+async def play_seed(seed: int, config: RunConfig, keep: Path | None = None) -> RunOutcome:
     """Play a seed and check the records of the run.
 
     :param keep: folder to which the logs of a run with violations are copied.
     """
     with tempfile.TemporaryDirectory(prefix="chalkyoke-soak-") as folder:
         async with SoakFleet(
-            Path(folder), shape.zones, shape.replicas_per_zone, shape.old_packages
+            Path(folder), config.zones, config.replicas_per_zone, config.old_packages
         ) as fleet:
-            observations = await SoakRun(fleet, seed, shape).play_faults()
+            observations = await SoakRun(fleet, seed, config).play_faults()
         broken = run_checkers(
-            observations, CHECKERS if shape.old_packages is None else MIXED_VERSION_CHECKERS
+            observations, CHECKERS if config.old_packages is None else MIXED_VERSION_CHECKERS
         )
         if broken and keep is not None:
             _copy_logs(Path(folder), keep / f"seed-{seed}")
--- a/packages/chalkyoke-fakes/src/chalkyoke_fakes/store.py
+++ b/packages/chalkyoke-fakes/src/chalkyoke_fakes/store.py
@@ -153,7 +153,7 @@
         index = req.get_param_as_int("index")
         if index is not None:
             wait = min(MAX_WAIT_S, float((req.get_param("wait") or "5s").rstrip("s")))
-            await self._wait(key, index, wait)
+            await self._wait_for_change(key, index, wait)
         if store.faults.outage:
             raise falcon.HTTPServiceUnavailable(description="outage")
         entry = store.entries.get(key)
@@ -162,7 +162,7 @@
         resp.set_header("X-Consul-Index", str(entry.index))
         resp.data = entry.value
 
-    async def _wait(self, key: str, index: int, wait_s: float) -> None:
+    async def _wait_for_change(self, key: str, index: int, wait_s: float) -> None:
         def is_other() -> bool:
             entry = self._store.entries.get(key)
             return (entry.index if entry else 0) != index
