--- a/packages/chalkyoke/src/chalkyoke/decimals.py
+++ b/packages/chalkyoke/src/chalkyoke/decimals.py
@@ -1,43 +1,43 @@
 """
 chalkyoke.decimals
 
-Numbers as headers have them.
+Parsers for the numbers in headers.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 
-class Least(NamedTuple):
-    """The least of several numbers.
+class SmallestDecimal(NamedTuple):
+    """The smallest of several numbers.
 
-    :ivar least: nothing where none of them could be read.
-    :ivar unreadable: whether one could not be read.
+    :ivar value: the smallest number; ``None`` when no text is a number.
+    :ivar unreadable: whether at least one text is not a number.
     """
 
-    least: float | None
+    value: float | None
     unreadable: bool
 
 
-def read_whole(text: str) -> int:
-    """Read a number of digits; 0 where it is none."""
+def parse_integer(text: str) -> int:
+    """Parse a whole number of ASCII digits; return 0 for any other text."""
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
-def read_decimal(text: str) -> float | None:
-    """Read a number of digits with or without a fraction.
+def parse_decimal(text: str) -> float | None:
+    """Parse a number of ASCII digits with or without a fraction.
 
-    :return: nothing for a sign, an exponent or anything else that is no such number.
+    :return: ``None`` for any other text, such as one with a sign or an exponent.
     """
-    whole, _, part = text.strip().partition(".")
-    digits = whole + part
+    whole, _, fraction = text.strip().partition(".")
+    digits = whole + fraction
     if not whole or not digits.isascii() or not digits.isdigit():
         return None
-    return float(f"{whole}.{part or 0}")
+    return float(f"{whole}.{fraction or 0}")
 
 
-def least_decimal(texts: Iterable[str]) -> Least:
-    """Read a header that may stand there more than once; the least is the safe one to keep to."""
-    read = [read_decimal(text) for text in texts]
-    found = [each for each in read if each is not None]
-    return Least(min(found, default=None), len(found) < len(read))
+def parse_smallest_decimal(texts: Iterable[str]) -> SmallestDecimal:
+    """Parse the values of a repeated header; the smallest number is the safe one to respect."""
+    parsed = [parse_decimal(text) for text in texts]
+    numbers = [each for each in parsed if each is not None]
+    return SmallestDecimal(min(numbers, default=None), len(numbers) < len(parsed))
--- a/packages/chalkyoke/src/chalkyoke/entry/streams.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/streams.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.entry.streams
 
-Cut an engine's server-sent events at their ends, so that callers get whole events only and a
-broken stream can be resumed at an exact offset.
+Splits an engine's stream into complete server-sent events, so that callers get only complete events
+and a broken stream can be resumed at an exact offset.
 """
 
 import msgspec
@@ -12,51 +12,51 @@
 DATA_PREFIX = b"data: "
 
 
-class EventCutter:
-    """Take bytes in, give whole events out.
+class EventSplitter:
+    """Buffer bytes of a stream and return complete events.
 
-    :ivar events: whole events so far; the offset at which a stream is resumed.
-    :ivar done: whether the final event has come.
+    :ivar event_count: number of complete events so far; the offset at which a stream is resumed.
+    :ivar done: whether the final event has arrived.
     """
 
-    __slots__ = ("_rest", "done", "events")
+    __slots__ = ("_partial", "done", "event_count")
 
     def __init__(self) -> None:
-        self._rest = b""
-        self.events = 0
+        self._partial = b""
+        self.event_count = 0
         self.done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes in.
+        """Add bytes of the stream.
 
-        :return: the events that are whole now, as they came.
+        :return: the events that are complete now, unchanged; empty where none is.
         """
-        if self._rest:
-            data = self._rest + data
+        if self._partial:
+            data = self._partial + data
         end = data.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self._rest = data
+            self._partial = data
             return b""
 
-        whole, self._rest = data[:end], data[end:]
-        self.events += whole.count(EVENT_END)
-        if whole.endswith(DONE_EVENT):
+        complete, self._partial = data[:end], data[end:]
+        self.event_count += complete.count(EVENT_END)
+        if complete.endswith(DONE_EVENT):
             self.done = True
-        return whole
+        return complete
 
-    def restart(self) -> None:
-        """Forget a partial event, before the stream is resumed."""
-        self._rest = b""
+    def discard_partial(self) -> None:
+        """Discard the buffered partial event before the stream is resumed."""
+        self._partial = b""
 
 
-class _Details(msgspec.Struct):
+class _PromptTokensDetails(msgspec.Struct):
     cached_tokens: int = -1
 
 
 class _UsageBody(msgspec.Struct):
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: _Details | None = None
+    prompt_tokens_details: _PromptTokensDetails | None = None
 
 
 class _Choice(msgspec.Struct):
@@ -73,7 +73,7 @@
 
 
 class StreamUsage(msgspec.Struct, frozen=True):
-    """What an engine said of its work at the end of a stream; -1 where it did not."""
+    """Usage in tokens that an engine reported at the end of a stream; -1 where it reported none."""
 
     prompt_tokens: int = -1
     output_tokens: int = -1
@@ -81,9 +81,9 @@
 
 
 def read_usage(tail: bytes) -> StreamUsage:
-    """Find the usage in the last events of a stream.
+    """Parse the usage from the last events of a stream.
 
-    :param tail: bytes that hold at least the last two events whole.
+    :param tail: end of the stream, with at least the last two events complete.
     :rtype: StreamUsage
     """
     for part in reversed(tail.split(EVENT_END)):
@@ -94,16 +94,16 @@
         except msgspec.MsgspecError:
             continue
         if usage is not None:
-            details = usage.prompt_tokens_details or _Details()
+            details = usage.prompt_tokens_details or _PromptTokensDetails()
             return StreamUsage(usage.prompt_tokens, usage.completion_tokens, details.cached_tokens)
     return StreamUsage()
 
 
-def assemble(stream: bytes) -> bytes:
-    """Put a streamed completion together as one JSON answer.
+def assemble_completion(stream: bytes) -> bytes:
+    """Assemble the events of a streamed completion into one JSON answer.
 
-    :param stream: all events, the final one included.
-    :return: the answer in the usual whole form.
+    :param stream: all events, including the final one.
+    :return: the body of a completion that is not streamed.
     """
     text: list[str] = []
     content: list[str] = []
--- a/packages/chalkyoke/src/chalkyoke/http1/calls.py
+++ b/packages/chalkyoke/src/chalkyoke/http1/calls.py
@@ -1,29 +1,30 @@
 """
 chalkyoke.http1.calls
 
-Short calls whose answer is read whole, as on a store.
+Short HTTP calls whose answer is read completely, such as calls to a store.
 """
 
 import asyncio
 
 import msgspec
 
-from chalkyoke.http1.client import Break, ClientConnection
-from chalkyoke.http1.messages import AnswerHead, Headers, request_head
+from chalkyoke.http1.client import BreakReason, ClientConnection
+from chalkyoke.http1.messages import AnswerHead, Headers, encode_request_head
 from chalkyoke.http1.pool import ConnectFailure, ConnectionPool
 
-# How long opening a connection may take, in seconds: some round trips to another region.
-CONNECT_S = 0.5
-# Connections to one address at most: a watch, a lease and a listing at once, and as many lost.
-CALLER_CONNECTIONS = 8
-# How old a kept connection may be, in seconds: below what servers usually keep.
-FRESH_S = 8.0
+# Longest time to open a connection, in seconds: several round trips to another region.
+CONNECT_TIMEOUT_S = 0.5
+# Highest number of connections to one address: a watch, a lease and a listing at the same time, and
+# as many that are lost.
+MAX_CONNECTIONS = 8
+# Longest idle time of a reused connection, in seconds: less than servers usually keep one open.
+MAX_IDLE_S = 8.0
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
-    """A whole answer.
+    """A complete answer.
 
-    :param headers: in their order, names as they were sent.
+    :param headers: in the order received, with their names as sent.
     """
 
     status: int
@@ -32,17 +33,17 @@
 
 
 class CallFailed(msgspec.Struct, frozen=True):
-    """No whole answer.
+    """A call without a complete answer.
 
-    :param sent: whether the call may have been carried out.
+    :param sent: whether the server may have carried out the call.
     """
 
     reason: str
     sent: bool
 
 
-class _Whole:
-    """Collects an answer."""
+class _AnswerCollector:
+    """Collects an answer and resolves the future with it."""
 
     def __init__(self, future: "asyncio.Future[CallAnswer | CallFailed]") -> None:
         self._future = future
@@ -61,13 +62,13 @@
             body = b"".join(self._parts)
             self._future.set_result(CallAnswer(self._status, body, self._headers))
 
-    def answer_broken(self, how: Break) -> None:
+    def answer_broken(self, how: BreakReason) -> None:
         if not self._future.done():
             self._future.set_result(CallFailed(how, sent=True))
 
 
-class Caller:
-    """Make calls on one address; every outcome is a value.
+class HttpClient:
+    """Make calls to one address; a failed call returns :class:`CallFailed` and raises nothing.
 
     :param address: ``ip:port``.
     """
@@ -83,22 +84,23 @@
     ) -> CallAnswer | CallFailed:
         """Make one call.
 
-        :param body: JSON, or nothing.
-        :param timeout_s: for the whole call, connecting included.
+        :param body: JSON, or ``None`` for a call without a body.
+        :param timeout_s: limit for connecting, which also ends after :data:`CONNECT_TIMEOUT_S`, and
+            again for the exchange, in seconds.
         """
         connection = await self._pool.connect(
             self._ip,
             self._port,
-            limit=CALLER_CONNECTIONS,
-            timeout_s=min(CONNECT_S, timeout_s),
-            fresh_s=FRESH_S,
+            limit=MAX_CONNECTIONS,
+            timeout_s=min(CONNECT_TIMEOUT_S, timeout_s),
+            fresh_s=MAX_IDLE_S,
         )
         if isinstance(connection, ConnectFailure):
             return CallFailed(connection, sent=False)
         headers = list(self._host)
         if body is not None:
             headers.append((b"Content-Type", b"application/json"))
-        data = request_head(method, target, headers, None if body is None else len(body))
+        data = encode_request_head(method, target, headers, None if body is None else len(body))
         return await self._exchange(connection, data + (body or b""), timeout_s)
 
     async def _exchange(
@@ -106,18 +108,18 @@
     ) -> CallAnswer | CallFailed:
         future: asyncio.Future[CallAnswer | CallFailed]
         future = asyncio.get_running_loop().create_future()
-        connection.send(data, _Whole(future), lambda _: True)
+        connection.send(data, _AnswerCollector(future), lambda _: True)
         try:
             async with asyncio.timeout(timeout_s):
                 answer = await future
         except TimeoutError:
-            # A connection on which an answer was lost says nothing further, and the other ones may
-            # have gone silent with it: the next call takes a new one.
+            # The connection can't be reused after a lost answer, and the idle connections to the
+            # address may be dead too, so the next call opens a new one.
             connection.cancel()
-            self._pool.drop_kept(self._ip, self._port)
+            self._pool.abort_idle(self._ip, self._port)
             return CallFailed("timed out", sent=True)
         except asyncio.CancelledError:
             connection.cancel()
             raise
-        self._pool.give_back(self._ip, self._port, connection)
+        self._pool.release(self._ip, self._port, connection)
         return answer
--- a/packages/chalkyoke/src/chalkyoke/node/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleet.py
@@ -12,7 +12,7 @@
 from chalkyoke.configuration.messages import ListedHost
 from chalkyoke.configuration.resources import Resources, Route, Service, Team, UpstreamClass
 from chalkyoke.configuration.selectors import labels_match
-from chalkyoke.entry.reception import Directory
+from chalkyoke.entry.reception import ConfigurationLookup
 from chalkyoke.membership.state import Candidate
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
@@ -42,11 +42,12 @@
     return max(matched, key=lambda each: (len(each.selector), each.name), default=None)
 
 
-class FleetView(Directory):
-    """Look up teams, routes, pools and upstreams.
+class FleetView(ConfigurationLookup):
+    """Look up teams, services, routes, tiers, pools and upstreams.
 
-    :param resources: the configuration in force.
+    :param resources: a configuration, in force or planned.
     :param hosts: the platform's host list.
+    :ivar pools: the specifications of all pools by pool name.
     """
 
     def __init__(self, resources: Resources, hosts: tuple[ListedHost, ...]) -> None:
@@ -68,7 +69,7 @@
         for service in resources.service.values():
             self._add_pools(service)
 
-    # Lookups of request reception.
+    # Lookups for the reception of requests (ConfigurationLookup).
 
     def team_of(self, key_sha256: str) -> Team | None:
         """Return the team of an API key's SHA-256 digest, or None if no team has the key."""
@@ -90,7 +91,7 @@
         matched = self.resources.tier.get(tier)
         return matched.default_deadline_s if matched is not None else None
 
-    # Lookups of the entry and scheduling slices.
+    # Lookups for dispatch (entry.ports.ConfigurationPort) and membership.
 
     def pool(self, service: str, request: str) -> str:
         """Return the name of the pool that a service's request belongs to.
--- a/packages/chalkyoke/src/chalkyoke/node/ports.py
+++ b/packages/chalkyoke/src/chalkyoke/node/ports.py
@@ -1,20 +1,22 @@
 """
 chalkyoke.node.ports
 
-The configuration port of the entry slice, which always reads the revision in force.
+Implements the configuration lookups of the entry slice with the fleet view in force.
 """
 
 from collections.abc import Callable, Mapping
 
 from chalkyoke.configuration.resources import Route, Service, Team
-from chalkyoke.entry.reception import Directory
+from chalkyoke.entry.reception import ConfigurationLookup
 from chalkyoke.node.fleet import FleetView
 
 
-class FleetPort(Directory):
-    """Look up teams, services, routes and pools in the current fleet view.
+class FleetPort(ConfigurationLookup):
+    """Implement :class:`chalkyoke.entry.ports.ConfigurationPort` and the lookups of reception.
 
-    :param fleet: returns the view in force.
+    Each call reads the fleet view that is in force at that moment.
+
+    :param fleet: returns the fleet view in force.
     """
 
     def __init__(self, fleet: Callable[[], FleetView]) -> None:
--- a/packages/chalkyoke/src/chalkyoke/node/process.py
+++ b/packages/chalkyoke/src/chalkyoke/node/process.py
@@ -27,7 +27,7 @@
 from chalkyoke.entry.acquirer import Acquirer
 from chalkyoke.entry.answers import serve_forward
 from chalkyoke.entry.dispatcher import Dispatcher
-from chalkyoke.entry.ends import Ends
+from chalkyoke.entry.ends import OutcomeRecorder
 from chalkyoke.entry.http import CallerApi
 from chalkyoke.entry.messages import Forward, ForwardChunk, ForwardEnd, ForwardHead
 from chalkyoke.entry.runs import Runs
@@ -192,15 +192,15 @@
         self._upstream_session = make_session()
         self.upstreams = UpstreamClient(self._upstream_session)
         self.acquirer = Acquirer(runs, self.schedulers, port, self.metrics, self.now)
-        ends = Ends(runs, self.acquirer, self.events, self.metrics, self.now)
+        recorder = OutcomeRecorder(runs, self.acquirer, self.events, self.metrics, self.now)
         dispatcher = Dispatcher(
-            self.acquirer, ends, port, self.upstreams, self.events, self.metrics, self.now
+            self.acquirer, recorder, port, self.upstreams, self.events, self.metrics, self.now
         )
         self.entry = EntryService(
-            runs, self.acquirer, ends, dispatcher, port, self.events, self.metrics, self.now
+            runs, self.acquirer, recorder, dispatcher, port, self.events, self.metrics, self.now
         )
         self.schedulers.deliver = self.acquirer.receive
-        self.schedulers.report_running = self.acquirer.tell_running
+        self.schedulers.report_running = self.acquirer.report_running
 
     def _make_apis(self) -> None:
         settings, tls = self.settings, self.settings.tls
@@ -217,11 +217,11 @@
                 tls.administration_key,
             ),
         ]
-        self.metrics.gauge("running", lambda: sum(1 for _ in self.entry.runs.active()))
-        self.metrics.gauge("tokens_kept", lambda: len(self.entry.runs.ledger))
+        self.metrics.register_gauge("running", lambda: sum(1 for _ in self.entry.runs.active()))
+        self.metrics.register_gauge("tokens_kept", lambda: len(self.entry.runs.ledger))
         add_link_gauges(self.metrics, self.links)
-        self.metrics.gauge("revision", lambda: self.configuration.state.revision)
-        self.metrics.gauge("live_members", lambda: len(self.view.live()))
+        self.metrics.register_gauge("revision", lambda: self.configuration.state.revision)
+        self.metrics.register_gauge("live_members", lambda: len(self.view.live()))
 
     # Start and stop.
 
@@ -352,7 +352,7 @@
         elif isinstance(message, Grant | Queued | Shed):
             self.acquirer.receive(connection.peer, message)
         elif isinstance(message, AdoptRequest):
-            self.acquirer.tell_running(message.pool, connection.peer)
+            self.acquirer.report_running(message.pool, connection.peer)
         elif isinstance(message, Acquire | Adopt | Progress | Release | Withdraw):
             self.schedulers.remember_address(connection.peer, connection.peer_address)
             self.schedulers.receive(connection.peer, connection.peer_domain, message)
--- a/packages/chalkyoke/src/chalkyoke/platform/headers.py
+++ b/packages/chalkyoke/src/chalkyoke/platform/headers.py
@@ -4,10 +4,10 @@
 The platform's HTTP headers of requests and answers.
 """
 
-from chalkyoke.decimals import least_decimal, read_whole
+from chalkyoke.decimals import parse_integer, parse_smallest_decimal
 from chalkyoke.gateway.ports import AnswerFields, Forwarding, Load, PromptPart, RequestFields
-from chalkyoke.http1.messages import Headers, end_to_end
-from chalkyoke.rests import read_seconds
+from chalkyoke.http1.messages import Headers, end_to_end_headers
+from chalkyoke.retry_after import parse_retry_after
 
 REQUEST_ID = b"x-request-id"
 DEADLINE_MS = b"x-deadline-ms"
@@ -24,9 +24,7 @@
 RETRY_AFTER = b"retry-after"
 LIMIT = b"server-limit"
 
-KEPT_REQUEST_HEADERS = frozenset(
-    (REQUEST_ID, MODEL, TOKEN_COUNT, PREFIX_HASH, LAST_EVENT_ID, b"host")
-)
+KEPT_HEADERS = frozenset((REQUEST_ID, MODEL, TOKEN_COUNT, PREFIX_HASH, LAST_EVENT_ID, b"host"))
 SYSTEM_HEADERS = frozenset(
     b"x-tenant x-expect-instance x-expect-version x-deadline-ms x-credential"
     b" x-pin-ms x-hold x-kv-backup kv-from kv-fetch".split()
@@ -46,18 +44,14 @@
             key=found.get(CREDENTIAL),
             prompt_tokens=prompt,
             max_output_tokens=most,
-            estimated_output_tokens=read_whole(found.get(LENGTH_HINT, "")),
+            estimated_output_tokens=parse_integer(found.get(LENGTH_HINT, "")),
             parts=_parse_prompt_parts(found.get(PREFIX_HASH, "")),
             last_event_id=found.get(LAST_EVENT_ID, ""),
         )
 
     def forwarded_headers(self, headers: Headers, forwarding: Forwarding) -> Headers:
-        """Build the headers with which a request is forwarded to a replica.
-
-        Hop-by-hop headers and the headers that only the system may set are removed, and the
-        system's own values are added.
-        """
-        passed = end_to_end(headers, keep=KEPT_REQUEST_HEADERS)
+        """Drop hop-by-hop headers and those that only the system may set; add the system's own."""
+        passed = end_to_end_headers(headers, keep=KEPT_HEADERS)
         kept = [pair for pair in passed if pair[0].lower() not in SYSTEM_HEADERS]
         if forwarding.last_event_id:
             kept = [pair for pair in kept if pair[0].lower() != LAST_EVENT_ID]
@@ -70,12 +64,9 @@
         return kept
 
     def read_answer(self, headers: Headers) -> AnswerFields:
-        """Parse the platform's fields of an answer; an invalid value counts as absent.
-
-        Of several limits the lowest applies.
-        """
+        """Parse an answer's fields; an invalid value counts as absent, the lowest limit applies."""
         found = {name.lower(): value for name, value in headers}
-        limit = least_decimal(
+        limit = parse_smallest_decimal(
             _decode_text(value) for name, value in headers if name.lower() == LIMIT
         )
         return AnswerFields(
@@ -85,8 +76,8 @@
             encoded=b"content-encoding" in found,
             load=_parse_load(found.get(LOAD)),
             leaving=found.get(LEAVING, b"").strip() == b"1",
-            retry_after_s=read_seconds(_decode_text(found.get(RETRY_AFTER, b""))),
-            limit_per_s=limit.least,
+            retry_after_s=parse_retry_after(_decode_text(found.get(RETRY_AFTER, b""))),
+            limit_per_s=limit.value,
             limit_unreadable=limit.unreadable,
         )
 
--- a/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/upstreams/messages.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from chalkyoke.rests import bounded
+from chalkyoke.retry_after import cap_retry_after
 
 # Status 503 Service Unavailable (RFC 9110): with a Retry-After time, the upstream wants no requests
 # of this caller for that long.
@@ -55,7 +55,7 @@
     @property
     def rest_s(self) -> float:
         """How long this process must not send requests to the upstream, in seconds."""
-        return bounded(self.retry_after_s) if self.status == SERVICE_UNAVAILABLE else 0.0
+        return cap_retry_after(self.retry_after_s) if self.status == SERVICE_UNAVAILABLE else 0.0
 
 
 CallOutcome = Opened | NotConnected | NotPermitted | NoAnswer | Declined
