--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -26,28 +26,28 @@
 from chalkyoke.scheduling.scheduler import PoolScheduler
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
-from benches.statistics import Line, fit
+from benches.statistics import Line, fit_line
 
 NODES, REPLICAS, TEAMS, MODELS, DOMAINS = 340, 1300, 3800, 20, 7
 REQUESTS_PER_S = 6700
 CHANGES_PER_DAY = 1300
 RESTARTS_PER_DAY = 90 + 16
-CORE_BUDGET, MEMORY_BUDGET_MB, BYTES_BUDGET = 0.016, 32.0, 25_000.0
-HEARTBEAT_S = 1.0
-PROGRESS_S = 1.0
-ANSWER_S = 8.0
+CORE_SHARE_BUDGET, MEMORY_BUDGET_MB, BYTES_PER_S_BUDGET = 0.016, 32.0, 25_000.0
+HEARTBEAT_INTERVAL_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
+MEAN_ANSWER_S = 8.0
 TICK_S = 0.05
 
 CODEC = FrameCodec(LINK_MESSAGES)
 STAMP = Stamp(1_790_000_000_000, 3)
 
 
-def size_of(message: object) -> int:
+def frame_bytes(message: object) -> int:
     """Give the size of a message on a link, in bytes."""
     return len(CODEC.encode(STAMP, message))  # type: ignore[arg-type]
 
 
-def best_of(work: Callable[[], object], rounds: int = 5) -> float:
+def best_processor_s(work: Callable[[], object], rounds: int = 5) -> float:
     """Time some work; the best of a few rounds, in seconds."""
     best = float("inf")
     for _ in range(rounds):
@@ -57,7 +57,7 @@
     return best
 
 
-def memory_of(make: Callable[[], object]) -> float:
+def allocated_bytes(make: Callable[[], object]) -> float:
     """Measure what an object holds, in bytes."""
     tracemalloc.start()
     held = make()
@@ -67,7 +67,7 @@
     return float(size)
 
 
-def show(what: str, sizes: str, line: Line, unit: str, scale: float, at: float) -> None:
+def print_line(what: str, sizes: str, line: Line, unit: str, scale: float, at: float) -> None:
     """Print one fitted line as a row."""
     print(
         f"| {what} | {sizes} | {line.base * scale:.3g} + {line.slope * scale:.3g} n {unit} "
@@ -78,7 +78,7 @@
 # Membership.
 
 
-def record(index: int, domain: str) -> MemberRecord:
+def member_record(index: int, domain: str) -> MemberRecord:
     """Make a member as it describes itself."""
     address = f"10.{index // 250}.{index % 250}.7:7000"
     return MemberRecord(
@@ -88,18 +88,18 @@
 
 def membership_view(members: int) -> tuple[MembershipView, list[Heartbeat]]:
     """Make a view with some members of its own domain and the other domains' summaries."""
-    view = MembershipView(record(0, "d0"), HEARTBEAT_S)
-    beats = [Heartbeat(record(i, "d0"), 1) for i in range(1, members)]
+    view = MembershipView(member_record(0, "d0"), HEARTBEAT_INTERVAL_S)
+    beats = [Heartbeat(member_record(i, "d0"), 1) for i in range(1, members)]
     for beat in beats:
         view.receive(beat.record.address, beat, 0.0)
     for domain in range(1, DOMAINS):
         name = f"d{domain}"
-        records = tuple(record(1000 * domain + i, name) for i in range(members))
+        records = tuple(member_record(1000 * domain + i, name) for i in range(members))
         view.receive("x", Summary(Digest(name, f"r{domain}", 1), records), 0.0)
     return view, beats
 
 
-def membership() -> tuple[Line, Line, float]:
+def measure_membership() -> tuple[Line, Line, float]:
     """Measure a second of heartbeats against the members of a domain."""
     times, memory = [], []
     for members in (10, 25, 49, 100, 200):
@@ -115,20 +115,24 @@
             view.tick(1.0)
             view.pool_owner("some-pool")
 
-        times.append((members, best_of(second)))
-        memory.append((members, memory_of(lambda m=members: membership_view(m))))  # type: ignore[misc]
+        times.append((members, best_processor_s(second)))
+        memory.append((members, allocated_bytes(lambda m=members: membership_view(m))))  # type: ignore[misc]
         del frames
     digests = (Digest("d1", "entry-1/fffffff", 9),)
-    member = record(1, "d0")
-    whole = size_of(Heartbeat(member, 12345, digests))
-    short = size_of(ShortHeartbeat(member.host, member.incarnation, "d0", 12345, digests))
-    return fit(times), fit(memory), (whole + (FULL_EVERY_BEATS - 1) * short) / FULL_EVERY_BEATS
+    member = member_record(1, "d0")
+    whole = frame_bytes(Heartbeat(member, 12345, digests))
+    short = frame_bytes(ShortHeartbeat(member.host, member.incarnation, "d0", 12345, digests))
+    return (
+        fit_line(times),
+        fit_line(memory),
+        (whole + (FULL_EVERY_BEATS - 1) * short) / FULL_EVERY_BEATS,
+    )
 
 
 # Scheduling.
 
 
-def pool(upstreams: int, teams: int = 200) -> PoolSpec:
+def pool_spec(upstreams: int, teams: int = 200) -> PoolSpec:
     """Make a pool of unlike upstreams."""
     specs = tuple(
         UpstreamSpec(f"u{i}", f"a{i}", "d", 8, 4000.0 + 500 * (i % 9), 40.0 + 5 * (i % 7), 1.5, 400)
@@ -143,7 +147,7 @@
     )
 
 
-def acquire(number: int, source: random.Random) -> Acquire:
+def acquire_message(number: int, source: random.Random) -> Acquire:
     """Make a request's acquire message."""
     blocks = tuple(source.randrange(50) * 100 + i for i in range(4))
     return Acquire(
@@ -164,9 +168,9 @@
 def busy_scheduler(upstreams: int, waiting: int) -> PoolScheduler:
     """Make a scheduler whose slots are all taken, and some requests that wait."""
     source = random.Random(4)
-    scheduler = PoolScheduler(pool(upstreams), source.random, 0.0)
+    scheduler = PoolScheduler(pool_spec(upstreams), source.random, 0.0)
     for number in range(upstreams * 8 + waiting):
-        scheduler.acquire("entry", "d", acquire(number, source), 1.0)
+        scheduler.acquire("entry", "d", acquire_message(number, source), 1.0)
     return scheduler
 
 
@@ -183,7 +187,7 @@
         outs = scheduler.release("d", release, 2.0)
         used.append(time.process_time() - started)
         assert any(isinstance(out.action, Grant) for out in outs)
-        scheduler.acquire("entry", "d", acquire(100_000 + number, source), 2.0)
+        scheduler.acquire("entry", "d", acquire_message(100_000 + number, source), 2.0)
     return sorted(used)[len(used) // 2]
 
 
@@ -195,16 +199,16 @@
         scheduler._refuser._next_forecast = 0.0
         scheduler.tick(2.0)
 
-    return best_of(tick, 3)
+    return best_processor_s(tick, 3)
 
 
-def scheduling() -> tuple[Line, Line, Line, Line]:
+def measure_scheduling() -> tuple[Line, Line, Line, Line]:
     """Measure decisions against upstreams and against the queue, forecasts, and memory."""
     by_upstreams = [(n, decision_time(n, 1000)) for n in (5, 10, 20, 40, 80, 160)]
     by_waiting = [(n, decision_time(40, n)) for n in (10, 100, 300, 1000, 2000)]
     by_forecast = [(n, tick_time(n)) for n in (100, 300, 1000, 2000)]
-    memory = [(n, memory_of(lambda n=n: busy_scheduler(n, 10 * n))) for n in (10, 20, 40, 80)]  # type: ignore[misc]
-    return fit(by_upstreams), fit(by_waiting), fit(by_forecast), fit(memory)
+    memory = [(n, allocated_bytes(lambda n=n: busy_scheduler(n, 10 * n))) for n in (10, 20, 40, 80)]  # type: ignore[misc]
+    return fit_line(by_upstreams), fit_line(by_waiting), fit_line(by_forecast), fit_line(memory)
 
 
 # Configuration.
@@ -236,7 +240,7 @@
     return read_document(document).unwrap()
 
 
-def hosts(replicas: int) -> tuple[ListedHost, ...]:
+def host_list(replicas: int) -> tuple[ListedHost, ...]:
     """Make a host list of replicas and nodes."""
     entries = [
         ListedHost(
@@ -257,7 +261,9 @@
     return tuple(entries + engines)
 
 
-def adopted(specs: Specs, teams: int) -> tuple[ConfigurationState, Root, dict[str, bytes]]:
+def apply_configuration(
+    specs: Specs, teams: int
+) -> tuple[ConfigurationState, Root, dict[str, bytes]]:
     """Adopt a configuration, and make the next revision: one team changed."""
     state = ConfigurationState()
     chunks = split_chunks(specs)
@@ -274,13 +280,13 @@
     return state, Root(2, new, history), fresh
 
 
-def configuration() -> tuple[Line, Line, Line, float]:
+def measure_configuration() -> tuple[Line, Line, Line, float]:
     """Measure taking one change, rebuilding the fleet's view, memory, and bytes of a change."""
     times, rebuilds, memory = [], [], []
     moved = 0.0
     for teams in (475, 950, 1900, 3800):
         specs = fleet_specs(teams)
-        state, root, fresh = adopted(specs, teams)
+        state, root, fresh = apply_configuration(specs, teams)
 
         def take(
             state: ConfigurationState = state, root: Root = root, fresh: dict[str, bytes] = fresh
@@ -290,16 +296,18 @@
             copy.specs, copy.resources = state.specs, state.resources
             copy.apply_root(root, fresh).unwrap()
 
-        times.append((teams, best_of(take, 3)))
-        memory.append((teams, memory_of(lambda s=specs, t=teams: adopted(s, t)[0])))  # type: ignore[misc]
+        times.append((teams, best_processor_s(take, 3)))
+        memory.append(
+            (teams, allocated_bytes(lambda s=specs, t=teams: apply_configuration(s, t)[0]))  # type: ignore[misc]
+        )
         resources = build_resources(specs).unwrap()
-        listed = hosts(teams * REPLICAS // TEAMS)
-        rebuilds.append((teams, best_of(lambda r=resources, h=listed: FleetView(r, h), 3)))  # type: ignore[misc]
-        moved = float(sum(len(each) for each in fresh.values()) + size_of_root(root))
-    return fit(times), fit(rebuilds), fit(memory), moved
+        listed = host_list(teams * REPLICAS // TEAMS)
+        rebuilds.append((teams, best_processor_s(lambda r=resources, h=listed: FleetView(r, h), 3)))  # type: ignore[misc]
+        moved = float(sum(len(each) for each in fresh.values()) + root_bytes(root))
+    return fit_line(times), fit_line(rebuilds), fit_line(memory), moved
 
 
-def size_of_root(root: Root) -> int:
+def root_bytes(root: Root) -> int:
     """Give the size of a root with its history, in bytes."""
     return len(encode_root(root))
 
@@ -307,22 +315,22 @@
 # Links.
 
 
-def link_costs() -> tuple[float, float, float, float]:
+def measure_links() -> tuple[float, float, float, float]:
     """Measure a message's encoding and decoding, and the bytes of one request's messages."""
     source = random.Random(2)
-    message = acquire(1, source)
+    message = acquire_message(1, source)
     frame = CODEC.encode(STAMP, message)
     listed = msgpack.unpackb(frame)
     count = 2000
-    encode = best_of(lambda: [CODEC.encode(STAMP, message) for _ in range(count)]) / count
-    decode = best_of(lambda: [CODEC.decode(list(listed)) for _ in range(count)]) / count
+    encode = best_processor_s(lambda: [CODEC.encode(STAMP, message) for _ in range(count)]) / count
+    decode = best_processor_s(lambda: [CODEC.decode(list(listed)) for _ in range(count)]) / count
     grant = Grant(
         "entry-100-3fffffffffffffff-100000", 1, "model-11", "engine-1000", "10.1.200.1:8000", 2
     )
     release = Release(grant.request, 1, "model-11", "delivered", Usage(900, 0, 120, 0.3, 8.0))
-    per_request = float(len(frame) + 30 + size_of(grant) + size_of(release))
+    per_request = float(len(frame) + 30 + frame_bytes(grant) + frame_bytes(release))
     items = tuple(ProgressItem(grant.request, 120, 0.31234, 4.51234) for _ in range(100))
-    per_item = size_of(Progress("model-11", items)) / 100
+    per_item = frame_bytes(Progress("model-11", items)) / 100
     return encode, decode, per_request, per_item
 
 
@@ -332,17 +340,19 @@
     print("| what | sizes n | fitted line | residual | at the target |")
     print("|---|---|---|---|---|")
     per_domain = NODES / DOMAINS
-    beats, members, beat_bytes = membership()
-    show(
+    beats, members, beat_bytes = measure_membership()
+    print_line(
         "a heartbeat round, processor", "10..200 members of a domain", beats, "ms", 1e3, per_domain
     )
-    show("membership, memory", "10..200 members of a domain", members, "kB", 1e-3, per_domain)
-    by_upstreams, by_waiting, by_forecast, pool_memory = scheduling()
+    print_line("membership, memory", "10..200 members of a domain", members, "kB", 1e-3, per_domain)
+    by_upstreams, by_waiting, by_forecast, pool_memory = measure_scheduling()
     per_pool = REPLICAS / MODELS
-    show("a decision, 1,000 waiting", "5..160 upstreams", by_upstreams, "us", 1e6, per_pool)
-    show("a decision, 40 upstreams", "10..2,000 waiting", by_waiting, "us", 1e6, 1000)
-    show("a tick with a forecast, 40 upstreams", "100..2,000 waiting", by_forecast, "ms", 1e3, 1000)
-    show(
+    print_line("a decision, 1,000 waiting", "5..160 upstreams", by_upstreams, "us", 1e6, per_pool)
+    print_line("a decision, 40 upstreams", "10..2,000 waiting", by_waiting, "us", 1e6, 1000)
+    print_line(
+        "a tick with a forecast, 40 upstreams", "100..2,000 waiting", by_forecast, "ms", 1e3, 1000
+    )
+    print_line(
         "a pool scheduler, memory",
         "10..80 upstreams, 18 requests each",
         pool_memory,
@@ -350,9 +360,9 @@
         1e-3,
         per_pool,
     )
-    take, rebuild, config_memory, moved = configuration()
-    show("taking one change, processor", "475..3,800 teams", take, "ms", 1e3, TEAMS)
-    show(
+    take, rebuild, config_memory, moved = measure_configuration()
+    print_line("taking one change, processor", "475..3,800 teams", take, "ms", 1e3, TEAMS)
+    print_line(
         "rebuilding the fleet's view",
         "475..3,800 teams, 162..1,300 replicas",
         rebuild,
@@ -360,13 +370,13 @@
         1e3,
         TEAMS,
     )
-    show("configuration, memory", "475..3,800 teams", config_memory, "MB", 1e-6, TEAMS)
-    encode, decode, per_request, per_item = link_costs()
+    print_line("configuration, memory", "475..3,800 teams", config_memory, "MB", 1e-6, TEAMS)
+    encode, decode, per_request, per_item = measure_links()
     print(
         f"\nA link message costs {encode * 1e6:.1f} us to write and {decode * 1e6:.1f} us to read."
     )
 
-    _budget(
+    _print_budget(
         beats,
         beat_bytes,
         by_upstreams,
@@ -382,7 +392,7 @@
     )
 
 
-def _budget(
+def _print_budget(
     beats: Line,
     beat_bytes: float,
     by_upstreams: Line,
@@ -399,19 +409,19 @@
     """Work the slopes out for one node at the target, against its budget."""
     per_domain, rate = NODES / DOMAINS, REQUESTS_PER_S / NODES
     pools_here = MODELS / NODES
-    running = rate * ANSWER_S
+    running = rate * MEAN_ANSWER_S
     rows: list[tuple[str, float, float, float]] = [
         (
             "heartbeats",
-            beats.at(per_domain) / HEARTBEAT_S + 2 * per_domain * message,
-            2 * per_domain * beat_bytes / HEARTBEAT_S,
+            beats.at(per_domain) / HEARTBEAT_INTERVAL_S + 2 * per_domain * message,
+            2 * per_domain * beat_bytes / HEARTBEAT_INTERVAL_S,
             members.at(per_domain) / 1e6,
         ),
         ("acquire, grant, release of own requests", rate * 3 * message, rate * per_request, 0.0),
         (
             "progress of own requests",
             message * MODELS + running * 2e-6,
-            running * per_item / PROGRESS_S,
+            running * per_item / PROGRESS_INTERVAL_S,
             0.0,
         ),
         (
@@ -435,13 +445,13 @@
     octets = sum(row[2] for row in rows)
     memory = sum(row[3] for row in rows)
     print(
-        f"| together | {core:.2%} of {CORE_BUDGET:.1%} | {octets:,.0f} of {BYTES_BUDGET:,.0f} "
+        f"| together | {core:.2%} of {CORE_SHARE_BUDGET:.1%} | {octets:,.0f} of {BYTES_PER_S_BUDGET:,.0f} "
         f"| {memory:.1f} of {MEMORY_BUDGET_MB:.0f} MB |"
     )
     pool_rate = REQUESTS_PER_S / MODELS
     each = 2 * by_upstreams.at(REPLICAS / MODELS) + 3 * message
     whole = pool_rate * each
-    shards = max(1, -(-whole // CORE_BUDGET))
+    shards = max(1, -(-whole // CORE_SHARE_BUDGET))
     print(
         f"\nA whole pool of {REPLICAS / MODELS:.0f} replicas at {pool_rate:.0f} requests a second costs its "
         f"scheduler {whole:.1%} of a core and {pool_rate * per_request:,.0f} bytes a second; "
--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -18,21 +18,23 @@
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
 FLEETS = ("norrspar", "harano-prapti")
-HOSTS = 7
-SECONDS = 45.0
-SLOW_AT = 12.0
-KILL_AT = 20.0
-SLOW = 5.0
+NODES = 7
+RUN_S = 45.0
+SLOW_AT_S = 12.0
+KILL_AT_S = 20.0
+SLOW_FACTOR = 5.0
 SEED = 11
 
-OFF = "hold = false\nprefix = false\nlearn = false\nshed = false\nfair = false\nguard = false\n"
+FEATURES_OFF = (
+    "hold = false\nprefix = false\nlearn = false\nshed = false\nfair = false\nguard = false\n"
+)
 POLICIES = {
     "chalkyoke": "",
-    "fewest running, no parts": f"[policy]\n{OFF}predict = false\n",
+    "fewest running, no parts": f"[policy]\n{FEATURES_OFF}predict = false\n",
 }
 
 
-async def _run(name: str, policy: str) -> None:
+async def _run_fleet(name: str, policy: str) -> None:
     example = EXAMPLES / name
     plan = tomllib.loads((example / "load.toml").read_text(encoding="utf-8"))
     with tempfile.TemporaryDirectory(prefix="chalkyoke-bench-") as folder:
@@ -40,29 +42,29 @@
         domains = sorted({each["failure_domain"] for each in fleet.platform["entry"]})
         fleet.platform["entry"] = [
             {"host": f"entry-{i + 1}", "failure_domain": domains[i % len(domains)]}
-            for i in range(HOSTS)
+            for i in range(NODES)
         ]
         fleet.platform["settings"] = POLICIES[policy]
         connector = aiohttp.TCPConnector(limit=0)
         async with fleet, aiohttp.ClientSession(connector=connector) as session:
             load = Load(plan, [node.address for node in fleet.nodes.values()], session, SEED)
-            faults = asyncio.create_task(_disturb(fleet, load))
-            await load.run(SECONDS)
+            faults = asyncio.create_task(_inject_faults(fleet, load))
+            await load.run(RUN_S)
             await faults
-            _print(name, policy, load, await fleet.counts())
+            _print_results(name, policy, load, await fleet.counts())
 
 
-async def _disturb(fleet: LocalFleet, load: Load) -> None:
-    await asyncio.sleep(SLOW_AT)
+async def _inject_faults(fleet: LocalFleet, load: Load) -> None:
+    await asyncio.sleep(SLOW_AT_S)
     fast = next(iter(fleet.upstreams.values()))
-    await fleet.set_faults(fast, slow=SLOW)
-    await asyncio.sleep(KILL_AT - SLOW_AT)
+    await fleet.set_faults(fast, slow=SLOW_FACTOR)
+    await asyncio.sleep(KILL_AT_S - SLOW_AT_S)
     victim = list(fleet.nodes.values())[-1]
     victim.send(signal.SIGKILL)
     load.nodes.remove(victim.address)
 
 
-def _print(name: str, policy: str, load: Load, counts: dict[str, dict[str, int]]) -> None:
+def _print_results(name: str, policy: str, load: Load, counts: dict[str, dict[str, int]]) -> None:
     lost = sum(tally.told[Told.NOTHING] + tally.told[Told.BAD] for tally in load.tallies.values())
     doubled = sum(each["doubled"] for each in counts.values())
     wasted = sum(each.get("prefill_wasted", 0) for each in counts.values())
@@ -87,4 +89,4 @@
     print("\n## Part fleet")
     for name in FLEETS:
         for policy in POLICIES:
-            await _run(name, policy)
+            await _run_fleet(name, policy)
--- a/benches/gateway.py
+++ b/benches/gateway.py
@@ -14,16 +14,16 @@
 from chalkyoke_fakes.platformfleet import HOST, KEY, PlatformFleet
 from chalkyoke_fakes.replica import Replica
 
-from benches.statistics import fit, memory_mb, processor_s, quantile
+from benches.statistics import fit_line, memory_mb, processor_s, quantile
 
-ROUNDS = 150
-STARTS = 3
-SIZES = (1, 100, 300)
-STREAMS = 30
+LATENCY_ROUNDS = 150
+RESTARTS = 3
+ANSWER_SIZES_EVENTS = (1, 100, 300)
+REQUESTS_PER_SIZE = 30
 IDLE_S = 5.0
 
 
-async def _first_byte(fleet: PlatformFleet, address: str, number: int) -> float:
+async def _first_byte_s(fleet: PlatformFleet, address: str, number: int) -> float:
     headers = {
         "Host": HOST,
         "X-Request-Id": f"b{address}{number}",
@@ -44,37 +44,37 @@
     return popen.pid
 
 
-async def _latency(fleet: PlatformFleet, engine: Replica) -> None:
+async def _measure_latency(fleet: PlatformFleet, engine: Replica) -> None:
     engine.events, engine.faults.event_s = 2, 0.002
     direct, through = [], []
-    for number in range(ROUNDS):
-        direct.append(await _first_byte(fleet, engine.address, number))
-        through.append(await _first_byte(fleet, fleet.nodes["n1"].callers, number))
+    for number in range(LATENCY_ROUNDS):
+        direct.append(await _first_byte_s(fleet, engine.address, number))
+        through.append(await _first_byte_s(fleet, fleet.nodes["n1"].callers, number))
     for name, pick in (("median", statistics.median), ("99 in 100", lambda v: quantile(v, 0.99))):
         one, other = pick(direct) * 1000, pick(through) * 1000
         print(f"| first byte, {name} | {one:.2f} ms | {other:.2f} ms | +{other - one:.2f} ms |")
 
 
-async def _processor(fleet: PlatformFleet, engine: Replica) -> None:
+async def _measure_processor(fleet: PlatformFleet, engine: Replica) -> None:
     engine.faults.event_s = 0.001
     points = []
-    for size in SIZES:
+    for size in ANSWER_SIZES_EVENTS:
         engine.events = size
         before = processor_s(_pid(fleet))
-        for number in range(STREAMS):
-            await _first_byte(fleet, fleet.nodes["n1"].callers, 10_000 * size + number)
-        spent = (processor_s(_pid(fleet)) - before) / STREAMS
+        for number in range(REQUESTS_PER_SIZE):
+            await _first_byte_s(fleet, fleet.nodes["n1"].callers, 10_000 * size + number)
+        spent = (processor_s(_pid(fleet)) - before) / REQUESTS_PER_SIZE
         points.append((float(size), spent))
         print(f"| {size} events | {spent * 1000:.2f} ms a request |")
-    line = fit(points)
+    line = fit_line(points)
     print(
         f"processor time: {line.base * 1000:.2f} ms a request and {line.slope * 1e6:.1f} us an event"
         f" (largest residual {line.residual:.0%})"
     )
 
 
-async def _starts(fleet: PlatformFleet) -> None:
-    for _ in range(STARTS):
+async def _measure_restarts(fleet: PlatformFleet) -> None:
+    for _ in range(RESTARTS):
         node = fleet.nodes["n1"]
         assert node.popen is not None
         node.popen.kill()
@@ -92,10 +92,10 @@
             engine = next(each for each in fleet.replicas.values() if each.engine)
             engine.slots = 32
             print("| gateway node | processor | memory |")
-            await _starts(fleet)
+            await _measure_restarts(fleet)
             print("\n| latency | direct | through a node | added |")
-            await _latency(fleet, engine)
-            await _processor(fleet, engine)
+            await _measure_latency(fleet, engine)
+            await _measure_processor(fleet, engine)
             before = processor_s(_pid(fleet))
             await asyncio.sleep(IDLE_S)
             idle = (processor_s(_pid(fleet)) - before) / IDLE_S
--- a/benches/path.py
+++ b/benches/path.py
@@ -18,15 +18,15 @@
 from chalkyoke_fakes.caller import Caller, Told
 from chalkyoke_fakes.fleet import LocalFleet
 
-from benches.statistics import fit, memory_mb, processor_s, quantile
+from benches.statistics import fit_line, memory_mb, processor_s, quantile
 
 KEY = "bench-key"
 ENGINES = 4
-ROUNDS = 60
+LATENCY_ROUNDS = 60
 LATENCY_TOKENS = 30
-STREAMS = 48
-SIZES = (1, 60, 120, 240)
-JOINS = 60
+BURST_STREAMS = 48
+ANSWER_SIZES_TOKENS = (1, 60, 120, 240)
+RETRIES = 60
 IDLE_S = 10.0
 
 PLATFORM: dict[str, Any] = {
@@ -75,7 +75,7 @@
     }
 
 
-async def _gaps(
+async def _stream_gaps(
     session: aiohttp.ClientSession, address: str, tokens: int
 ) -> tuple[float, list[float]]:
     """Stream one answer; give the time to the first byte and the gaps between reads."""
@@ -91,14 +91,14 @@
     return moments[0] - started, gaps
 
 
-async def _latency(fleet: LocalFleet, session: aiohttp.ClientSession) -> list[str]:
+async def _measure_latency(fleet: LocalFleet, session: aiohttp.ClientSession) -> list[str]:
     engine = fleet.upstreams["e0"].address
     node = fleet.nodes["n1"].address
     first: dict[str, list[float]] = {"engine": [], "node": []}
     gaps: dict[str, list[float]] = {"engine": [], "node": []}
-    for _ in range(ROUNDS):
+    for _ in range(LATENCY_ROUNDS):
         for name, address in (("engine", engine), ("node", node)):
-            one, some = await _gaps(session, address, LATENCY_TOKENS)
+            one, some = await _stream_gaps(session, address, LATENCY_TOKENS)
             first[name].append(one)
             gaps[name] += some
     lines = []
@@ -112,44 +112,44 @@
     return lines
 
 
-async def _burst(fleet: LocalFleet, caller: Caller, tokens: int) -> tuple[float, float, int]:
+async def _run_burst(fleet: LocalFleet, caller: Caller, tokens: int) -> tuple[float, float, int]:
     """Send many streams at once; give the node's processor time and the elapsed time."""
     node = fleet.nodes["n1"]
     before, started = processor_s(node.popen.pid), time.perf_counter()
     replies = await asyncio.gather(
-        *(caller.complete(node.address, _body(tokens)) for _ in range(STREAMS * 2))
+        *(caller.complete(node.address, _body(tokens)) for _ in range(BURST_STREAMS * 2))
     )
     elapsed = time.perf_counter() - started
     whole = sum(reply.told is Told.WHOLE for reply in replies)
     return processor_s(node.popen.pid) - before, elapsed, whole
 
 
-async def _cost(fleet: LocalFleet, caller: Caller) -> list[str]:
+async def _measure_cost(fleet: LocalFleet, caller: Caller) -> list[str]:
     points: list[tuple[float, float]] = []
     lines = []
-    for tokens in SIZES:
-        used, elapsed, whole = await _burst(fleet, caller, tokens)
-        count = STREAMS * 2
+    for tokens in ANSWER_SIZES_TOKENS:
+        used, elapsed, whole = await _run_burst(fleet, caller, tokens)
+        count = BURST_STREAMS * 2
         points.append((tokens, used / count))
         lines.append(
             f"| {tokens} | {whole}/{count} | {count / elapsed:.0f} | {count * tokens / elapsed:.0f} "
             f"| {used / count * 1e3:.2f} ms | {used / elapsed * 100:.0f}% |"
         )
-    line = fit(points)
+    line = fit_line(points)
     lines.append("")
     lines.append(
         f"Processor time: {line.base * 1e3:.2f} ms a request and {line.slope * 1e6:.1f} us a streamed "
-        f"chunk (least squares over {len(SIZES)} sizes, largest residual {line.residual:.0%})."
+        f"chunk (least squares over {len(ANSWER_SIZES_TOKENS)} sizes, largest residual {line.residual:.0%})."
     )
     return lines
 
 
-async def _joins(fleet: LocalFleet, caller: Caller) -> list[str]:
+async def _measure_retries(fleet: LocalFleet, caller: Caller) -> list[str]:
     """Replay an answer at its issuer, and through another host."""
     times: dict[str, list[float]] = {"n1": [], "n2": []}
     token = await caller.take_token(fleet.nodes["n1"].address)
     await caller.complete(fleet.nodes["n1"].address, _body(20), Chalkyoke_Token=token)
-    for _ in range(JOINS):
+    for _ in range(RETRIES):
         for host, found in times.items():
             address = fleet.nodes[host].address
             reply = await caller.complete(address, _body(20), Chalkyoke_Token=token)
@@ -157,7 +157,7 @@
     own, other = (statistics.median(times[host]) for host in ("n1", "n2"))
     lookups = []
     assert fleet.store is not None
-    for _ in range(JOINS):
+    for _ in range(RETRIES):
         started = time.perf_counter()
         async with fleet.session.get(f"http://{fleet.store.address}/v1/kv/none?raw") as response:
             await response.read()
@@ -190,12 +190,12 @@
             share = max(used.values()) / IDLE_S
             print(f"Processor time of an idle node: {share:.2%} of a core.\n")
             print("| latency | engine | through a node | added | ratio |\n|---|---|---|---|---|")
-            print("\n".join(await _latency(fleet, session)))
+            print("\n".join(await _measure_latency(fleet, session)))
             print(
                 "\n| tokens | whole | requests a second | chunks a second | processor a request | core |"
             )
             print("|---|---|---|---|---|---|")
-            print("\n".join(await _cost(fleet, caller)))
-            print("\n" + "\n".join(await _joins(fleet, caller)))
+            print("\n".join(await _measure_cost(fleet, caller)))
+            print("\n" + "\n".join(await _measure_retries(fleet, caller)))
             loaded = max(memory_mb(node.popen.pid) for node in fleet.nodes.values())
             print(f"\nMemory of the loaded node after this: {loaded:.0f} MB.")
--- a/benches/policy/__main__.py
+++ b/benches/policy/__main__.py
@@ -9,7 +9,7 @@
 
 from benches.policy import report
 from benches.policy.policies import POLICIES
-from benches.policy.scenario import all_scenarios, load
+from benches.policy.scenario import all_scenarios, load_scenarios
 
 DEFAULT_SEEDS = 10
 
@@ -27,18 +27,18 @@
     parsed = parser.parse_args(arguments)
 
     if parsed.scenario:
-        scenarios = [each for path in parsed.scenario for each in load(path)]
+        scenarios = [each for path in parsed.scenario for each in load_scenarios(path)]
     else:
         scenarios = [each for each in all_scenarios() if parsed.only in each.name]
     seeds = parsed.seed or list(range(1, parsed.seeds + 1))
-    verdicts = report.play_all(scenarios, parsed.policy or list(POLICIES), seeds)
-    rows = report.rows_of(verdicts)
+    verdicts = report.run_all(scenarios, parsed.policy or list(POLICIES), seeds)
+    rows = report.rows_by_scenario(verdicts)
     tiers = {each.fleet: [tier["name"] for tier in each.tiers] for each in scenarios}
     if not parsed.policy:
-        print(report.summary(rows, tiers) + "\n\n" + report.ablations(rows) + "\n")
-    print(report.values(rows) + "\n")
+        print(report.summary_table(rows, tiers) + "\n\n" + report.ablation_table(rows) + "\n")
+    print(report.value_table(rows) + "\n")
     if not parsed.brief:
-        print(report.table(rows, tiers))
+        print(report.scenario_tables(rows, tiers))
     print(
         "Short of the aims:" if (short := report.shortfalls(rows, tiers)) else "All aims reached."
     )
--- a/benches/policy/engine.py
+++ b/benches/policy/engine.py
@@ -11,7 +11,7 @@
 
 from chalkyoke.scheduling.placement import BLOCK_TOKENS
 
-CHUNK_TOKENS = 512
+PREFILL_CHUNK_TOKENS = 512
 
 
 @dataclass(eq=False)
@@ -28,7 +28,7 @@
     prefill_left: float = 0.0
     started_at: float = -1.0
     first_at: float = -1.0
-    base: float = 0.0
+    produced_at_first: float = 0.0
     state: str = "queued"
 
     @property
@@ -63,11 +63,11 @@
         self.version = 0
         self.batch: dict[str, Sequence] = {}
         self.queue: list[tuple[int, float, str, Sequence]] = []
-        self.reading: list[tuple[int, float, str, Sequence]] = []
-        self.finish: list[tuple[float, str, Sequence]] = []
+        self.prefill_heap: list[tuple[int, float, str, Sequence]] = []
+        self.finish_heap: list[tuple[float, str, Sequence]] = []
         self.produced = 0.0
         self.decoding = 0
-        self.last = 0.0
+        self.advanced_to = 0.0
         self.prefilled = 0.0
         self.cache: OrderedDict[int, None] = OrderedDict()
         self.dropped: list[tuple[float, int]] = []
@@ -86,34 +86,36 @@
     def _rates(self) -> tuple[float, float]:
         """Give prompt tokens a second, and output tokens a second for each stream."""
         decode = self.token_time() if self.decoding else 0.0
-        if self.reading:
-            step = (CHUNK_TOKENS / self.spec.prefill_tokens_per_s + decode) * self.slow
-            return CHUNK_TOKENS / step, (1.0 / step if self.decoding else 0.0)
+        if self.prefill_heap:
+            step = (PREFILL_CHUNK_TOKENS / self.spec.prefill_tokens_per_s + decode) * self.slow
+            return PREFILL_CHUNK_TOKENS / step, (1.0 / step if self.decoding else 0.0)
         return 0.0, (1.0 / (decode * self.slow) if self.decoding else 0.0)
 
     def advance(self, now: float) -> None:
         """Work until a moment."""
-        seconds = now - self.last
-        self.last = now
+        seconds = now - self.advanced_to
+        self.advanced_to = now
         if seconds <= 0:
             return
         prefill, decode = self._rates()
         self.produced += decode * seconds
-        if self.reading:
-            head = self.reading[0][3]
+        if self.prefill_heap:
+            head = self.prefill_heap[0][3]
             done = min(head.prefill_left, prefill * seconds)
             head.prefill_left -= done
             self.prefilled += done
 
     def next_event(self) -> float:
         """Give the moment of the next prompt read or answer finished; infinite for none."""
-        self._drop_ended()
+        self._drop_cancelled()
         prefill, decode = self._rates()
         moment = float("inf")
-        if self.reading:
-            moment = self.last + self.reading[0][3].prefill_left / prefill
-        if self.finish:
-            moment = min(moment, self.last + max(0.0, self.finish[0][0] - self.produced) / decode)
+        if self.prefill_heap:
+            moment = self.advanced_to + self.prefill_heap[0][3].prefill_left / prefill
+        if self.finish_heap:
+            moment = min(
+                moment, self.advanced_to + max(0.0, self.finish_heap[0][0] - self.produced) / decode
+            )
         return moment
 
     def collect(self, now: float) -> tuple[list[Sequence], list[Sequence]]:
@@ -123,26 +125,26 @@
         """
         first: list[Sequence] = []
         finished: list[Sequence] = []
-        while self.reading and self.reading[0][3].prefill_left <= 1e-6:
-            _, _, _, sequence = heapq.heappop(self.reading)
+        while self.prefill_heap and self.prefill_heap[0][3].prefill_left <= 1e-6:
+            _, _, _, sequence = heapq.heappop(self.prefill_heap)
             sequence.prefill_left = 0.0
             self._start_decoding(sequence, now)
             first.append(sequence)
-        while self.finish and self.finish[0][0] <= self.produced + 1e-6:
-            _, _, sequence = heapq.heappop(self.finish)
+        while self.finish_heap and self.finish_heap[0][0] <= self.produced + 1e-6:
+            _, _, sequence = heapq.heappop(self.finish_heap)
             if sequence.state != "decoding":
                 continue
             sequence.state = "done"
             self.decoding -= 1
             del self.batch[sequence.id]
             finished.append(sequence)
-        self._fill(now)
+        self._fill_batch(now)
         return first, finished
 
     def submit(self, sequence: Sequence, now: float) -> None:
         """Take a request in."""
         heapq.heappush(self.queue, (sequence.priority, now, sequence.id, sequence))
-        self._fill(now)
+        self._fill_batch(now)
 
     def cancel(self, sequence: Sequence, now: float) -> None:
         """Drop a request."""
@@ -156,43 +158,43 @@
             del self.batch[sequence.id]
         sequence.state = "cancelled_queued" if was_queued else "cancelled"
         if reading:
-            self.reading = [each for each in self.reading if each[3] is not sequence]
-            heapq.heapify(self.reading)
-        self._fill(now)
+            self.prefill_heap = [each for each in self.prefill_heap if each[3] is not sequence]
+            heapq.heapify(self.prefill_heap)
+        self._fill_batch(now)
 
     def tokens_of(self, sequence: Sequence) -> int:
         """Count the output tokens that a sequence has so far."""
         if sequence.state != "decoding":
             return 0
-        return min(sequence.output_tokens, int(self.produced - sequence.base))
+        return min(sequence.output_tokens, int(self.produced - sequence.produced_at_first))
 
     def _start_decoding(self, sequence: Sequence, now: float) -> None:
         sequence.state = "decoding"
         sequence.first_at = now
-        sequence.base = self.produced
+        sequence.produced_at_first = self.produced
         self.decoding += 1
         target = self.produced + sequence.output_tokens
-        heapq.heappush(self.finish, (target, sequence.id, sequence))
-        self._remember(sequence.blocks, now)
+        heapq.heappush(self.finish_heap, (target, sequence.id, sequence))
+        self._cache_prefix(sequence.blocks, now)
 
-    def _fill(self, now: float) -> None:
+    def _fill_batch(self, now: float) -> None:
         while self.queue and len(self.batch) < self.spec.slots:
             _, _, _, sequence = heapq.heappop(self.queue)
             if sequence.state != "queued":
                 continue
             sequence.state = "reading"
             sequence.started_at = now
-            cached = self._look_up(sequence.blocks) * BLOCK_TOKENS
+            cached = self._cached_prefix_blocks(sequence.blocks) * BLOCK_TOKENS
             sequence.cached_tokens = min(cached, sequence.prompt_tokens - 1)
             sequence.prefill_left = float(sequence.prompt_tokens - sequence.cached_tokens)
             self.batch[sequence.id] = sequence
-            heapq.heappush(self.reading, (sequence.priority, now, sequence.id, sequence))
+            heapq.heappush(self.prefill_heap, (sequence.priority, now, sequence.id, sequence))
 
-    def _drop_ended(self) -> None:
-        while self.finish and self.finish[0][2].state != "decoding":
-            heapq.heappop(self.finish)
+    def _drop_cancelled(self) -> None:
+        while self.finish_heap and self.finish_heap[0][2].state != "decoding":
+            heapq.heappop(self.finish_heap)
 
-    def _look_up(self, blocks: tuple[int, ...]) -> int:
+    def _cached_prefix_blocks(self, blocks: tuple[int, ...]) -> int:
         depth = 0
         for block in blocks:
             if block not in self.cache:
@@ -201,7 +203,7 @@
             depth += 1
         return depth
 
-    def _remember(self, blocks: tuple[int, ...], now: float) -> None:
+    def _cache_prefix(self, blocks: tuple[int, ...], now: float) -> None:
         for block in reversed(blocks):
             self.cache[block] = None
             self.cache.move_to_end(block)
--- a/benches/policy/policies.py
+++ b/benches/policy/policies.py
@@ -30,16 +30,16 @@
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
 from benches.policy.engine import EngineSpec, SimEngine
-from benches.policy.simulation import Simulation, Try
+from benches.policy.simulation import CallerAttempt, Simulation
 
-LINK_S = 0.001
-TICK_S = 0.05
-PROGRESS_S = 1.0
-REPORT_S = 1.0
-TAKE_OVER_S = 1.5
+LINK_DELAY_S = 0.001
+SCHEDULER_TICK_S = 0.05
+PROGRESS_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 1.0
+SUCCESSOR_DELAY_S = 1.5
 CACHE_LAG_S = 1.0
-CACHE_GAP = 0.2
-CARD_ERROR = 1.3
+CACHE_EVENT_LOSS_SHARE = 0.2
+MODEL_CARD_ERROR_FACTOR = 1.3
 
 
 class Baseline:
@@ -47,53 +47,53 @@
 
     name = "baseline"
 
-    def begin(self, simulation: Simulation) -> None:
+    def attach(self, simulation: Simulation) -> None:
         """Get ready."""
         self.simulation = simulation
         self.random = random.Random(5)
         self.outstanding: dict[str, int] = defaultdict(int)
         self.reported: dict[str, int] = dict.fromkeys(simulation.engines, 0)
-        simulation.every(REPORT_S, self._report)
+        simulation.call_every(REPORT_INTERVAL_S, self._refresh_reported_loads)
 
-    def _report(self) -> None:
+    def _refresh_reported_loads(self) -> None:
         lag = self.simulation.scenario.report_lag_s
         loads = {name: engine.load for name, engine in self.simulation.engines.items()}
-        self.simulation.at(self.simulation.now + lag, lambda: self.reported.update(loads))
+        self.simulation.call_at(self.simulation.now + lag, lambda: self.reported.update(loads))
 
-    def eligible(self, item: Try) -> list[SimEngine]:
+    def eligible_engines(self, attempt: CallerAttempt) -> list[SimEngine]:
         """List the engines that the request's route matches."""
-        names = eligible_names(self.simulation, item.demand.route)
+        names = eligible_engine_ids(self.simulation, attempt.demand.route)
         return [self.simulation.engines[name] for name in names]
 
-    def arrive(self, item: Try) -> None:
+    def on_arrival(self, attempt: CallerAttempt) -> None:
         """Choose an engine; one that refuses the connection is passed over."""
-        engines = self.eligible(item)
+        engines = self.eligible_engines(attempt)
         while engines:
-            chosen = self.choose(item, engines)
-            if self.simulation.start(item, chosen, 0):
+            chosen = self.choose_engine(attempt, engines)
+            if self.simulation.dispatch(attempt, chosen, 0):
                 self.outstanding[chosen.spec.id] += 1
                 return
             engines.remove(chosen)
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
         """Choose one engine."""
         raise NotImplementedError
 
-    def first(self, item: Try) -> None:
+    def on_first_token(self, attempt: CallerAttempt) -> None:
         """Nothing is learned."""
 
-    def ended(self, item: Try, delivered: bool) -> None:
+    def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
         """Count down."""
-        assert item.engine is not None
-        self.outstanding[item.engine.spec.id] -= 1
+        assert attempt.engine is not None
+        self.outstanding[attempt.engine.spec.id] -= 1
 
-    def left(self, item: Try) -> None:
+    def on_expired_waiting(self, attempt: CallerAttempt) -> None:
         """Nothing waits outside engines."""
 
     def lose_scheduler(self) -> None:
         """There is none."""
 
-    def backlogged(self) -> dict[str, dict[str, int]]:
+    def count_waiting(self) -> dict[str, dict[str, int]]:
         """Nothing waits outside engines."""
         return {}
 
@@ -103,12 +103,12 @@
 
     name = "round robin"
 
-    def begin(self, simulation: Simulation) -> None:
+    def attach(self, simulation: Simulation) -> None:
         """Get ready."""
-        super().begin(simulation)
+        super().attach(simulation)
         self.turn = 0
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
         """Choose the next one."""
         self.turn += 1
         return engines[self.turn % len(engines)]
@@ -119,7 +119,7 @@
 
     name = "least outstanding"
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
         """Choose the emptiest."""
         return min(engines, key=lambda engine: self.outstanding[engine.spec.id])
 
@@ -129,7 +129,7 @@
 
     name = "two choices"
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
         """Choose the better of two."""
         two = self.random.sample(engines, min(2, len(engines)))
         return min(two, key=lambda engine: self.reported[engine.spec.id])
@@ -140,13 +140,13 @@
 
     name = "prefix affinity"
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
         """Choose by rendezvous over the head block."""
-        head = item.demand.blocks[:1] or (item.demand.id,)
+        head = attempt.demand.blocks[:1] or (attempt.demand.id,)
         return max(engines, key=lambda engine: zlib.crc32(f"{head}{engine.spec.id}".encode()))
 
 
-def eligible_names(simulation: Simulation, route: str) -> list[str]:
+def eligible_engine_ids(simulation: Simulation, route: str) -> list[str]:
     """List the engines whose labels a route's selector matches."""
     wanted = next(each for each in simulation.scenario.routes if each["name"] == route)
     return [
@@ -156,9 +156,9 @@
     ]
 
 
-def _card(spec: EngineSpec) -> float:
+def _model_card_factor(spec: EngineSpec) -> float:
     """Give the error of an engine's model card: too good or too bad by up to 30%."""
-    return float(CARD_ERROR ** ((zlib.crc32(spec.id.encode()) % 201 - 100) / 100))
+    return float(MODEL_CARD_ERROR_FACTOR ** ((zlib.crc32(spec.id.encode()) % 201 - 100) / 100))
 
 
 class Chalkyoke:
@@ -170,19 +170,19 @@
         self.name = name
         self._features = features or Features()
 
-    def begin(self, simulation: Simulation) -> None:
+    def attach(self, simulation: Simulation) -> None:
         """Make the scheduler and its timers."""
         self.simulation = simulation
         self.random = random.Random(3)
-        self.waiting: dict[str, Try] = {}
-        self.running: dict[str, Try] = {}
-        self.attempts: dict[str, int] = {}
+        self.waiting: dict[str, CallerAttempt] = {}
+        self.running: dict[str, CallerAttempt] = {}
+        self.grant_attempts: dict[str, int] = {}
         self.scheduler: PoolScheduler | None = self.make_scheduler()
-        simulation.every(TICK_S, self._tick)
-        simulation.every(PROGRESS_S, self._progress)
-        simulation.every(REPORT_S, self._report)
+        simulation.call_every(SCHEDULER_TICK_S, self._tick)
+        simulation.call_every(PROGRESS_INTERVAL_S, self._send_progress)
+        simulation.call_every(REPORT_INTERVAL_S, self._send_reports)
 
-    def spec(self) -> PoolSpec:
+    def pool_spec(self) -> PoolSpec:
         """Write the scenario as a pool; model cards are wrong by up to 30%."""
         scenario = self.simulation.scenario
         return PoolSpec(
@@ -193,8 +193,8 @@
                     each.id,
                     each.domain,
                     each.slots,
-                    each.prefill_tokens_per_s * _card(each),
-                    each.decode_tokens_per_s * _card(each),
+                    each.prefill_tokens_per_s * _model_card_factor(each),
+                    each.decode_tokens_per_s * _model_card_factor(each),
                     each.batch_slowdown,
                     each.cache_blocks,
                 )
@@ -203,7 +203,9 @@
             tuple(TierSpec(tier["name"], rank) for rank, tier in enumerate(scenario.tiers)),
             tuple(TeamSpec(team["name"], team["weight"]) for team in scenario.teams),
             tuple(
-                RouteSpec(each["name"], frozenset(eligible_names(self.simulation, each["name"])))
+                RouteSpec(
+                    each["name"], frozenset(eligible_engine_ids(self.simulation, each["name"]))
+                )
                 for each in scenario.routes
             ),
             scenario.caution,
@@ -212,29 +214,31 @@
     def make_scheduler(self, expected: tuple[str, ...] = ()) -> PoolScheduler:
         """Make a scheduler."""
         return PoolScheduler(
-            self.spec(), self.random.random, self.simulation.now, expected, self._features
+            self.pool_spec(), self.random.random, self.simulation.now, expected, self._features
         )
 
     # The entry's side.
 
-    def arrive(self, item: Try) -> None:
+    def on_arrival(self, attempt: CallerAttempt) -> None:
         """Acquire."""
-        self.waiting[item.id] = item
-        self.attempts[item.id] = 1
-        self._acquire(item)
+        self.waiting[attempt.id] = attempt
+        self.grant_attempts[attempt.id] = 1
+        self._request_slot(attempt)
 
-    def _acquire(self, item: Try) -> None:
+    def _request_slot(self, attempt: CallerAttempt) -> None:
         if self.scheduler is not None:
-            self._take(
-                self.scheduler.acquire("entry", "d", self.message(item), self.simulation.now)
+            self._schedule_actions(
+                self.scheduler.acquire(
+                    "entry", "d", self.acquire_message(attempt), self.simulation.now
+                )
             )
 
-    def message(self, item: Try) -> Acquire:
+    def acquire_message(self, attempt: CallerAttempt) -> Acquire:
         """Write the acquire message of a try."""
-        demand, now = item.demand, self.simulation.now
+        demand, now = attempt.demand, self.simulation.now
         return Acquire(
-            item.id,
-            self.attempts[item.id],
+            attempt.id,
+            self.grant_attempts[attempt.id],
             "pool",
             demand.route,
             demand.tier,
@@ -242,49 +246,49 @@
             demand.prompt_tokens,
             demand.max_output,
             demand.blocks,
-            item.deadline - now,
-            now - item.arrived,
+            attempt.deadline - now,
+            now - attempt.arrived,
         )
 
-    def _take(self, outs: list[AddressedAction]) -> None:
+    def _schedule_actions(self, outs: list[AddressedAction]) -> None:
         for out in outs:
             action = out.action
-            self.simulation.at(
-                self.simulation.now + LINK_S,
-                lambda action=action: self._act(action),  # type: ignore[misc]
+            self.simulation.call_at(
+                self.simulation.now + LINK_DELAY_S,
+                lambda action=action: self._apply_action(action),  # type: ignore[misc]
             )
 
-    def _act(self, action: Grant | Shed) -> None:
-        item = self.waiting.get(action.request)
-        if item is None or self.attempts[item.id] != action.attempt:
+    def _apply_action(self, action: Grant | Shed) -> None:
+        attempt = self.waiting.get(action.request)
+        if attempt is None or self.grant_attempts[attempt.id] != action.attempt:
             if isinstance(action, Grant):
-                self._release(action.request, action.attempt, "unused", Usage())
+                self._release_slot(action.request, action.attempt, "unused", Usage())
             return
         if isinstance(action, Shed):
-            del self.waiting[item.id]
-            self.simulation.refuse(item, action.reason, action.retry_after_s)
+            del self.waiting[attempt.id]
+            self.simulation.refuse(attempt, action.reason, action.retry_after_s)
             return
         engine = self.simulation.engines[action.upstream]
-        if self.simulation.start(item, engine, action.priority):
-            del self.waiting[item.id]
-            self.running[item.id] = item
+        if self.simulation.dispatch(attempt, engine, action.priority):
+            del self.waiting[attempt.id]
+            self.running[attempt.id] = attempt
             return
-        self._release(item.id, action.attempt, "unreachable", Usage())
-        self.attempts[item.id] += 1
-        self._acquire(item)
+        self._release_slot(attempt.id, action.attempt, "unreachable", Usage())
+        self.grant_attempts[attempt.id] += 1
+        self._request_slot(attempt)
 
-    def _release(self, request: str, attempt: int, outcome: str, usage: Usage) -> None:
+    def _release_slot(self, request: str, attempt: int, outcome: str, usage: Usage) -> None:
         if self.scheduler is not None:
             message = Release(request, attempt, "pool", outcome, usage)
-            self._take(self.scheduler.release("d", message, self.simulation.now))
+            self._schedule_actions(self.scheduler.release("d", message, self.simulation.now))
 
-    def first(self, item: Try) -> None:
+    def on_first_token(self, attempt: CallerAttempt) -> None:
         """The next progress message tells it."""
 
-    def ended(self, item: Try, delivered: bool) -> None:
+    def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
         """Release."""
-        self.running.pop(item.id, None)
-        sequence, engine = item.sequence, item.engine
+        self.running.pop(attempt.id, None)
+        sequence, engine = attempt.sequence, attempt.engine
         assert sequence is not None
         assert engine is not None
         output = sequence.output_tokens if delivered else engine.tokens_of(sequence)
@@ -297,67 +301,69 @@
             self.simulation.now - sequence.submitted,
         )
         outcome = "delivered" if delivered else ("failed" if engine.gone else "cancelled")
-        self._release(item.id, self.attempts[item.id], outcome, usage)
+        self._release_slot(attempt.id, self.grant_attempts[attempt.id], outcome, usage)
 
-    def left(self, item: Try) -> None:
+    def on_expired_waiting(self, attempt: CallerAttempt) -> None:
         """Withdraw."""
-        self.waiting.pop(item.id, None)
+        self.waiting.pop(attempt.id, None)
         if self.scheduler is not None:
-            self.scheduler.withdraw(Withdraw(item.id, "pool"))
+            self.scheduler.withdraw(Withdraw(attempt.id, "pool"))
 
     def lose_scheduler(self) -> None:
         """Lose it; its successor is asked after the heartbeats have run out."""
         self.scheduler = None
-        self.simulation.at(self.simulation.now + TAKE_OVER_S, self._take_over)
+        self.simulation.call_at(self.simulation.now + SUCCESSOR_DELAY_S, self._start_successor)
 
-    def _take_over(self) -> None:
+    def _start_successor(self) -> None:
         self.scheduler = self.make_scheduler(("entry",))
         now = self.simulation.now
         items = []
-        for item in self.running.values():
-            assert item.sequence is not None
-            assert item.engine is not None
-            demand = item.demand
+        for attempt in self.running.values():
+            assert attempt.sequence is not None
+            assert attempt.engine is not None
+            demand = attempt.demand
             items.append(
                 RunningItem(
-                    item.id,
-                    self.attempts[item.id],
-                    item.engine.spec.id,
+                    attempt.id,
+                    self.grant_attempts[attempt.id],
+                    attempt.engine.spec.id,
                     demand.tier,
                     demand.team,
                     demand.route,
                     demand.prompt_tokens,
                     demand.max_output,
-                    item.engine.tokens_of(item.sequence),
-                    now - item.sequence.submitted,
+                    attempt.engine.tokens_of(attempt.sequence),
+                    now - attempt.sequence.submitted,
                 )
             )
-        self._take(self.scheduler.adopt("entry", Adopt("pool", tuple(items)), now))
-        for item in list(self.waiting.values()):
-            self._acquire(item)
+        self._schedule_actions(self.scheduler.adopt("entry", Adopt("pool", tuple(items)), now))
+        for attempt in list(self.waiting.values()):
+            self._request_slot(attempt)
 
     # Timers.
 
     def _tick(self) -> None:
         if self.scheduler is not None:
-            self._take(self.scheduler.tick(self.simulation.now))
+            self._schedule_actions(self.scheduler.tick(self.simulation.now))
 
-    def _progress(self) -> None:
+    def _send_progress(self) -> None:
         if self.scheduler is None:
             return
         now = self.simulation.now
         items = []
-        for item in self.running.values():
-            assert item.sequence is not None
-            assert item.engine is not None
-            item.engine.advance(now)
-            sequence = item.sequence
+        for attempt in self.running.values():
+            assert attempt.sequence is not None
+            assert attempt.engine is not None
+            attempt.engine.advance(now)
+            sequence = attempt.sequence
             first = sequence.first_at - sequence.submitted if sequence.first_at >= 0 else -1.0
-            tokens = item.engine.tokens_of(sequence)
-            items.append(ProgressItem(item.id, tokens, first, now - sequence.submitted))
-        self._take(self.scheduler.apply_progress("entry", Progress("pool", tuple(items)), now))
+            tokens = attempt.engine.tokens_of(sequence)
+            items.append(ProgressItem(attempt.id, tokens, first, now - sequence.submitted))
+        self._schedule_actions(
+            self.scheduler.apply_progress("entry", Progress("pool", tuple(items)), now)
+        )
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         now, lag = self.simulation.now, self.simulation.scenario.report_lag_s
         for name, engine in self.simulation.engines.items():
             if engine.gone:
@@ -365,22 +371,24 @@
             report = LoadReport(name, len(engine.batch), engine.load - len(engine.batch), lag)
             dropped = [block for at, block in engine.dropped if at <= now - CACHE_LAG_S]
             engine.dropped = [each for each in engine.dropped if each[0] > now - CACHE_LAG_S]
-            heard = tuple(block for block in dropped if self.random.random() >= CACHE_GAP)
-            self.simulation.at(
+            heard = tuple(
+                block for block in dropped if self.random.random() >= CACHE_EVENT_LOSS_SHARE
+            )
+            self.simulation.call_at(
                 now + lag,
-                lambda report=report, heard=heard: self._hear(report, heard),  # type: ignore[misc]
+                lambda report=report, heard=heard: self._apply_report(report, heard),  # type: ignore[misc]
             )
 
-    def _hear(self, report: LoadReport, dropped: tuple[int, ...]) -> None:
+    def _apply_report(self, report: LoadReport, dropped: tuple[int, ...]) -> None:
         if self.scheduler is not None:
             self.scheduler.apply_cache_event(CacheEvent(report.upstream, dropped))
-            self._take(self.scheduler.apply_load_report(report, self.simulation.now))
+            self._schedule_actions(self.scheduler.apply_load_report(report, self.simulation.now))
 
-    def backlogged(self) -> dict[str, dict[str, int]]:
+    def count_waiting(self) -> dict[str, dict[str, int]]:
         """Count what waits, by tier and team."""
         counts: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
-        for item in self.waiting.values():
-            counts[item.demand.tier][item.demand.team] += 1
+        for attempt in self.waiting.values():
+            counts[attempt.demand.tier][attempt.demand.team] += 1
         return counts
 
 
@@ -435,16 +443,16 @@
             upstream.speed = _TrueSpeed(self.simulation.engines[name])
         return made
 
-    def begin(self, simulation: Simulation) -> None:
+    def attach(self, simulation: Simulation) -> None:
         """Tell progress with each tick."""
-        super().begin(simulation)
-        simulation.every(TICK_S, self._progress)
+        super().attach(simulation)
+        simulation.call_every(SCHEDULER_TICK_S, self._send_progress)
 
-    def message(self, item: Try) -> Acquire:
+    def acquire_message(self, attempt: CallerAttempt) -> Acquire:
         """Tell the true length."""
-        message = super().message(item)
+        message = super().acquire_message(attempt)
         fields = {name: getattr(message, name) for name in message.__struct_fields__}
-        return Acquire(**{**fields, "max_output": item.demand.output_tokens})
+        return Acquire(**{**fields, "max_output": attempt.demand.output_tokens})
 
 
 POLICIES: dict[str, Callable[[], Baseline | Chalkyoke]] = {
--- a/benches/policy/report.py
+++ b/benches/policy/report.py
@@ -14,29 +14,29 @@
 
 from benches.policy.policies import BASELINES, POLICIES
 from benches.policy.scenario import Scenario
-from benches.policy.simulation import Simulation, Verdict
+from benches.policy.simulation import RunResult, Simulation
 
 BOUND = "bound"
-OURS = "chalkyoke"
-TOP_SHARE = 0.99
-TOTAL_SHARE = 0.95
-WASTE_SHARE = 0.1
-FAIR_LEAST = 0.95
+CHALKYOKE = "chalkyoke"
+MIN_TOP_TIER_SHARE = 0.99
+MIN_TOTAL_SHARE = 0.95
+MAX_WASTE_SHARE = 0.1
+MIN_FAIRNESS = 0.95
 
 Key = tuple[str, str]
 
 
-def play_one(job: tuple[Scenario, str, int]) -> Verdict:
+def run_one(job: tuple[Scenario, str, int]) -> RunResult:
     """Play one scenario with one policy and one seed."""
     scenario, policy, seed = job
-    return Simulation(scenario, POLICIES[policy](), seed).play()
+    return Simulation(scenario, POLICIES[policy](), seed).run()
 
 
-def play_all(scenarios: list[Scenario], policies: list[str], seeds: list[int]) -> list[Verdict]:
+def run_all(scenarios: list[Scenario], policies: list[str], seeds: list[int]) -> list[RunResult]:
     """Play all, on all processors."""
     jobs = [(each, policy, seed) for each in scenarios for policy in policies for seed in seeds]
     with ProcessPoolExecutor() as pool:
-        return list(pool.map(play_one, jobs, chunksize=4))
+        return list(pool.map(run_one, jobs, chunksize=4))
 
 
 @dataclass
@@ -54,18 +54,18 @@
     beside_free: float
 
 
-def rows_of(verdicts: list[Verdict]) -> dict[Key, dict[str, Row]]:
+def rows_by_scenario(verdicts: list[RunResult]) -> dict[Key, dict[str, Row]]:
     """Fold verdicts over seeds: rows by (scenario, fleet) and policy."""
-    grouped: dict[Key, dict[str, list[Verdict]]] = defaultdict(lambda: defaultdict(list))
+    grouped: dict[Key, dict[str, list[RunResult]]] = defaultdict(lambda: defaultdict(list))
     for verdict in verdicts:
         grouped[verdict.scenario, verdict.fleet][verdict.policy].append(verdict)
     return {
-        key: {policy: _fold(each) for policy, each in policies.items()}
+        key: {policy: _average(each) for policy, each in policies.items()}
         for key, policies in grouped.items()
     }
 
 
-def _fold(verdicts: list[Verdict]) -> Row:
+def _average(verdicts: list[RunResult]) -> Row:
     goodputs = [each.goodput for each in verdicts]
     fair = [each.fairness for each in verdicts if not math.isnan(each.fairness)]
     tiers = {
@@ -85,7 +85,7 @@
     )
 
 
-def table(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
+def scenario_tables(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
     """Write one table for each scenario and fleet, as Markdown."""
     lines: list[str] = []
     for (scenario, fleet), policies in rows.items():
@@ -106,7 +106,7 @@
     return "\n".join(lines)
 
 
-def summary(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
+def summary_table(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
     """Write one line for each scenario and fleet: ours, the bound and the best baseline."""
     lines = [
         "| scenario, fleet | ours | bound | best baseline | top tier, ours and bound | wasted, ours and "
@@ -114,7 +114,7 @@
         "|---|---|---|---|---|---|---|",
     ]
     for (scenario, fleet), policies in rows.items():
-        ours, bound, top = policies[OURS], policies[BOUND], tiers[fleet][0]
+        ours, bound, top = policies[CHALKYOKE], policies[BOUND], tiers[fleet][0]
         name, best = max(
             ((each, policies[each]) for each in BASELINES), key=lambda pair: pair[1].goodput
         )
@@ -127,7 +127,7 @@
     return "\n".join(lines)
 
 
-def values(rows: dict[Key, dict[str, Row]]) -> str:
+def value_table(rows: dict[Key, dict[str, Row]]) -> str:
     """Write what service is worth from a caller's first try, beside goodput."""
     lines = [
         "| scenario, fleet | policy | goodput | value from the first try | held in vain | "
@@ -143,7 +143,7 @@
     return "\n".join(lines)
 
 
-def ablations(rows: dict[Key, dict[str, Row]]) -> str:
+def ablation_table(rows: dict[Key, dict[str, Row]]) -> str:
     """Write the means over all scenarios and fleets for each policy."""
     lines = ["| policy | mean goodput | mean wasted prefill |", "|---|---|---|"]
     for policy in next(iter(rows.values())):
@@ -157,14 +157,14 @@
     """List where the aims of the policy are not reached."""
     found: list[str] = []
     for (scenario, fleet), policies in rows.items():
-        ours, bound = policies[OURS], policies.get(BOUND)
+        ours, bound = policies[CHALKYOKE], policies.get(BOUND)
         where = f"{scenario}, {fleet}"
         top = tiers[fleet][0]
-        if bound is not None and ours.tiers[top] < TOP_SHARE * bound.tiers[top]:
+        if bound is not None and ours.tiers[top] < MIN_TOP_TIER_SHARE * bound.tiers[top]:
             found.append(
                 f"{where}: {top} {ours.tiers[top]:.3f} of the bound's {bound.tiers[top]:.3f}"
             )
-        if bound is not None and ours.goodput < TOTAL_SHARE * bound.goodput:
+        if bound is not None and ours.goodput < MIN_TOTAL_SHARE * bound.goodput:
             found.append(f"{where}: total {ours.goodput:.3f} of the bound's {bound.goodput:.3f}")
         for name in BASELINES:
             other = policies.get(name)
@@ -180,15 +180,15 @@
         if (
             "overload" in scenario
             and least is not None
-            and ours.wasted > WASTE_SHARE * least.wasted
+            and ours.wasted > MAX_WASTE_SHARE * least.wasted
         ):
             share = ours.wasted / least.wasted
             found.append(f"{where}: waste is {share:.2f} of least outstanding's")
-        if ours.fairness < FAIR_LEAST:
+        if ours.fairness < MIN_FAIRNESS:
             found.append(f"{where}: fairness {ours.fairness:.3f}")
     return found
 
 
-def write_json(path: Path, verdicts: list[Verdict]) -> None:
+def write_json(path: Path, verdicts: list[RunResult]) -> None:
     """Write all verdicts as JSON."""
     path.write_text(json.dumps([asdict(each) for each in verdicts], indent=1), encoding="utf-8")
--- a/benches/policy/scenario.py
+++ b/benches/policy/scenario.py
@@ -18,7 +18,7 @@
 
 HERE = Path(__file__).parent
 WARM_UP_S = 30.0
-TAIL_S = 60.0
+DRAIN_S = 60.0
 
 
 @dataclass
@@ -39,9 +39,9 @@
     max_output: int
     blocks: tuple[int, ...]
     deadline_s: float
-    leaves_s: float = math.inf
-    tries: int = 1
-    obeys: bool = True
+    leaves_after_s: float = math.inf
+    max_attempts: int = 1
+    obeys_retry_after: bool = True
 
 
 @dataclass
@@ -85,7 +85,7 @@
         heads the share ``cached_share`` is taken to be cached.
         """
         source = random.Random(1)
-        drawn = [self.draw(source, self.pick_team(source), 0, 0.0) for _ in range(4000)]
+        drawn = [self.draw_demand(source, self.pick_team(source), 0, 0.0) for _ in range(4000)]
         prompt = sum(each.prompt_tokens for each in drawn) / len(drawn)
         prompt -= (
             self.prompts.get("shared_share", 0.0)
@@ -103,7 +103,9 @@
         """Draw a team by its share of the arrivals."""
         return source.choices(self.teams, [team["share"] for team in self.teams])[0]
 
-    def draw(self, source: random.Random, team: dict[str, Any], number: int, at: float) -> Demand:
+    def draw_demand(
+        self, source: random.Random, team: dict[str, Any], number: int, at: float
+    ) -> Demand:
         """Draw one demand of a team."""
         prompts = self.prompts
         length = source.lognormvariate(math.log(team["prompt_median"]), prompts["sigma"])
@@ -134,25 +136,27 @@
             max_output=int(team["output_most"]),
             blocks=head + tail,
             deadline_s=tier["deadline_s"],
-            leaves_s=leaves,
-            tries=self.load.get("tries", 1),
-            obeys=self.load.get("obeys", True),
+            leaves_after_s=leaves,
+            max_attempts=self.load.get("tries", 1),
+            obeys_retry_after=self.load.get("obeys", True),
         )
 
-    def demands(self, seed: int) -> list[Demand]:
+    def draw_demands(self, seed: int) -> list[Demand]:
         """Draw all demands: Poisson arrivals at the load's rate, bursts included."""
         source = random.Random(seed)
         capacity = self.capacity()
         found: list[Demand] = []
         now, number = 0.0, 0
         while now < self.end:
-            rate = capacity * self._level(now)
+            rate = capacity * self._load_level(now)
             now += source.expovariate(rate)
             number += 1
-            found.append(self.draw(source, self._flooded(source, now), number, now))
+            found.append(
+                self.draw_demand(source, self._pick_team_with_flood(source, now), number, now)
+            )
         return found
 
-    def _level(self, now: float) -> float:
+    def _load_level(self, now: float) -> float:
         """Give the load at a moment, as a multiple of capacity."""
         since = now - WARM_UP_S
         if since < 0:
@@ -162,26 +166,26 @@
             return float(burst["level"])
         return float(self.load["level"])
 
-    def _flooded(self, source: random.Random, now: float) -> dict[str, Any]:
+    def _pick_team_with_flood(self, source: random.Random, now: float) -> dict[str, Any]:
         flood = self.load.get("flood")
         if flood and now >= WARM_UP_S and source.random() < flood["share"]:
             return next(team for team in self.teams if team["name"] == flood["team"])
         return self.pick_team(source)
 
 
-def load(path: Path) -> list[Scenario]:
+def load_scenarios(path: Path) -> list[Scenario]:
     """Read a scenario file: one scenario for each base fleet that it names."""
     document = tomllib.loads(path.read_text(encoding="utf-8"))
-    return [_build(path.stem, base, document) for base in document["fleets"]]
+    return [_build_scenario(path.stem, base, document) for base in document["fleets"]]
 
 
 def all_scenarios() -> list[Scenario]:
     """Read all scenarios of this folder, in order of their file names."""
     paths = sorted((HERE / "scenarios").glob("*.toml"))
-    return [scenario for path in paths for scenario in load(path)]
+    return [scenario for path in paths for scenario in load_scenarios(path)]
 
 
-def _build(name: str, base: str, document: dict[str, Any]) -> Scenario:
+def _build_scenario(name: str, base: str, document: dict[str, Any]) -> Scenario:
     fleet = tomllib.loads((HERE / "fleets" / f"{base}.toml").read_text(encoding="utf-8"))
     merged = {**fleet, **{key: value for key, value in document.items() if key != "load"}}
     engines = [EngineSpec(**engine) for engine in merged["engine"]]
--- a/benches/policy/simulation.py
+++ b/benches/policy/simulation.py
@@ -14,16 +14,16 @@
 from typing import Any, Protocol
 
 from benches.policy.engine import Sequence, SimEngine
-from benches.policy.scenario import TAIL_S, WARM_UP_S, Demand, Scenario
+from benches.policy.scenario import DRAIN_S, WARM_UP_S, Demand, Scenario
 from benches.policy.valuation import Value
 
-FAIR_SAMPLE_S = 0.25
-NOT_OBEYING_S = 0.2
+FAIRNESS_SAMPLE_S = 0.25
+IGNORING_RETRY_S = 0.2
 DEFAULT_RETRY_S = 1.0
 
 
 @dataclass(eq=False)
-class Try:
+class CallerAttempt:
     """One try of a demand.
 
     :ivar sequence: its place in an engine, once it was sent.
@@ -44,30 +44,30 @@
 
     name: str
 
-    def begin(self, simulation: "Simulation") -> None:
+    def attach(self, simulation: "Simulation") -> None:
         """Get ready."""
 
-    def arrive(self, item: Try) -> None:
+    def on_arrival(self, attempt: CallerAttempt) -> None:
         """Take a try in."""
 
-    def first(self, item: Try) -> None:
+    def on_first_token(self, attempt: CallerAttempt) -> None:
         """Hear of a first token."""
 
-    def ended(self, item: Try, delivered: bool) -> None:
+    def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
         """Hear of an end after a start."""
 
-    def left(self, item: Try) -> None:
+    def on_expired_waiting(self, attempt: CallerAttempt) -> None:
         """Hear that a try that waits is over: its caller left, or its deadline passed."""
 
     def lose_scheduler(self) -> None:
         """Lose the scheduler process."""
 
-    def backlogged(self) -> dict[str, dict[str, int]]:
+    def count_waiting(self) -> dict[str, dict[str, int]]:
         """Count waiting tries by tier and team; empty where nothing waits outside engines."""
 
 
 @dataclass
-class Verdict:
+class RunResult:
     """The measures of one play."""
 
     scenario: str
@@ -101,109 +101,115 @@
         self.now = 0.0
         self.random = random.Random(seed + 7_000_000)
         self.engines = {spec.id: SimEngine(spec) for spec in scenario.engines}
-        self.verdict = Verdict(scenario.name, scenario.fleet, policy.name, seed)
+        self.verdict = RunResult(scenario.name, scenario.fleet, policy.name, seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._by_sequence: dict[str, Try] = {}
-        self._work: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
-        self._fair_now: set[str] = set()
+        self._dispatched: dict[str, CallerAttempt] = {}
+        self._work_by_tier: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
+        self._contended_tiers: set[str] = set()
         self._seed = seed
 
     # Time.
 
-    def at(self, moment: float, work: Callable[[], None]) -> None:
+    def call_at(self, moment: float, work: Callable[[], None]) -> None:
         """Do something at a moment."""
         heapq.heappush(self._events, (max(moment, self.now), next(self._order), work))
 
-    def every(self, seconds: float, work: Callable[[], None]) -> None:
+    def call_every(self, seconds: float, work: Callable[[], None]) -> None:
         """Do something again and again."""
 
         def again() -> None:
             work()
-            self.at(self.now + seconds, again)
+            self.call_at(self.now + seconds, again)
 
-        self.at(self.now + seconds, again)
+        self.call_at(self.now + seconds, again)
 
-    def play(self) -> Verdict:
+    def run(self) -> RunResult:
         """Play the scenario to its end."""
-        self.policy.begin(self)
-        for demand in self.scenario.demands(self._seed):
-            self._note_demand(demand)
-            self.at(demand.at, lambda demand=demand: self._try(demand, 1))  # type: ignore[misc]
+        self.policy.attach(self)
+        for demand in self.scenario.draw_demands(self._seed):
+            self._count_demand(demand)
+            self.call_at(demand.at, lambda demand=demand: self._start_attempt(demand, 1))  # type: ignore[misc]
         for fault in self.scenario.faults:
-            self.at(fault.at, lambda fault=fault: self._fault(fault, True))  # type: ignore[misc]
-            self.at(fault.until, lambda fault=fault: self._fault(fault, False))  # type: ignore[misc]
-        self.every(FAIR_SAMPLE_S, self._sample_fairness)
-        end = self.scenario.end + TAIL_S
+            self.call_at(fault.at, lambda fault=fault: self._apply_fault(fault, True))  # type: ignore[misc]
+            self.call_at(fault.until, lambda fault=fault: self._apply_fault(fault, False))  # type: ignore[misc]
+        self.call_every(FAIRNESS_SAMPLE_S, self._sample_fairness)
+        end = self.scenario.end + DRAIN_S
         while self._events and self._events[0][0] <= end:
             self.now, _, work = heapq.heappop(self._events)
             work()
-        self._judge_fairness()
+        self._compute_fairness()
         return self.verdict
 
     # Callers.
 
-    def _measured(self, demand: Demand) -> bool:
+    def _is_measured(self, demand: Demand) -> bool:
         return WARM_UP_S <= demand.at < self.scenario.end
 
-    def _note_demand(self, demand: Demand) -> None:
+    def _count_demand(self, demand: Demand) -> None:
         # A caller that leaves on its own account is no demand that could be met.
-        if self._measured(demand) and demand.leaves_s == math.inf:
+        if self._is_measured(demand) and demand.leaves_after_s == math.inf:
             counts = self.verdict.demands
             counts[demand.tier] = counts.get(demand.tier, 0) + 1
             self.verdict.value.demands += 1
 
-    def _try(self, demand: Demand, number: int) -> None:
-        item = Try(f"{demand.id}.{number}", demand, number, self.now, self.now + demand.deadline_s)
-        self.at(min(item.deadline, self.now + demand.leaves_s), lambda: self._time_over(item))
-        self.policy.arrive(item)
+    def _start_attempt(self, demand: Demand, number: int) -> None:
+        attempt = CallerAttempt(
+            f"{demand.id}.{number}", demand, number, self.now, self.now + demand.deadline_s
+        )
+        self.call_at(
+            min(attempt.deadline, self.now + demand.leaves_after_s), lambda: self._expire(attempt)
+        )
+        self.policy.on_arrival(attempt)
 
-    def _time_over(self, item: Try) -> None:
-        if item.ended:
+    def _expire(self, attempt: CallerAttempt) -> None:
+        if attempt.ended:
             return
-        item.ended = True
-        if item.sequence is None:
-            self._note_unserved(item)
-            self.policy.left(item)
+        attempt.ended = True
+        if attempt.sequence is None:
+            self._count_unserved(attempt)
+            self.policy.on_expired_waiting(attempt)
             return
-        assert item.engine is not None
-        self._change(item.engine, lambda: self._cancel(item))
-        self.policy.ended(item, False)
-
-    def _cancel(self, item: Try) -> None:
-        assert item.engine is not None
-        assert item.sequence is not None
-        self._waste(item)
-        item.engine.cancel(item.sequence, self.now)
-
-    def _waste(self, item: Try) -> None:
-        assert item.sequence is not None
-        if self._measured(item.demand):
-            self.verdict.wasted_prefill += item.sequence.prefill_done
-        self._note_work(item)
-
-    def refuse(self, item: Try, reason: str, retry_after_s: float | None) -> None:
+        assert attempt.engine is not None
+        self._update_engine(attempt.engine, lambda: self._cancel_sequence(attempt))
+        self.policy.on_end(attempt, False)
+
+    def _cancel_sequence(self, attempt: CallerAttempt) -> None:
+        assert attempt.engine is not None
+        assert attempt.sequence is not None
+        self._count_waste(attempt)
+        attempt.engine.cancel(attempt.sequence, self.now)
+
+    def _count_waste(self, attempt: CallerAttempt) -> None:
+        assert attempt.sequence is not None
+        if self._is_measured(attempt.demand):
+            self.verdict.wasted_prefill += attempt.sequence.prefill_done
+        self._count_work(attempt)
+
+    def refuse(self, attempt: CallerAttempt, reason: str, retry_after_s: float | None) -> None:
         """Tell a caller that its try was not run; it may come back."""
-        item.ended = True
-        self._note_unserved(item)
+        attempt.ended = True
+        self._count_unserved(attempt)
         counts = self.verdict.refused
         counts[reason] = counts.get(reason, 0) + 1
-        demand = item.demand
-        if item.number >= demand.tries:
+        demand = attempt.demand
+        if attempt.number >= demand.max_attempts:
             return
         pause = retry_after_s if retry_after_s is not None else DEFAULT_RETRY_S
-        if not demand.obeys:
-            pause = NOT_OBEYING_S
-        self.at(self.now + pause, lambda: self._try(demand, item.number + 1))
+        if not demand.obeys_retry_after:
+            pause = IGNORING_RETRY_S
+        self.call_at(self.now + pause, lambda: self._start_attempt(demand, attempt.number + 1))
 
-    def _note_unserved(self, item: Try) -> None:
+    def _count_unserved(self, attempt: CallerAttempt) -> None:
         """Count a try that was held for some time and has not run."""
-        demand = item.demand
-        if not self._measured(demand) or demand.leaves_s < math.inf:
+        demand = attempt.demand
+        if not self._is_measured(demand) or demand.leaves_after_s < math.inf:
             return
         value = self.verdict.value
-        held_s = self.now - item.arrived
-        value.note_unserved(held_s, demand.deadline_s, demand.deadline_s, returned=item.number > 1)
+        held_s = self.now - attempt.arrived
+        value.note_unserved(
+            held_s, demand.deadline_s, demand.deadline_s, returned=attempt.number > 1
+        )
         value.beside_free += self._is_mostly_free()
 
     def _is_mostly_free(self) -> bool:
@@ -211,68 +217,68 @@
         open_ones = [each for each in self.engines.values() if not each.gone]
         slots = sum(each.spec.slots for each in open_ones)
         taken = sum(min(each.load, each.spec.slots) for each in open_ones)
-        waiting = any(any(teams.values()) for teams in self.policy.backlogged().values())
+        waiting = any(any(teams.values()) for teams in self.policy.count_waiting().values())
         return taken < slots / 2 and not waiting
 
     # Engines.
 
-    def start(self, item: Try, engine: SimEngine, priority: int) -> bool:
+    def dispatch(self, attempt: CallerAttempt, engine: SimEngine, priority: int) -> bool:
         """Send a try to an engine.
 
         :return: whether it was reached; a gone engine takes nothing.
         """
         if engine.gone:
             return False
-        demand = item.demand
+        demand = attempt.demand
         sequence = Sequence(
-            item.id,
+            attempt.id,
             demand.prompt_tokens,
             demand.output_tokens,
             demand.blocks,
             priority,
             self.now,
         )
-        item.sequence, item.engine = sequence, engine
-        self._by_sequence[item.id] = item
-        self._change(engine, lambda: engine.submit(sequence, self.now))
+        attempt.sequence, attempt.engine = sequence, engine
+        self._dispatched[attempt.id] = attempt
+        self._update_engine(engine, lambda: engine.submit(sequence, self.now))
         return True
 
-    def _change(self, engine: SimEngine, change: Callable[[], None]) -> None:
+    def _update_engine(self, engine: SimEngine, change: Callable[[], None]) -> None:
         engine.advance(self.now)
         change()
-        self._schedule(engine)
+        self._schedule_next_event(engine)
 
-    def _schedule(self, engine: SimEngine) -> None:
+    def _schedule_next_event(self, engine: SimEngine) -> None:
         engine.version += 1
         version = engine.version
         moment = engine.next_event()
         if moment < math.inf:
-            self.at(moment, lambda: self._engine_event(engine, version))
+            self.call_at(moment, lambda: self._engine_event(engine, version))
 
     def _engine_event(self, engine: SimEngine, version: int) -> None:
         if engine.version != version or engine.gone:
             return
         engine.advance(self.now)
         first, finished = engine.collect(self.now)
-        self._schedule(engine)
+        self._schedule_next_event(engine)
         for sequence in first:
-            self.policy.first(self._by_sequence[sequence.id])
+            self.policy.on_first_token(self._dispatched[sequence.id])
         for sequence in finished:
-            self._finished(self._by_sequence[sequence.id])
+            self._complete(self._dispatched[sequence.id])
 
-    def _finished(self, item: Try) -> None:
-        item.ended = True
-        demand = item.demand
-        if self._measured(demand) and demand.leaves_s == math.inf:
+    def _complete(self, attempt: CallerAttempt) -> None:
+        attempt.ended = True
+        demand = attempt.demand
+        if self._is_measured(demand) and demand.leaves_after_s == math.inf:
             counts = self.verdict.delivered
             counts[demand.tier] = counts.get(demand.tier, 0) + 1
             self.verdict.value.note_answer(self.now - demand.at, demand.deadline_s)
-        self._note_work(item)
-        self.policy.ended(item, True)
+        self._count_work(attempt)
+        self.policy.on_end(attempt, True)
 
     # Faults.
 
-    def _fault(self, fault: Any, begins: bool) -> None:
+    def _apply_fault(self, fault: Any, begins: bool) -> None:
         if fault.kind == "lose_scheduler":
             if begins:
                 self.policy.lose_scheduler()
@@ -281,57 +287,57 @@
             engine = self.engines[name]
             if fault.kind == "slow":
                 factor = fault.factor if begins else 1.0
-                self._change(engine, lambda e=engine, f=factor: setattr(e, "slow", f))  # type: ignore[misc]
+                self._update_engine(engine, lambda e=engine, f=factor: setattr(e, "slow", f))  # type: ignore[misc]
             elif fault.kind == "gone":
-                self._go(engine, begins)
+                self._set_gone(engine, begins)
 
-    def _go(self, engine: SimEngine, gone: bool) -> None:
+    def _set_gone(self, engine: SimEngine, gone: bool) -> None:
         engine.advance(self.now)
         engine.gone = gone
         inside = [
-            each for each in self._by_sequence.values() if each.engine is engine and not each.ended
+            each for each in self._dispatched.values() if each.engine is engine and not each.ended
         ]
-        for item in inside:
-            item.ended = True
-            self._cancel(item)
-            self.policy.ended(item, False)
+        for attempt in inside:
+            attempt.ended = True
+            self._cancel_sequence(attempt)
+            self.policy.on_end(attempt, False)
         engine.cache.clear()
-        self._schedule(engine)
+        self._schedule_next_event(engine)
 
     # Fairness.
 
-    def _note_work(self, item: Try) -> None:
-        sequence, engine = item.sequence, item.engine
+    def _count_work(self, attempt: CallerAttempt) -> None:
+        sequence, engine = attempt.sequence, attempt.engine
         assert sequence is not None
         assert engine is not None
-        if item.demand.tier not in self._fair_now:
+        if attempt.demand.tier not in self._contended_tiers:
             return
         output = sequence.output_tokens if sequence.state == "done" else engine.tokens_of(sequence)
         prefill = sum(1 / spec.prefill_tokens_per_s for spec in self.scenario.engines)
         decode = sum(1 / spec.decode_tokens_per_s for spec in self.scenario.engines)
         work = sequence.prefill_done * prefill + output * decode
-        self._work[item.demand.tier][item.demand.team] += work
+        self._work_by_tier[attempt.demand.tier][attempt.demand.team] += work
 
     def _sample_fairness(self) -> None:
-        backlogged = self.policy.backlogged()
-        self._fair_now = set()
+        backlogged = self.policy.count_waiting()
+        self._contended_tiers = set()
         for tier in self.scenario.tiers:
             teams = [team["name"] for team in self.scenario.teams if team["tier"] == tier["name"]]
             waiting = backlogged.get(tier["name"], {})
             if len(teams) > 1 and all(waiting.get(team, 0) > 0 for team in teams):
-                self._fair_now.add(tier["name"])
+                self._contended_tiers.add(tier["name"])
 
-    def _judge_fairness(self) -> None:
+    def _compute_fairness(self) -> None:
         weights = {team["name"]: team["weight"] for team in self.scenario.teams}
         worst = math.nan
-        for tier, work in self._work.items():
+        for tier, work in self._work_by_tier.items():
             teams = [team["name"] for team in self.scenario.teams if team["tier"] == tier]
             shares = [work.get(team, 0.0) / weights[team] for team in teams]
-            if sum(work.values()) > 0 and len(teams) > 1 and self._enough(work):
+            if sum(work.values()) > 0 and len(teams) > 1 and self._is_enough_work(work):
                 jain = sum(shares) ** 2 / (len(shares) * sum(each * each for each in shares))
                 worst = jain if math.isnan(worst) else min(worst, jain)
         self.verdict.fairness = worst
 
-    def _enough(self, work: dict[str, float]) -> bool:
+    def _is_enough_work(self, work: dict[str, float]) -> bool:
         """Judge fairness only over enough work that single long answers do not decide."""
         return sum(work.values()) > 60.0 * len(self.scenario.engines)
--- a/benches/rounds/__main__.py
+++ b/benches/rounds/__main__.py
@@ -13,9 +13,9 @@
 
 from benches.rounds import compare as comparing
 from benches.rounds.compare import Difference, Key
-from benches.rounds.play import Bench, Play, keep_journal, play_all
-from benches.rounds.report import Report, read
-from benches.rounds.variant import Variant, VariantError, lay_out, parse
+from benches.rounds.play import Bench, Play, copy_journal, play_all
+from benches.rounds.report import Report, read_report
+from benches.rounds.variant import Variant, VariantError, check_out, parse
 
 REPOSITORY = Path(__file__).parents[2]
 OUT = Path("out/rounds")
@@ -46,17 +46,17 @@
     charged: Charged = False,
 ) -> None:
     """Play the same days and seeds on each variant, then compare each with the first."""
-    variants = _variants(variant)
+    variants = _parse_variants(variant)
     wanted = Bench(bench.resolve(), (OUT / tag).resolve(), why, charged)
-    _play(wanted, variants, [each.resolve() for each in site], days, seeds, jobs)
+    _play_variants(wanted, variants, [each.resolve() for each in site], days, seeds, jobs)
     for each in variants[1:]:
-        _compare(wanted.out, variants[0].name, each.name)
+        _print_comparison(wanted.out, variants[0].name, each.name)
 
 
 @app.command()
 def compare(tag: Tag, before: str, after: str) -> None:
     """Compare two variants of a round that was played."""
-    _compare(OUT / tag, before, after)
+    _print_comparison(OUT / tag, before, after)
 
 
 @app.command()
@@ -75,26 +75,26 @@
     names = [part for part in parts.split(",") if part]
     variants = [Variant("whole", revision), *(Variant(n, revision, (n,)) for n in names)]
     wanted = Bench(bench.resolve(), (OUT / tag).resolve(), why)
-    _play(wanted, variants, [each.resolve() for each in site], days, seeds, jobs)
-    whole = _reports(wanted.out, "whole")
+    _play_variants(wanted, variants, [each.resolve() for each in site], days, seeds, jobs)
+    whole = _read_reports(wanted.out, "whole")
     rows = []
     for name in names:
-        pairs = comparing.matched(_reports(wanted.out, name), whole)
+        pairs = comparing.matched(_read_reports(wanted.out, name), whole)
         rows += [
             Difference(f"{name}: {row.name}", row.before, row.after, row.spread, row.pairs)
             for row in comparing.by_day(pairs)
         ]
-    _print("what each part is worth (before: without it; after: with it)", rows)
+    _print_table("what each part is worth (before: without it; after: with it)", rows)
 
 
-def _variants(written: Iterable[str]) -> list[Variant]:
+def _parse_variants(written: Iterable[str]) -> list[Variant]:
     try:
         return [parse(each) for each in written]
     except VariantError as error:
         raise typer.BadParameter(str(error)) from error
 
 
-def _play(
+def _play_variants(
     bench: Bench, variants: list[Variant], sites: list[Path], days: str, seeds: str, jobs: int
 ) -> None:
     bench.out.mkdir(parents=True, exist_ok=True)
@@ -102,7 +102,7 @@
     trees: list[Path] = []
     for variant in variants:
         try:
-            tree = lay_out(variant, REPOSITORY, (OUT / "trees").resolve())
+            tree = check_out(variant, REPOSITORY, (OUT / "trees").resolve())
         except VariantError as error:
             raise typer.BadParameter(str(error)) from error
         if problem := bench.build(tree):
@@ -117,34 +117,34 @@
         ]
     problems = play_all(bench, plays, jobs, lambda done: typer.echo(done, err=True))
     for tree in trees:
-        keep_journal(tree, REPOSITORY)
+        copy_journal(tree, REPOSITORY)
     for problem in problems:
         typer.echo(f"not played: {problem}", err=True)
 
 
-def _reports(out: Path, variant: str) -> dict[Key, Report]:
+def _read_reports(out: Path, variant: str) -> dict[Key, Report]:
     reports: dict[Key, Report] = {}
     for path in sorted(out.glob(f"{variant}--*.json")):
         _, site, day, seed = path.stem.split("--")
-        reports[site, day, int(seed)] = read(path)
+        reports[site, day, int(seed)] = read_report(path)
     return reports
 
 
-def _compare(out: Path, before: str, after: str) -> None:
-    pairs = comparing.matched(_reports(out, before), _reports(out, after))
+def _print_comparison(out: Path, before: str, after: str) -> None:
+    pairs = comparing.matched(_read_reports(out, before), _read_reports(out, after))
     if not pairs:
         typer.echo(f"{before} and {after} have no played day in common under {out}", err=True)
         raise typer.Exit(1)
-    _print(f"worth: {before} -> {after}", comparing.by_day(pairs))
-    _print("parts, kinds of request, prices", comparing.by_part(pairs))
-    _print(f"weakest windows of {after}", comparing.by_window(pairs))
+    _print_table(f"worth: {before} -> {after}", comparing.by_day(pairs))
+    _print_table("parts, kinds of request, prices", comparing.by_part(pairs))
+    _print_table(f"weakest windows of {after}", comparing.by_window(pairs))
     for (site, day, seed), both in pairs.items():
         for name, report in zip((before, after), both, strict=True):
             if report.broken or report.fault:
                 typer.echo(f"{name} {site} {day} {seed}: {report.broken} {report.fault}")
 
 
-def _print(title: str, rows: Iterable[Difference]) -> None:
+def _print_table(title: str, rows: Iterable[Difference]) -> None:
     typer.echo(f"\n{title}\n{'':52} before   after    diff  margin  pairs")
     for row in rows:
         verdict = "noise" if row.noise else "differs"
--- a/benches/rounds/compare.py
+++ b/benches/rounds/compare.py
@@ -27,7 +27,7 @@
 }
 MIN_PAIRS = 2
 # Windows with fewer owed requests swing too much to be named.
-MIN_OWED = 15
+MIN_OWED_REQUESTS = 15
 
 Key = tuple[str, str, int]
 """Site, day and seed."""
@@ -99,9 +99,9 @@
 
 def by_part(pairs: Mapping[Key, tuple[Report, Report]]) -> list[Difference]:
     """Compare the parts of the worth, the kinds of request, and the prices that differ."""
-    rows = _named("part", pairs, lambda report: report.parts)
-    rows += _named("kind", pairs, lambda report: report.classes)
-    prices = _named("price", pairs, lambda report: report.prices)
+    rows = _differences_by_name("part", pairs, lambda report: report.parts)
+    rows += _differences_by_name("kind", pairs, lambda report: report.classes)
+    prices = _differences_by_name("price", pairs, lambda report: report.prices)
     return rows + [row for row in prices if row.before or row.after]
 
 
@@ -110,14 +110,14 @@
     groups: dict[str, list[tuple[float, float]]] = {}
     for (site, day, _), (before, after) in pairs.items():
         for first, second in zip(before.windows, after.windows, strict=False):
-            if min(first.owed, second.owed) >= MIN_OWED:
+            if min(first.owed, second.owed) >= MIN_OWED_REQUESTS:
                 name = f"{site} {day} {second.start_s:.0f} s"
                 groups.setdefault(name, []).append((first.worth, second.worth))
     rows = [difference(name, values) for name, values in groups.items()]
     return sorted(rows, key=lambda row: row.after)[:most]
 
 
-def _named(
+def _differences_by_name(
     kind: str,
     pairs: Mapping[Key, tuple[Report, Report]],
     figures: Callable[[Report], Mapping[str, float]],
--- a/benches/rounds/play.py
+++ b/benches/rounds/play.py
@@ -86,7 +86,7 @@
 
 
 def play_all(
-    bench: Bench, plays: Iterable[Play], jobs: int, tell: Callable[[str], None]
+    bench: Bench, plays: Iterable[Play], jobs: int, on_done: Callable[[str], None]
 ) -> list[str]:
     """Play days, some at a time; what has a report already is not played again.
 
@@ -94,18 +94,18 @@
     :return: what went wrong.
     """
 
-    def one(play: Play) -> str:
+    def play_one(play: Play) -> str:
         if (bench.out / play.report).exists():
             return ""
         problem = bench.run(play)
-        tell(problem or play.report)
+        on_done(problem or play.report)
         return problem
 
     with ThreadPoolExecutor(jobs) as pool:
-        return [problem for problem in pool.map(one, plays) if problem]
+        return [problem for problem in pool.map(play_one, plays) if problem]
 
 
-def keep_journal(tree: Path, repository: Path) -> int:
+def copy_journal(tree: Path, repository: Path) -> int:
     """Copy the journal entries that a version's plays left into the project's journal.
 
     :return: how many files were new.
--- a/benches/rounds/report.py
+++ b/benches/rounds/report.py
@@ -45,7 +45,7 @@
     fault: str
 
 
-def read(path: Path) -> Report:
+def read_report(path: Path) -> Report:
     """Read a report."""
     return from_document(json.loads(path.read_text()))
 
--- a/benches/rounds/variant.py
+++ b/benches/rounds/variant.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-TEMPLATE = Path("deploy/settings.toml")
-WRITTEN = re.compile(r"(?P<name>[A-Za-z0-9_-]+)=(?P<revision>[^:=]+)(:(?P<off>[a-z_,]+))?")
+SETTINGS_TEMPLATE = Path("deploy/settings.toml")
+VARIANT_PATTERN = re.compile(r"(?P<name>[A-Za-z0-9_-]+)=(?P<revision>[^:=]+)(:(?P<off>[a-z_,]+))?")
 
 
 class VariantError(ValueError):
@@ -36,7 +36,7 @@
 
     :raises VariantError: where it is written otherwise.
     """
-    found = WRITTEN.fullmatch(text)
+    found = VARIANT_PATTERN.fullmatch(text)
     if found is None:
         raise VariantError(f"{text!r}: write NAME=REVISION or NAME=REVISION:PART,PART")
     off = tuple(part for part in (found["off"] or "").split(",") if part)
@@ -56,7 +56,7 @@
     return f"{template}\n[scheduling]\noff = [{names}]\n"
 
 
-def lay_out(variant: Variant, repository: Path, trees: Path) -> Path:
+def check_out(variant: Variant, repository: Path, trees: Path) -> Path:
     """Clone the repository at the variant's revision, with its switches set.
 
     :param trees: where the clones lie; the bench refuses trees below ``/tmp``.
@@ -70,7 +70,7 @@
         _git(repository, "clone", "--quiet", "--shared", str(repository), str(tree))
     _git(tree, "fetch", "--quiet", "origin")
     _git(tree, "checkout", "--quiet", "--force", "--detach", named)
-    template = tree / TEMPLATE
+    template = tree / SETTINGS_TEMPLATE
     template.write_text(switched_off(template.read_text(), variant.off))
     return tree
 
--- a/benches/statistics.py
+++ b/benches/statistics.py
@@ -32,7 +32,7 @@
         return self.base + self.slope * size
 
 
-def fit(points: Sequence[tuple[float, float]]) -> Line:
+def fit_line(points: Sequence[tuple[float, float]]) -> Line:
     """Fit a line by least squares."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
