--- a/benches/__init__.py
+++ b/benches/__init__.py
@@ -1,5 +1,5 @@
 """
 benches
 
-Measurements, run by ``make bench``.
+Benchmarks of chalkyoke, run by ``make bench``.
 """
--- a/benches/__main__.py
+++ b/benches/__main__.py
@@ -12,8 +12,8 @@
 
 
 def main() -> None:
-    """Run one part, or all."""
-    parser = argparse.ArgumentParser(description="Measurements of chalkyoke.")
+    """Run one part or all parts; ``path`` includes ``gateway``."""
+    parser = argparse.ArgumentParser(description="Benchmarks of chalkyoke.")
     parser.add_argument(
         "--part", default="all", choices=["all", "path", "gateway", "policy", "fleet", "capacity"]
     )
--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -1,8 +1,9 @@
 """
 benches.capacity
 
-Slopes for each role, worked out at the size of two years from now: heartbeats and membership,
-scheduling, configuration, host list, and calls on the store.
+Capacity planning: the cost of each role of a node as a line over its size, extrapolated to the
+target size two years from now. The roles are heartbeats and membership, scheduling, configuration,
+the host list and calls on the store.
 """
 
 import random
@@ -28,10 +29,12 @@
 
 from benches.statistics import Line, fit_line
 
+# The target: counts of the fleet's parts, and rates of requests and changes.
 NODES, REPLICAS, TEAMS, MODELS, DOMAINS = 340, 1300, 3800, 20, 7
 REQUESTS_PER_S = 6700
 CHANGES_PER_DAY = 1300
 RESTARTS_PER_DAY = 90 + 16
+# The budget of one node for control work: share of a core, memory, and bytes per second.
 CORE_SHARE_BUDGET, MEMORY_BUDGET_MB, BYTES_PER_S_BUDGET = 0.016, 32.0, 25_000.0
 HEARTBEAT_INTERVAL_S = 1.0
 PROGRESS_INTERVAL_S = 1.0
@@ -43,12 +46,12 @@
 
 
 def frame_bytes(message: object) -> int:
-    """Give the size of a message on a link, in bytes."""
+    """Return the size of a message on a link, in bytes."""
     return len(CODEC.encode(STAMP, message))  # type: ignore[arg-type]
 
 
 def best_processor_s(work: Callable[[], object], rounds: int = 5) -> float:
-    """Time some work; the best of a few rounds, in seconds."""
+    """Return the least processor time of a function over some rounds, in seconds."""
     best = float("inf")
     for _ in range(rounds):
         started = time.process_time()
@@ -58,7 +61,7 @@
 
 
 def allocated_bytes(make: Callable[[], object]) -> float:
-    """Measure what an object holds, in bytes."""
+    """Return the bytes that a function's result keeps allocated."""
     tracemalloc.start()
     held = make()
     size, _ = tracemalloc.get_traced_memory()
@@ -68,7 +71,11 @@
 
 
 def print_line(what: str, sizes: str, line: Line, unit: str, scale: float, at: float) -> None:
-    """Print one fitted line as a row."""
+    """Print one fitted line as a table row.
+
+    :param scale: factor from the line's values to the unit.
+    :param at: target size, at which the row gives the value.
+    """
     print(
         f"| {what} | {sizes} | {line.base * scale:.3g} + {line.slope * scale:.3g} n {unit} "
         f"| {line.residual:.0%} | {line.at(at) * scale:.3g} {unit} at {at:.0f} |"
@@ -79,7 +86,7 @@
 
 
 def member_record(index: int, domain: str) -> MemberRecord:
-    """Make a member as it describes itself."""
+    """Create the record in which a member describes itself."""
     address = f"10.{index // 250}.{index % 250}.7:7000"
     return MemberRecord(
         f"entry-{index}", 2**61 + index, address, address, domain, False, True, 4000, 90_000
@@ -87,7 +94,10 @@
 
 
 def membership_view(members: int) -> tuple[MembershipView, list[Heartbeat]]:
-    """Make a view with some members of its own domain and the other domains' summaries."""
+    """Create a view of its own domain's members and the other domains' summaries.
+
+    :param members: members of each domain.
+    """
     view = MembershipView(member_record(0, "d0"), HEARTBEAT_INTERVAL_S)
     beats = [Heartbeat(member_record(i, "d0"), 1) for i in range(1, members)]
     for beat in beats:
@@ -100,7 +110,10 @@
 
 
 def measure_membership() -> tuple[Line, Line, float]:
-    """Measure a second of heartbeats against the members of a domain."""
+    """Measure one second of heartbeats against the number of members of a domain.
+
+    :return: processor seconds, bytes of memory, and mean bytes of a heartbeat.
+    """
     times, memory = [], []
     for members in (10, 25, 49, 100, 200):
         view, beats = membership_view(members)
@@ -133,7 +146,7 @@
 
 
 def pool_spec(upstreams: int, teams: int = 200) -> PoolSpec:
-    """Make a pool of unlike upstreams."""
+    """Create a pool of upstreams with different speeds."""
     specs = tuple(
         UpstreamSpec(f"u{i}", f"a{i}", "d", 8, 4000.0 + 500 * (i % 9), 40.0 + 5 * (i % 7), 1.5, 400)
         for i in range(upstreams)
@@ -148,7 +161,7 @@
 
 
 def acquire_message(number: int, source: random.Random) -> Acquire:
-    """Make a request's acquire message."""
+    """Create a request's acquire message with random tier, team and prompt."""
     blocks = tuple(source.randrange(50) * 100 + i for i in range(4))
     return Acquire(
         f"h-{number}",
@@ -166,7 +179,7 @@
 
 
 def busy_scheduler(upstreams: int, waiting: int) -> PoolScheduler:
-    """Make a scheduler whose slots are all taken, and some requests that wait."""
+    """Create a scheduler with all slots in use and some requests waiting."""
     source = random.Random(4)
     scheduler = PoolScheduler(pool_spec(upstreams), source.random, 0.0)
     for number in range(upstreams * 8 + waiting):
@@ -175,7 +188,7 @@
 
 
 def decision_time(upstreams: int, waiting: int, rounds: int = 60) -> float:
-    """Time a release and the grant that follows it: one decision."""
+    """Return the median processor time of one decision: a release and the grant that follows."""
     scheduler = busy_scheduler(upstreams, waiting)
     source = random.Random(5)
     usage = Usage(100, 0, 60, 0.2, 1.5)
@@ -184,15 +197,15 @@
         request = source.choice(list(scheduler._pool.running))
         release = Release(request, 1, "pool", "delivered", usage)
         started = time.process_time()
-        outs = scheduler.release("d", release, 2.0)
+        actions = scheduler.release("d", release, 2.0)
         used.append(time.process_time() - started)
-        assert any(isinstance(out.action, Grant) for out in outs)
+        assert any(isinstance(out.action, Grant) for out in actions)
         scheduler.acquire("entry", "d", acquire_message(100_000 + number, source), 2.0)
     return sorted(used)[len(used) // 2]
 
 
 def tick_time(waiting: int) -> float:
-    """Time one tick with a forecast over the queue of 40 upstreams."""
+    """Return the processor time of one tick with a forecast over the queue of 40 upstreams."""
     scheduler = busy_scheduler(40, waiting)
 
     def tick() -> None:
@@ -203,7 +216,11 @@
 
 
 def measure_scheduling() -> tuple[Line, Line, Line, Line]:
-    """Measure decisions against upstreams and against the queue, forecasts, and memory."""
+    """Measure a pool scheduler.
+
+    :return: processor seconds of a decision by upstreams and by waiting requests, those of a tick
+        with a forecast by waiting requests, and bytes of memory by upstreams.
+    """
     by_upstreams = [(n, decision_time(n, 1000)) for n in (5, 10, 20, 40, 80, 160)]
     by_waiting = [(n, decision_time(40, n)) for n in (10, 100, 300, 1000, 2000)]
     by_forecast = [(n, tick_time(n)) for n in (100, 300, 1000, 2000)]
@@ -215,7 +232,7 @@
 
 
 def fleet_specs(teams: int) -> Specs:
-    """Make a configuration of many teams and 20 models."""
+    """Create a configuration of many teams and 20 models."""
     document = {
         "tier": [{"name": f"t{rank}", "rank": rank} for rank in range(5)],
         "team": [
@@ -241,7 +258,7 @@
 
 
 def host_list(replicas: int) -> tuple[ListedHost, ...]:
-    """Make a host list of replicas and nodes."""
+    """Create a host list of replicas and, in the target's proportion, nodes."""
     entries = [
         ListedHost(
             f"entry-{i}", f"10.0.{i % 250}.1:7000", f"d{i % DOMAINS}", False, {"kind": "entry"}
@@ -264,7 +281,10 @@
 def apply_configuration(
     specs: Specs, teams: int
 ) -> tuple[ConfigurationState, Root, dict[str, bytes]]:
-    """Adopt a configuration, and make the next revision: one team changed."""
+    """Apply a configuration and create the next revision, in which one team has changed.
+
+    :return: the state, the root of the next revision, and its new chunks by hash.
+    """
     state = ConfigurationState()
     chunks = split_chunks(specs)
     hashes = {name: chunk_hash(content) for name, content in chunks.items()}
@@ -281,7 +301,11 @@
 
 
 def measure_configuration() -> tuple[Line, Line, Line, float]:
-    """Measure taking one change, rebuilding the fleet's view, memory, and bytes of a change."""
+    """Measure a configuration against its number of teams.
+
+    :return: processor seconds to apply one change and to rebuild the fleet's view, bytes of memory,
+        and bytes that a change transfers.
+    """
     times, rebuilds, memory = [], [], []
     moved = 0.0
     for teams in (475, 950, 1900, 3800):
@@ -308,7 +332,7 @@
 
 
 def root_bytes(root: Root) -> int:
-    """Give the size of a root with its history, in bytes."""
+    """Return the size of a root with its history, in bytes."""
     return len(encode_root(root))
 
 
@@ -316,7 +340,11 @@
 
 
 def measure_links() -> tuple[float, float, float, float]:
-    """Measure a message's encoding and decoding, and the bytes of one request's messages."""
+    """Measure the messages on a link.
+
+    :return: processor seconds to encode and to decode a message, bytes of one request's messages,
+        and bytes of one progress item.
+    """
     source = random.Random(2)
     message = acquire_message(1, source)
     frame = CODEC.encode(STAMP, message)
@@ -335,7 +363,7 @@
 
 
 async def main() -> None:
-    """Run the part and print its table."""
+    """Run the benchmark and print its table."""
     print("\n## Part capacity\n")
     print("| what | sizes n | fitted line | residual | at the target |")
     print("|---|---|---|---|---|")
@@ -406,7 +434,7 @@
     per_item: float,
     moved: float,
 ) -> None:
-    """Work the slopes out for one node at the target, against its budget."""
+    """Print the control work of one node at the target size, next to its budget."""
     per_domain, rate = NODES / DOMAINS, REQUESTS_PER_S / NODES
     pools_here = MODELS / NODES
     running = rate * MEAN_ANSWER_S
--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -1,8 +1,8 @@
 """
 benches.fleet
 
-Both fleets at today's sizes as real processes under load, with a node killed and an engine slowed
-in the middle; beside the same nodes with the policy's parts switched off.
+Both example fleets as real processes under load, with an engine slowed down and a node killed
+during the run, compared with the same nodes with the policy's features switched off.
 """
 
 import asyncio
@@ -19,9 +19,11 @@
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
 FLEETS = ("norrspar", "harano-prapti")
 NODES = 7
+# Duration of the load, and times after its start of the two faults.
 RUN_S = 45.0
 SLOW_AT_S = 12.0
 KILL_AT_S = 20.0
+# Factor on the time of every step of the slow engine.
 SLOW_FACTOR = 5.0
 SEED = 11
 
@@ -85,7 +87,7 @@
 
 
 async def main() -> None:
-    """Run the part and print its tables."""
+    """Run the benchmark and print its tables."""
     print("\n## Part fleet")
     for name in FLEETS:
         for policy in POLICIES:
--- a/benches/gateway.py
+++ b/benches/gateway.py
@@ -1,8 +1,8 @@
 """
 benches.gateway
 
-What the users' path costs: the start of a node, the latency that it adds to a first byte beside the
-direct call in the same run, and processor time by request and by event.
+Cost of the path through a gateway node: its start, the latency that it adds to the first byte over
+a direct call in the same run, and processor time by request and by event.
 """
 
 import asyncio
@@ -16,8 +16,10 @@
 
 from benches.statistics import fit_line, memory_mb, processor_s, quantile
 
+# Requests sent to the engine and through the node, in turn.
 LATENCY_ROUNDS = 150
 RESTARTS = 3
+# Events of an answer.
 ANSWER_SIZES_EVENTS = (1, 100, 300)
 REQUESTS_PER_SIZE = 30
 IDLE_S = 5.0
@@ -86,7 +88,7 @@
 
 
 async def main() -> None:
-    """Print all figures."""
+    """Run the benchmark and print its tables."""
     with tempfile.TemporaryDirectory(prefix="chalkyoke-bench-") as folder:
         async with PlatformFleet(Path(folder), ("a",)) as fleet:
             engine = next(each for each in fleet.replicas.values() if each.engine)
--- a/benches/path.py
+++ b/benches/path.py
@@ -1,8 +1,8 @@
 """
 benches.path
 
-What the way through a node costs: added latency, processor time by chunk and request, memory, and
-a retry that is forwarded to its issuer. Ratios are taken within one run.
+Cost of the path through a node: added latency, processor time by chunk and request, memory, and a
+retry that is forwarded to the node that issued its token. Ratios compare figures of the same run.
 """
 
 import asyncio
@@ -22,9 +22,12 @@
 
 KEY = "bench-key"
 ENGINES = 4
+# Requests sent to the engine and through the node, in turn.
 LATENCY_ROUNDS = 60
 LATENCY_TOKENS = 30
+# A burst sends two times this number of streams.
 BURST_STREAMS = 48
+# Output tokens of an answer.
 ANSWER_SIZES_TOKENS = (1, 60, 120, 240)
 RETRIES = 60
 IDLE_S = 10.0
@@ -78,7 +81,7 @@
 async def _stream_gaps(
     session: aiohttp.ClientSession, address: str, tokens: int
 ) -> tuple[float, list[float]]:
-    """Stream one answer; give the time to the first byte and the gaps between reads."""
+    """Stream one answer; return the seconds to its first byte and between its reads."""
     started = time.perf_counter()
     headers = {"Authorization": f"Bearer {KEY}"}
     moments: list[float] = []
@@ -113,7 +116,10 @@
 
 
 async def _run_burst(fleet: LocalFleet, caller: Caller, tokens: int) -> tuple[float, float, int]:
-    """Send many streams at once; give the node's processor time and the elapsed time."""
+    """Send many streams at once.
+
+    :return: the node's processor time and the elapsed time in seconds, and the whole answers.
+    """
     node = fleet.nodes["n1"]
     before, started = processor_s(node.popen.pid), time.perf_counter()
     replies = await asyncio.gather(
@@ -145,7 +151,7 @@
 
 
 async def _measure_retries(fleet: LocalFleet, caller: Caller) -> list[str]:
-    """Replay an answer at its issuer, and through another host."""
+    """Measure the replay of an answer at the issuer of its token and through another host."""
     times: dict[str, list[float]] = {"n1": [], "n2": []}
     token = await caller.take_token(fleet.nodes["n1"].address)
     await caller.complete(fleet.nodes["n1"].address, _body(20), Chalkyoke_Token=token)
@@ -171,7 +177,7 @@
 
 
 async def main() -> None:
-    """Run the part and print its tables."""
+    """Run the benchmark and print its tables."""
     with tempfile.TemporaryDirectory(prefix="chalkyoke-bench-") as folder:
         fleet = LocalFleet(Path(folder), PLATFORM, RESOURCES)
         connector = aiohttp.TCPConnector(limit=0)
--- a/benches/policy/__init__.py
+++ b/benches/policy/__init__.py
@@ -1,5 +1,6 @@
 """
 benches.policy
 
-The real decision objects over small fake engines in virtual time, beside baselines and a bound.
+A simulation that runs the production scheduler over fake engines in virtual time and compares it
+with baseline policies and with an upper bound.
 """
--- a/benches/policy/__main__.py
+++ b/benches/policy/__main__.py
@@ -16,14 +16,18 @@
 
 def main(arguments: list[str] | None = None) -> None:
     """Run the policy bench and print its tables."""
-    parser = argparse.ArgumentParser(description="The policy over fake engines in virtual time.")
-    parser.add_argument("--scenario", type=Path, action="append", help="a TOML file; all if none")
-    parser.add_argument("--only", default="", help="scenarios whose names hold this")
-    parser.add_argument("--seed", type=int, action="append", help="a seed; 1 to 10 if none")
-    parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS, help="how many seeds")
-    parser.add_argument("--policy", action="append", choices=list(POLICIES), help="all if none")
-    parser.add_argument("--json", type=Path, help="write all figures here")
-    parser.add_argument("--brief", action="store_true", help="only what falls short")
+    parser = argparse.ArgumentParser(
+        description="Compare scheduling policies on fake engines in virtual time."
+    )
+    parser.add_argument("--scenario", type=Path, action="append", help="a TOML file; default: all")
+    parser.add_argument("--only", default="", help="run only scenarios whose names contain this")
+    parser.add_argument("--seed", type=int, action="append", help="a seed; default: 1 to 10")
+    parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS, help="number of seeds")
+    parser.add_argument("--policy", action="append", choices=list(POLICIES), help="default: all")
+    parser.add_argument("--json", type=Path, help="write all results to this file")
+    parser.add_argument(
+        "--brief", action="store_true", help="leave out the tables of single scenarios"
+    )
     parsed = parser.parse_args(arguments)
 
     if parsed.scenario:
@@ -31,8 +35,8 @@
     else:
         scenarios = [each for each in all_scenarios() if parsed.only in each.name]
     seeds = parsed.seed or list(range(1, parsed.seeds + 1))
-    verdicts = report.run_all(scenarios, parsed.policy or list(POLICIES), seeds)
-    rows = report.rows_by_scenario(verdicts)
+    results = report.run_all(scenarios, parsed.policy or list(POLICIES), seeds)
+    rows = report.rows_by_scenario(results)
     tiers = {each.fleet: [tier["name"] for tier in each.tiers] for each in scenarios}
     if not parsed.policy:
         print(report.summary_table(rows, tiers) + "\n\n" + report.ablation_table(rows) + "\n")
@@ -45,7 +49,7 @@
     for line in short:
         print(f"- {line}")
     if parsed.json:
-        report.write_json(parsed.json, verdicts)
+        report.write_json(parsed.json, results)
 
 
 if __name__ == "__main__":
--- a/benches/policy/engine.py
+++ b/benches/policy/engine.py
@@ -1,8 +1,8 @@
 """
 benches.policy.engine
 
-A model engine in virtual time: continuous batching, one prompt read at a time in chunks, a prefix
-cache with least-recently-used eviction, a queue of its own for callers that overfill it.
+A simulated engine in virtual time, with continuous batching, chunked prefill of one prompt at a
+time, a prefix cache with least-recently-used eviction, and a queue for requests beyond its slots.
 """
 
 import heapq
@@ -11,12 +11,20 @@
 
 from chalkyoke.scheduling.placement import BLOCK_TOKENS
 
+# Prompt tokens that the engine processes in one step.
 PREFILL_CHUNK_TOKENS = 512
 
 
 @dataclass(eq=False)
 class Sequence:
-    """One request inside an engine."""
+    """One request inside an engine.
+
+    :ivar blocks: ids of the prompt's prefix blocks.
+    :ivar submitted: virtual time of the submission, in seconds.
+    :ivar prefill_left: prompt tokens still to be processed.
+    :ivar first_at: virtual time of the first token; -1 before it.
+    :ivar produced_at_first: the engine's ``produced`` counter at the first token.
+    """
 
     id: str
     prompt_tokens: int
@@ -33,7 +41,7 @@
 
     @property
     def prefill_done(self) -> float:
-        """Prompt tokens that the engine really read."""
+        """Prompt tokens that the engine has processed, cached ones excluded."""
         if self.state == "queued":
             return 0.0
         return self.prompt_tokens - self.cached_tokens - self.prefill_left
@@ -41,7 +49,10 @@
 
 @dataclass
 class EngineSpec:
-    """What an engine can do, and where it stands."""
+    """The speed, size, failure domain and labels of an engine.
+
+    :ivar batch_slowdown: time of a token with all slots in use, as a multiple of one stream's.
+    """
 
     id: str
     domain: str
@@ -54,7 +65,17 @@
 
 
 class SimEngine:
-    """The engine. Call :meth:`advance` before any change, and ask :meth:`next_event` after."""
+    """A simulated engine.
+
+    Callers call :meth:`advance` before any change and :meth:`next_event` after it.
+
+    :ivar slow: factor on the time of every step; 1 without a fault.
+    :ivar gone: whether the engine is down.
+    :ivar version: number of the last scheduled event; earlier ones are stale.
+    :ivar produced: output tokens that a stream would have if it decoded since the start.
+    :ivar decoding: streams that decode.
+    :ivar dropped: evicted cache blocks with the time of their eviction.
+    """
 
     def __init__(self, spec: EngineSpec) -> None:
         self.spec = spec
@@ -75,16 +96,16 @@
 
     @property
     def load(self) -> int:
-        """Requests inside, waiting ones included."""
+        """Requests in the batch and in the engine's queue."""
         return len(self.batch) + sum(1 for each in self.queue if each[3].state == "queued")
 
     def token_time(self) -> float:
-        """Seconds for one token of each stream, without a prompt being read."""
+        """Return the seconds for one token of each stream while no prompt is processed."""
         base = 1.0 / self.spec.decode_tokens_per_s
         return base * (1.0 + self._slope * max(0, self.decoding - 1))
 
     def _rates(self) -> tuple[float, float]:
-        """Give prompt tokens a second, and output tokens a second for each stream."""
+        """Return prompt tokens per second, and output tokens per second of each stream."""
         decode = self.token_time() if self.decoding else 0.0
         if self.prefill_heap:
             step = (PREFILL_CHUNK_TOKENS / self.spec.prefill_tokens_per_s + decode) * self.slow
@@ -92,7 +113,7 @@
         return 0.0, (1.0 / (decode * self.slow) if self.decoding else 0.0)
 
     def advance(self, now: float) -> None:
-        """Work until a moment."""
+        """Process prompts and produce tokens up to a virtual time."""
         seconds = now - self.advanced_to
         self.advanced_to = now
         if seconds <= 0:
@@ -106,7 +127,7 @@
             self.prefilled += done
 
     def next_event(self) -> float:
-        """Give the moment of the next prompt read or answer finished; infinite for none."""
+        """Return the time at which the next prompt or answer is finished; infinite for none."""
         self._drop_cancelled()
         prefill, decode = self._rates()
         moment = float("inf")
@@ -119,9 +140,9 @@
         return moment
 
     def collect(self, now: float) -> tuple[list[Sequence], list[Sequence]]:
-        """Take what has happened by now.
+        """Collect the prompts and answers that are finished, and fill the batch from the queue.
 
-        :return: sequences with their first token, and finished ones.
+        :return: sequences that got their first token, and finished ones.
         """
         first: list[Sequence] = []
         finished: list[Sequence] = []
@@ -142,12 +163,12 @@
         return first, finished
 
     def submit(self, sequence: Sequence, now: float) -> None:
-        """Take a request in."""
+        """Queue a request; it joins the batch when a slot is free."""
         heapq.heappush(self.queue, (sequence.priority, now, sequence.id, sequence))
         self._fill_batch(now)
 
     def cancel(self, sequence: Sequence, now: float) -> None:
-        """Drop a request."""
+        """Cancel a request; does nothing if it has ended."""
         if sequence.state in ("done", "cancelled"):
             return
         if sequence.state == "decoding":
@@ -163,7 +184,7 @@
         self._fill_batch(now)
 
     def tokens_of(self, sequence: Sequence) -> int:
-        """Count the output tokens that a sequence has so far."""
+        """Return the output tokens of a sequence so far; 0 unless it is decoding."""
         if sequence.state != "decoding":
             return 0
         return min(sequence.output_tokens, int(self.produced - sequence.produced_at_first))
--- a/benches/policy/policies.py
+++ b/benches/policy/policies.py
@@ -1,7 +1,8 @@
 """
 benches.policy.policies
 
-The baselines, chalkyoke with its parts, and the bound that is told what nobody knows.
+The simulated policies: simple baselines, chalkyoke with single features switched off, and an upper
+bound that knows true output lengths and engine speeds.
 """
 
 import random
@@ -32,23 +33,30 @@
 from benches.policy.engine import EngineSpec, SimEngine
 from benches.policy.simulation import CallerAttempt, Simulation
 
+# One-way delay of a message from the scheduler to the entry node.
 LINK_DELAY_S = 0.001
 SCHEDULER_TICK_S = 0.05
 PROGRESS_INTERVAL_S = 1.0
 REPORT_INTERVAL_S = 1.0
+# Time from the loss of the scheduler until a successor is running.
 SUCCESSOR_DELAY_S = 1.5
+# Evicted cache blocks are reported after this delay, and this share of them is never reported.
 CACHE_LAG_S = 1.0
 CACHE_EVENT_LOSS_SHARE = 0.2
+# The speeds of a model card are wrong by up to this factor in either direction.
 MODEL_CARD_ERROR_FACTOR = 1.3
 
 
 class Baseline:
-    """Send each request to an engine as it arrives; first in, first out, nothing given up."""
+    """Base of the policies that send each request to an engine on arrival.
+
+    Engines serve their queues in order of arrival, and no request is refused.
+    """
 
     name = "baseline"
 
     def attach(self, simulation: Simulation) -> None:
-        """Get ready."""
+        """Attach the policy to a simulation and start the load reports."""
         self.simulation = simulation
         self.random = random.Random(5)
         self.outstanding: dict[str, int] = defaultdict(int)
@@ -61,12 +69,12 @@
         self.simulation.call_at(self.simulation.now + lag, lambda: self.reported.update(loads))
 
     def eligible_engines(self, attempt: CallerAttempt) -> list[SimEngine]:
-        """List the engines that the request's route matches."""
+        """Return the engines that the selector of the request's route matches."""
         names = eligible_engine_ids(self.simulation, attempt.demand.route)
         return [self.simulation.engines[name] for name in names]
 
     def on_arrival(self, attempt: CallerAttempt) -> None:
-        """Choose an engine; one that refuses the connection is passed over."""
+        """Send an attempt to the chosen engine, or to the next choice if it is unreachable."""
         engines = self.eligible_engines(attempt)
         while engines:
             chosen = self.choose_engine(attempt, engines)
@@ -76,78 +84,78 @@
             engines.remove(chosen)
 
     def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
-        """Choose one engine."""
+        """Choose one of the reachable engines."""
         raise NotImplementedError
 
     def on_first_token(self, attempt: CallerAttempt) -> None:
-        """Nothing is learned."""
+        """Ignore the first token: baselines learn nothing."""
 
     def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
-        """Count down."""
+        """Count one request less on its engine."""
         assert attempt.engine is not None
         self.outstanding[attempt.engine.spec.id] -= 1
 
     def on_expired_waiting(self, attempt: CallerAttempt) -> None:
-        """Nothing waits outside engines."""
+        """Do nothing: no request waits outside the engines."""
 
     def lose_scheduler(self) -> None:
-        """There is none."""
+        """Do nothing: baselines have no scheduler."""
 
     def count_waiting(self) -> dict[str, dict[str, int]]:
-        """Nothing waits outside engines."""
+        """Return an empty mapping: no request waits outside the engines."""
         return {}
 
 
 class RoundRobin(Baseline):
-    """One after the other."""
+    """Use the engines in turn."""
 
     name = "round robin"
 
     def attach(self, simulation: Simulation) -> None:
-        """Get ready."""
+        """Attach the policy to a simulation and start with the first engine."""
         super().attach(simulation)
         self.turn = 0
 
     def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
-        """Choose the next one."""
+        """Choose the next engine in turn."""
         self.turn += 1
         return engines[self.turn % len(engines)]
 
 
 class LeastOutstanding(Baseline):
-    """The engine with the fewest requests sent and not ended."""
+    """Use the engine with the fewest requests in flight, as the policy counts them itself."""
 
     name = "least outstanding"
 
     def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
-        """Choose the emptiest."""
+        """Choose the engine with the fewest requests in flight."""
         return min(engines, key=lambda engine: self.outstanding[engine.spec.id])
 
 
 class TwoChoices(Baseline):
-    """The better of two random engines by their reported load."""
+    """Use the less loaded of two random engines by their last load reports."""
 
     name = "two choices"
 
     def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
-        """Choose the better of two."""
+        """Choose the less loaded of two random engines."""
         two = self.random.sample(engines, min(2, len(engines)))
         return min(two, key=lambda engine: self.reported[engine.spec.id])
 
 
 class PrefixAffinity(Baseline):
-    """The engine that a hash of the prompt's head names."""
+    """Use the engine that a hash of the prompt's first block selects."""
 
     name = "prefix affinity"
 
     def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
-        """Choose by rendezvous over the head block."""
+        """Choose by rendezvous hashing of the prompt's first block, or of the request id."""
         head = attempt.demand.blocks[:1] or (attempt.demand.id,)
         return max(engines, key=lambda engine: zlib.crc32(f"{head}{engine.spec.id}".encode()))
 
 
 def eligible_engine_ids(simulation: Simulation, route: str) -> list[str]:
-    """List the engines whose labels a route's selector matches."""
+    """Return the ids of the engines whose labels match a route's selector."""
     wanted = next(each for each in simulation.scenario.routes if each["name"] == route)
     return [
         spec.id
@@ -157,12 +165,15 @@
 
 
 def _model_card_factor(spec: EngineSpec) -> float:
-    """Give the error of an engine's model card: too good or too bad by up to 30%."""
+    """Return the factor by which a model card is wrong: up to 30% too fast or too slow.
+
+    The factor depends on the engine's id only.
+    """
     return float(MODEL_CARD_ERROR_FACTOR ** ((zlib.crc32(spec.id.encode()) % 201 - 100) / 100))
 
 
 class Chalkyoke:
-    """The pool scheduler as it runs in a node, over the simulated engines."""
+    """Run the production pool scheduler over the simulated engines."""
 
     name = "chalkyoke"
 
@@ -171,7 +182,7 @@
         self._features = features or Features()
 
     def attach(self, simulation: Simulation) -> None:
-        """Make the scheduler and its timers."""
+        """Attach the policy to a simulation and start the scheduler and its timers."""
         self.simulation = simulation
         self.random = random.Random(3)
         self.waiting: dict[str, CallerAttempt] = {}
@@ -183,7 +194,7 @@
         simulation.call_every(REPORT_INTERVAL_S, self._send_reports)
 
     def pool_spec(self) -> PoolSpec:
-        """Write the scenario as a pool; model cards are wrong by up to 30%."""
+        """Build the pool of the scenario, with model cards that are wrong by up to 30%."""
         scenario = self.simulation.scenario
         return PoolSpec(
             "pool",
@@ -212,15 +223,18 @@
         )
 
     def make_scheduler(self, expected: tuple[str, ...] = ()) -> PoolScheduler:
-        """Make a scheduler."""
+        """Create a pool scheduler.
+
+        :param expected: entry nodes whose running requests it waits for before it grants.
+        """
         return PoolScheduler(
             self.pool_spec(), self.random.random, self.simulation.now, expected, self._features
         )
 
-    # The entry's side.
+    # The entry node: acquires, grants and releases.
 
     def on_arrival(self, attempt: CallerAttempt) -> None:
-        """Acquire."""
+        """Acquire a slot for a new attempt."""
         self.waiting[attempt.id] = attempt
         self.grant_attempts[attempt.id] = 1
         self._request_slot(attempt)
@@ -234,7 +248,7 @@
             )
 
     def acquire_message(self, attempt: CallerAttempt) -> Acquire:
-        """Write the acquire message of a try."""
+        """Build the acquire message of an attempt."""
         demand, now = attempt.demand, self.simulation.now
         return Acquire(
             attempt.id,
@@ -250,9 +264,9 @@
             now - attempt.arrived,
         )
 
-    def _schedule_actions(self, outs: list[AddressedAction]) -> None:
-        for out in outs:
-            action = out.action
+    def _schedule_actions(self, actions: list[AddressedAction]) -> None:
+        for addressed in actions:
+            action = addressed.action
             self.simulation.call_at(
                 self.simulation.now + LINK_DELAY_S,
                 lambda action=action: self._apply_action(action),  # type: ignore[misc]
@@ -283,10 +297,10 @@
             self._schedule_actions(self.scheduler.release("d", message, self.simulation.now))
 
     def on_first_token(self, attempt: CallerAttempt) -> None:
-        """The next progress message tells it."""
+        """Do nothing: the next progress message reports the first token."""
 
     def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
-        """Release."""
+        """Release the slot and report the usage of the attempt."""
         self.running.pop(attempt.id, None)
         sequence, engine = attempt.sequence, attempt.engine
         assert sequence is not None
@@ -304,13 +318,13 @@
         self._release_slot(attempt.id, self.grant_attempts[attempt.id], outcome, usage)
 
     def on_expired_waiting(self, attempt: CallerAttempt) -> None:
-        """Withdraw."""
+        """Withdraw an attempt that still waits for a grant."""
         self.waiting.pop(attempt.id, None)
         if self.scheduler is not None:
             self.scheduler.withdraw(Withdraw(attempt.id, "pool"))
 
     def lose_scheduler(self) -> None:
-        """Lose it; its successor is asked after the heartbeats have run out."""
+        """Stop the scheduler; its successor starts once its heartbeats have timed out."""
         self.scheduler = None
         self.simulation.call_at(self.simulation.now + SUCCESSOR_DELAY_S, self._start_successor)
 
@@ -371,12 +385,14 @@
             report = LoadReport(name, len(engine.batch), engine.load - len(engine.batch), lag)
             dropped = [block for at, block in engine.dropped if at <= now - CACHE_LAG_S]
             engine.dropped = [each for each in engine.dropped if each[0] > now - CACHE_LAG_S]
-            heard = tuple(
+            reported_drops = tuple(
                 block for block in dropped if self.random.random() >= CACHE_EVENT_LOSS_SHARE
             )
             self.simulation.call_at(
                 now + lag,
-                lambda report=report, heard=heard: self._apply_report(report, heard),  # type: ignore[misc]
+                lambda report=report, reported_drops=reported_drops: self._apply_report(
+                    report, reported_drops
+                ),  # type: ignore[misc]
             )
 
     def _apply_report(self, report: LoadReport, dropped: tuple[int, ...]) -> None:
@@ -385,7 +401,7 @@
             self._schedule_actions(self.scheduler.apply_load_report(report, self.simulation.now))
 
     def count_waiting(self) -> dict[str, dict[str, int]]:
-        """Count what waits, by tier and team."""
+        """Count the attempts that wait for a grant, by tier and team."""
         counts: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
         for attempt in self.waiting.values():
             counts[attempt.demand.tier][attempt.demand.team] += 1
@@ -393,7 +409,7 @@
 
 
 class _TrueSpeed(SpeedModel):
-    """A speed model that reads the engine itself."""
+    """A speed model that uses the engine's true speed, slowdown faults included."""
 
     __slots__ = ("_engine",)
 
@@ -405,30 +421,30 @@
         self._engine = engine
 
     def token_time(self, streams: int) -> float:
-        """Give the true time."""
+        """Return the true seconds for one token of each stream."""
         return super().token_time(streams) * self._engine.slow
 
     def prefill_time(self, tokens: float) -> float:
-        """Give the true time."""
+        """Return the true seconds to process a prompt."""
         return super().prefill_time(tokens) * self._engine.slow
 
     def learn_tokens(self, tokens: int, seconds: float, streams: int) -> None:
-        """There is nothing to learn."""
+        """Ignore the observation: the true speed is known."""
 
     def learn_first(self, expected_s: float, observed_s: float) -> None:
-        """There is nothing to learn."""
+        """Ignore the observation: the true speed is known."""
 
 
 class _TrueOutput(OutputModel):
-    """An output model that is told the true length as the caller's bound."""
+    """An output model that gets the true output length in the place of the caller's limit."""
 
     def predict(self, _route: str, _team: str, max_output: int) -> OutputEstimate:
-        """Give the true length."""
+        """Return the true output length for all estimates."""
         return OutputEstimate(float(max_output), float(max_output), float(max_output))
 
 
 class Bound(Chalkyoke):
-    """The same policy told true lengths, true speeds and fresh load."""
+    """The upper bound: the same policy with true output lengths, true speeds and fresh progress."""
 
     name = "bound"
 
@@ -436,20 +452,20 @@
         super().__init__("bound")
 
     def make_scheduler(self, expected: tuple[str, ...] = ()) -> PoolScheduler:
-        """Make a scheduler that is told the truth."""
-        made = super().make_scheduler(expected)
-        made._learner.outputs = _TrueOutput()
-        for name, upstream in made.upstreams.items():
+        """Create a scheduler with true output lengths and speeds."""
+        scheduler = super().make_scheduler(expected)
+        scheduler._learner.outputs = _TrueOutput()
+        for name, upstream in scheduler.upstreams.items():
             upstream.speed = _TrueSpeed(self.simulation.engines[name])
-        return made
+        return scheduler
 
     def attach(self, simulation: Simulation) -> None:
-        """Tell progress with each tick."""
+        """Attach the policy and send progress with each scheduler tick."""
         super().attach(simulation)
         simulation.call_every(SCHEDULER_TICK_S, self._send_progress)
 
     def acquire_message(self, attempt: CallerAttempt) -> Acquire:
-        """Tell the true length."""
+        """Build an acquire message with the true output length as its limit."""
         message = super().acquire_message(attempt)
         fields = {name: getattr(message, name) for name in message.__struct_fields__}
         return Acquire(**{**fields, "max_output": attempt.demand.output_tokens})
--- a/benches/policy/report.py
+++ b/benches/policy/report.py
@@ -1,7 +1,7 @@
 """
 benches.policy.report
 
-Run scenarios over seeds and policies in parallel, and write the tables.
+Run scenarios over seeds and policies in parallel, and format the results as tables.
 """
 
 import json
@@ -18,6 +18,8 @@
 
 BOUND = "bound"
 CHALKYOKE = "chalkyoke"
+# The aims of the policy: minimum goodput in the top tier and in total as shares of the bound's,
+# maximum wasted prefill in an overload as a share of least outstanding's, and minimum fairness.
 MIN_TOP_TIER_SHARE = 0.99
 MIN_TOTAL_SHARE = 0.95
 MAX_WASTE_SHARE = 0.1
@@ -27,13 +29,13 @@
 
 
 def run_one(job: tuple[Scenario, str, int]) -> RunResult:
-    """Play one scenario with one policy and one seed."""
+    """Run one scenario with one policy and one seed."""
     scenario, policy, seed = job
     return Simulation(scenario, POLICIES[policy](), seed).run()
 
 
 def run_all(scenarios: list[Scenario], policies: list[str], seeds: list[int]) -> list[RunResult]:
-    """Play all, on all processors."""
+    """Run every scenario with every policy and seed, on all processors."""
     jobs = [(each, policy, seed) for each in scenarios for policy in policies for seed in seeds]
     with ProcessPoolExecutor() as pool:
         return list(pool.map(run_one, jobs, chunksize=4))
@@ -41,7 +43,11 @@
 
 @dataclass
 class Row:
-    """One policy in one scenario, over all seeds."""
+    """The means over all seeds of one policy in one scenario.
+
+    :param spread: standard deviation of the goodput.
+    :param wasted: prompt tokens processed for requests that were then cancelled.
+    """
 
     goodput: float
     spread: float
@@ -54,39 +60,39 @@
     beside_free: float
 
 
-def rows_by_scenario(verdicts: list[RunResult]) -> dict[Key, dict[str, Row]]:
-    """Fold verdicts over seeds: rows by (scenario, fleet) and policy."""
+def rows_by_scenario(results: list[RunResult]) -> dict[Key, dict[str, Row]]:
+    """Average results over seeds into rows by (scenario, fleet) and policy."""
     grouped: dict[Key, dict[str, list[RunResult]]] = defaultdict(lambda: defaultdict(list))
-    for verdict in verdicts:
-        grouped[verdict.scenario, verdict.fleet][verdict.policy].append(verdict)
+    for result in results:
+        grouped[result.scenario, result.fleet][result.policy].append(result)
     return {
         key: {policy: _average(each) for policy, each in policies.items()}
         for key, policies in grouped.items()
     }
 
 
-def _average(verdicts: list[RunResult]) -> Row:
-    goodputs = [each.goodput for each in verdicts]
-    fair = [each.fairness for each in verdicts if not math.isnan(each.fairness)]
+def _average(results: list[RunResult]) -> Row:
+    goodputs = [each.goodput for each in results]
+    fair = [each.fairness for each in results if not math.isnan(each.fairness)]
     tiers = {
-        tier: statistics.mean(each.tier_goodput(tier) for each in verdicts)
-        for tier in verdicts[0].demands
+        tier: statistics.mean(each.tier_goodput(tier) for each in results)
+        for tier in results[0].demands
     }
     return Row(
         statistics.mean(goodputs),
         statistics.stdev(goodputs) if len(goodputs) > 1 else 0.0,
         tiers,
-        statistics.mean(each.wasted_prefill for each in verdicts),
+        statistics.mean(each.wasted_prefill for each in results),
         statistics.mean(fair) if fair else math.nan,
-        statistics.mean(each.value.net for each in verdicts),
-        statistics.mean(each.value.held / max(1, each.value.demands) for each in verdicts),
-        statistics.mean(each.value.returns / max(1, each.value.demands) for each in verdicts),
-        statistics.mean(each.value.beside_free for each in verdicts),
+        statistics.mean(each.value.net for each in results),
+        statistics.mean(each.value.held / max(1, each.value.demands) for each in results),
+        statistics.mean(each.value.returns / max(1, each.value.demands) for each in results),
+        statistics.mean(each.value.beside_free for each in results),
     )
 
 
 def scenario_tables(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
-    """Write one table for each scenario and fleet, as Markdown."""
+    """Format one Markdown table for each scenario and fleet."""
     lines: list[str] = []
     for (scenario, fleet), policies in rows.items():
         names = tiers[fleet]
@@ -107,7 +113,7 @@
 
 
 def summary_table(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
-    """Write one line for each scenario and fleet: ours, the bound and the best baseline."""
+    """Format one line for each scenario and fleet: chalkyoke, the bound and the best baseline."""
     lines = [
         "| scenario, fleet | ours | bound | best baseline | top tier, ours and bound | wasted, ours and "
         "least outstanding's | fairness |",
@@ -128,7 +134,7 @@
 
 
 def value_table(rows: dict[Key, dict[str, Row]]) -> str:
-    """Write what service is worth from a caller's first try, beside goodput."""
+    """Format the value of service, timed from the first attempt, next to the goodput."""
     lines = [
         "| scenario, fleet | policy | goodput | value from the first try | held in vain | "
         "came back in vain | refused beside free slots |",
@@ -144,7 +150,7 @@
 
 
 def ablation_table(rows: dict[Key, dict[str, Row]]) -> str:
-    """Write the means over all scenarios and fleets for each policy."""
+    """Format the means over all scenarios and fleets for each policy."""
     lines = ["| policy | mean goodput | mean wasted prefill |", "|---|---|---|"]
     for policy in next(iter(rows.values())):
         goodput = statistics.mean(each[policy].goodput for each in rows.values())
@@ -154,7 +160,7 @@
 
 
 def shortfalls(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> list[str]:
-    """List where the aims of the policy are not reached."""
+    """Return a line for each aim of the policy that a scenario misses."""
     found: list[str] = []
     for (scenario, fleet), policies in rows.items():
         ours, bound = policies[CHALKYOKE], policies.get(BOUND)
@@ -189,6 +195,6 @@
     return found
 
 
-def write_json(path: Path, verdicts: list[RunResult]) -> None:
-    """Write all verdicts as JSON."""
-    path.write_text(json.dumps([asdict(each) for each in verdicts], indent=1), encoding="utf-8")
+def write_json(path: Path, results: list[RunResult]) -> None:
+    """Write all results to a JSON file."""
+    path.write_text(json.dumps([asdict(each) for each in results], indent=1), encoding="utf-8")
--- a/benches/policy/scenario.py
+++ b/benches/policy/scenario.py
@@ -1,8 +1,9 @@
 """
 benches.policy.scenario
 
-A scenario: one TOML file over a base file with the fleet, its tiers and teams. Arrivals are drawn
-from one seed, the same for every policy.
+Scenarios, read from a TOML file that overrides a base file with the fleet, its tiers and teams.
+
+For one seed the arrivals are the same with every policy.
 """
 
 import math
@@ -17,16 +18,21 @@
 from benches.policy.engine import EngineSpec
 
 HERE = Path(__file__).parent
+# Arrivals in the warm-up aren't measured.
 WARM_UP_S = 30.0
+# A run goes on for this time after the last arrival, so that answers can finish.
 DRAIN_S = 60.0
 
 
 @dataclass
 class Demand:
-    """What one caller wants: one or more tries until it is served or gives up.
+    """One caller's request, sent in one or more attempts until it is served or the caller stops.
 
-    :param leaves_s: so long after its arrival the caller leaves; infinite where it stays.
-    :param tries: tries at most; after a refusal it comes back.
+    :param at: arrival in virtual seconds.
+    :param max_output: the caller's limit on output tokens.
+    :param leaves_after_s: time after an arrival at which the caller leaves; infinite if it stays.
+    :param max_attempts: attempts at most; the caller makes the next one after a refusal.
+    :param obeys_retry_after: whether the caller waits as long as the refusal asks.
     """
 
     id: str
@@ -46,7 +52,12 @@
 
 @dataclass
 class Fault:
-    """One fault: engines that slow down or go, or the scheduler process lost."""
+    """One fault: engines that slow down or fail, or the loss of the scheduler process.
+
+    :param at: start in virtual seconds.
+    :param until: end in virtual seconds.
+    :param factor: factor on the time of every step of a slow engine.
+    """
 
     kind: str
     at: float
@@ -57,7 +68,11 @@
 
 @dataclass
 class Scenario:
-    """A scenario over one fleet."""
+    """A scenario on one fleet.
+
+    :param load: shape of the arrivals, as in the TOML file; levels are multiples of capacity.
+    :param prompts: distribution of prompt lengths and shared prefixes, as in the TOML file.
+    """
 
     name: str
     fleet: str
@@ -74,15 +89,15 @@
 
     @property
     def end(self) -> float:
-        """When arrivals end, in virtual seconds."""
+        """The time at which arrivals end, in virtual seconds."""
         return WARM_UP_S + self.duration_s
 
     def capacity(self) -> float:
-        """Work out the requests a second that all engines bear, from the mean request.
+        """Estimate the requests per second that all engines can serve, from the mean request.
 
-        An engine's time for one request is prompt time plus its share of the token time of a full
-        batch; tokens and prompts are read in the same steps, so the two add up. Of shared prompt
-        heads the share ``cached_share`` is taken to be cached.
+        An engine's time for one request is its prefill time plus its share of the token time of a
+        full batch. The two add up, since prefill and decoding share the engine's steps. The share
+        ``cached_share`` of shared prefixes counts as cached.
         """
         source = random.Random(1)
         drawn = [self.draw_demand(source, self.pick_team(source), 0, 0.0) for _ in range(4000)]
@@ -100,13 +115,13 @@
         return total
 
     def pick_team(self, source: random.Random) -> dict[str, Any]:
-        """Draw a team by its share of the arrivals."""
+        """Draw a team at random, weighted by its share of the arrivals."""
         return source.choices(self.teams, [team["share"] for team in self.teams])[0]
 
     def draw_demand(
         self, source: random.Random, team: dict[str, Any], number: int, at: float
     ) -> Demand:
-        """Draw one demand of a team."""
+        """Draw one demand of a team: its prompt, output length and time to leave."""
         prompts = self.prompts
         length = source.lognormvariate(math.log(team["prompt_median"]), prompts["sigma"])
         own = int(min(prompts["most"], max(prompts["least"], length)))
@@ -142,7 +157,7 @@
         )
 
     def draw_demands(self, seed: int) -> list[Demand]:
-        """Draw all demands: Poisson arrivals at the load's rate, bursts included."""
+        """Draw all demands as Poisson arrivals at the load's rate, warm-up and bursts included."""
         source = random.Random(seed)
         capacity = self.capacity()
         found: list[Demand] = []
@@ -157,7 +172,7 @@
         return found
 
     def _load_level(self, now: float) -> float:
-        """Give the load at a moment, as a multiple of capacity."""
+        """Return the load at a virtual time as a multiple of capacity."""
         since = now - WARM_UP_S
         if since < 0:
             return float(self.load.get("warm_up", 0.5))
@@ -174,13 +189,13 @@
 
 
 def load_scenarios(path: Path) -> list[Scenario]:
-    """Read a scenario file: one scenario for each base fleet that it names."""
+    """Read a scenario file and return one scenario for each base fleet that it lists."""
     document = tomllib.loads(path.read_text(encoding="utf-8"))
     return [_build_scenario(path.stem, base, document) for base in document["fleets"]]
 
 
 def all_scenarios() -> list[Scenario]:
-    """Read all scenarios of this folder, in order of their file names."""
+    """Read all scenarios of the ``scenarios`` folder in order of file names."""
     paths = sorted((HERE / "scenarios").glob("*.toml"))
     return [scenario for path in paths for scenario in load_scenarios(path)]
 
--- a/benches/policy/simulation.py
+++ b/benches/policy/simulation.py
@@ -1,7 +1,7 @@
 """
 benches.policy.simulation
 
-Play one scenario with one policy and one seed, in virtual time, and judge it.
+Run one scenario with one policy and one seed in virtual time, and measure the result.
 """
 
 import heapq
@@ -18,15 +18,18 @@
 from benches.policy.valuation import Value
 
 FAIRNESS_SAMPLE_S = 0.25
+# Delay before the next attempt of a caller that ignores Retry-After.
 IGNORING_RETRY_S = 0.2
+# Delay before the next attempt where a refusal has no Retry-After.
 DEFAULT_RETRY_S = 1.0
 
 
 @dataclass(eq=False)
 class CallerAttempt:
-    """One try of a demand.
+    """One attempt of a caller to get its demand served.
 
-    :ivar sequence: its place in an engine, once it was sent.
+    :ivar number: number of the attempt, from 1.
+    :ivar sequence: the request inside its engine; None until it is dispatched.
     """
 
     id: str
@@ -40,35 +43,42 @@
 
 
 class Policy(Protocol):
-    """What decides; it starts tries on engines through the simulation."""
+    """A policy: it decides when the simulation dispatches an attempt, and to which engine."""
 
     name: str
 
     def attach(self, simulation: "Simulation") -> None:
-        """Get ready."""
+        """Attach the policy to a simulation and start its timers."""
 
     def on_arrival(self, attempt: CallerAttempt) -> None:
-        """Take a try in."""
+        """Receive a new attempt."""
 
     def on_first_token(self, attempt: CallerAttempt) -> None:
-        """Hear of a first token."""
+        """Receive the first token of a dispatched attempt."""
 
     def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
-        """Hear of an end after a start."""
+        """Receive the end of a dispatched attempt, delivered or not."""
 
     def on_expired_waiting(self, attempt: CallerAttempt) -> None:
-        """Hear that a try that waits is over: its caller left, or its deadline passed."""
+        """Receive the end of a waiting attempt: its caller left, or its deadline passed."""
 
     def lose_scheduler(self) -> None:
-        """Lose the scheduler process."""
+        """Simulate the loss of the scheduler process."""
 
     def count_waiting(self) -> dict[str, dict[str, int]]:
-        """Count waiting tries by tier and team; empty where nothing waits outside engines."""
+        """Count waiting attempts by tier and team; empty if none wait outside the engines."""
 
 
 @dataclass
 class RunResult:
-    """The measures of one play."""
+    """The measurements of one run.
+
+    :ivar demands: measured demands by tier.
+    :ivar delivered: answers delivered whole and in time, by tier.
+    :ivar wasted_prefill: prompt tokens that engines processed for requests cut off later.
+    :ivar fairness: the lowest Jain index of a tier with contending teams; NaN if there is none.
+    :ivar refused: refusals by reason.
+    """
 
     scenario: str
     fleet: str
@@ -84,16 +94,16 @@
 
     @property
     def goodput(self) -> float:
-        """Share of all demands that were delivered whole and in time."""
+        """The share of all demands that were delivered whole and in time."""
         return sum(self.delivered.values()) / max(1, sum(self.demands.values()))
 
     def tier_goodput(self, tier: str) -> float:
-        """Share of a tier's demands that were delivered whole and in time."""
+        """Return the share of a tier's demands that were delivered whole and in time."""
         return self.delivered.get(tier, 0) / max(1, self.demands.get(tier, 0))
 
 
 class Simulation:
-    """Virtual time, engines, callers and measures."""
+    """The event loop in virtual time with its engines, callers and measurements."""
 
     def __init__(self, scenario: Scenario, policy: Policy, seed: int) -> None:
         self.scenario = scenario
@@ -101,7 +111,7 @@
         self.now = 0.0
         self.random = random.Random(seed + 7_000_000)
         self.engines = {spec.id: SimEngine(spec) for spec in scenario.engines}
-        self.verdict = RunResult(scenario.name, scenario.fleet, policy.name, seed)
+        self.result = RunResult(scenario.name, scenario.fleet, policy.name, seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._dispatched: dict[str, CallerAttempt] = {}
@@ -109,14 +119,14 @@
         self._contended_tiers: set[str] = set()
         self._seed = seed
 
-    # Time.
+    # Event loop.
 
     def call_at(self, moment: float, work: Callable[[], None]) -> None:
-        """Do something at a moment."""
+        """Call a function at a virtual time in seconds, or now if that time has passed."""
         heapq.heappush(self._events, (max(moment, self.now), next(self._order), work))
 
     def call_every(self, seconds: float, work: Callable[[], None]) -> None:
-        """Do something again and again."""
+        """Call a function periodically, first after one period."""
 
         def again() -> None:
             work()
@@ -125,7 +135,7 @@
         self.call_at(self.now + seconds, again)
 
     def run(self) -> RunResult:
-        """Play the scenario to its end."""
+        """Run the scenario to its end and return the measurements."""
         self.policy.attach(self)
         for demand in self.scenario.draw_demands(self._seed):
             self._count_demand(demand)
@@ -139,7 +149,7 @@
             self.now, _, work = heapq.heappop(self._events)
             work()
         self._compute_fairness()
-        return self.verdict
+        return self.result
 
     # Callers.
 
@@ -147,11 +157,11 @@
         return WARM_UP_S <= demand.at < self.scenario.end
 
     def _count_demand(self, demand: Demand) -> None:
-        # A caller that leaves on its own account is no demand that could be met.
+        # A caller that leaves early of its own accord isn't a demand that could be met.
         if self._is_measured(demand) and demand.leaves_after_s == math.inf:
-            counts = self.verdict.demands
+            counts = self.result.demands
             counts[demand.tier] = counts.get(demand.tier, 0) + 1
-            self.verdict.value.demands += 1
+            self.result.value.demands += 1
 
     def _start_attempt(self, demand: Demand, number: int) -> None:
         attempt = CallerAttempt(
@@ -183,14 +193,14 @@
     def _count_waste(self, attempt: CallerAttempt) -> None:
         assert attempt.sequence is not None
         if self._is_measured(attempt.demand):
-            self.verdict.wasted_prefill += attempt.sequence.prefill_done
+            self.result.wasted_prefill += attempt.sequence.prefill_done
         self._count_work(attempt)
 
     def refuse(self, attempt: CallerAttempt, reason: str, retry_after_s: float | None) -> None:
-        """Tell a caller that its try was not run; it may come back."""
+        """Refuse an attempt that was not run; the caller may retry later."""
         attempt.ended = True
         self._count_unserved(attempt)
-        counts = self.verdict.refused
+        counts = self.result.refused
         counts[reason] = counts.get(reason, 0) + 1
         demand = attempt.demand
         if attempt.number >= demand.max_attempts:
@@ -201,11 +211,11 @@
         self.call_at(self.now + pause, lambda: self._start_attempt(demand, attempt.number + 1))
 
     def _count_unserved(self, attempt: CallerAttempt) -> None:
-        """Count a try that was held for some time and has not run."""
+        """Count an attempt that ended without being dispatched, with the time it was held."""
         demand = attempt.demand
         if not self._is_measured(demand) or demand.leaves_after_s < math.inf:
             return
-        value = self.verdict.value
+        value = self.result.value
         held_s = self.now - attempt.arrived
         value.note_unserved(
             held_s, demand.deadline_s, demand.deadline_s, returned=attempt.number > 1
@@ -213,19 +223,19 @@
         value.beside_free += self._is_mostly_free()
 
     def _is_mostly_free(self) -> bool:
-        """Tell whether under half of the slots are taken and nothing waits outside engines."""
-        open_ones = [each for each in self.engines.values() if not each.gone]
-        slots = sum(each.spec.slots for each in open_ones)
-        taken = sum(min(each.load, each.spec.slots) for each in open_ones)
+        """Return whether under half of the slots are in use and no attempt waits for a grant."""
+        live_engines = [each for each in self.engines.values() if not each.gone]
+        slots = sum(each.spec.slots for each in live_engines)
+        taken = sum(min(each.load, each.spec.slots) for each in live_engines)
         waiting = any(any(teams.values()) for teams in self.policy.count_waiting().values())
         return taken < slots / 2 and not waiting
 
     # Engines.
 
     def dispatch(self, attempt: CallerAttempt, engine: SimEngine, priority: int) -> bool:
-        """Send a try to an engine.
+        """Send an attempt to an engine.
 
-        :return: whether it was reached; a gone engine takes nothing.
+        :return: whether the engine was reached; an engine that is down accepts nothing.
         """
         if engine.gone:
             return False
@@ -270,9 +280,9 @@
         attempt.ended = True
         demand = attempt.demand
         if self._is_measured(demand) and demand.leaves_after_s == math.inf:
-            counts = self.verdict.delivered
+            counts = self.result.delivered
             counts[demand.tier] = counts.get(demand.tier, 0) + 1
-            self.verdict.value.note_answer(self.now - demand.at, demand.deadline_s)
+            self.result.value.note_answer(self.now - demand.at, demand.deadline_s)
         self._count_work(attempt)
         self.policy.on_end(attempt, True)
 
@@ -336,8 +346,11 @@
             if sum(work.values()) > 0 and len(teams) > 1 and self._is_enough_work(work):
                 jain = sum(shares) ** 2 / (len(shares) * sum(each * each for each in shares))
                 worst = jain if math.isnan(worst) else min(worst, jain)
-        self.verdict.fairness = worst
+        self.result.fairness = worst
 
     def _is_enough_work(self, work: dict[str, float]) -> bool:
-        """Judge fairness only over enough work that single long answers do not decide."""
+        """Return whether a tier's work is over 60 s for the mean engine.
+
+        With less work, single long answers would decide the fairness.
+        """
         return sum(work.values()) > 60.0 * len(self.scenario.engines)
--- a/benches/policy/valuation.py
+++ b/benches/policy/valuation.py
@@ -1,29 +1,31 @@
 """
 benches.policy.valuation
 
-What service is worth when it counts from a caller's first try: an answer in time, less what was
-lost by holding requests that were then not served, and by callers that came back in vain.
+The value of service to callers, timed from their first attempt.
+
+Answers earn credit. Holding a request that is then not served and refusing a caller that retries
+cost credit.
 """
 
 from dataclasses import dataclass
 
-# An answer after the goal of the first try earns this part of its credit.
+# Share of its credit that an answer earns after the goal, counted from the first attempt.
 LATE_SHARE = 0.3
-# Holding costs nothing up to this part of the goal, and the whole credit from this part of the
-# time that the caller had.
+# Holding is free up to the first share, of the goal; from the second share, of the time that the
+# caller had, it costs the whole credit. In between the cost grows linearly.
 FREE_HOLD_SHARE = 1 / 8
 WHOLE_LOSS_SHARE = 3 / 4
-# What a caller loses that came back after a refusal and is not served again.
+# Share of its credit that a caller loses when it retries after a refusal and isn't served again.
 RETURN_COST = 0.3
 
 
 def held_cost(held_s: float, goal_s: float, had_s: float) -> float:
-    """Price holding a request that was then not served.
+    """Return the cost of holding a request that was then not served.
 
-    :param held_s: how long it was held.
-    :param goal_s: when its answer was due, from its first try.
-    :param had_s: how long its caller would have waited.
-    :return: a part of its credit, from 0 to 1.
+    :param held_s: time that it was held.
+    :param goal_s: time from the first attempt by which the answer was due.
+    :param had_s: time that the caller would have waited.
+    :return: the share of its credit that is lost, from 0 to 1.
     """
     free = FREE_HOLD_SHARE * goal_s
     whole = max(free, WHOLE_LOSS_SHARE * had_s)
@@ -34,12 +36,12 @@
 
 @dataclass
 class Value:
-    """What one play was worth to its callers.
+    """The value of one run to its callers, in credits of one per demand.
 
-    :ivar credit: answers, each with its part.
-    :ivar held: credit lost by holding in vain.
-    :ivar returns: callers that came back in vain.
-    :ivar beside_free: refusals while under half of the slots were taken and nothing waited.
+    :ivar credit: credit earned by answers.
+    :ivar held: credit lost by holding requests that weren't served.
+    :ivar returns: retries that weren't served.
+    :ivar beside_free: unserved attempts while under half of the slots were in use and none waited.
     """
 
     demands: int = 0
@@ -50,18 +52,21 @@
 
     @property
     def net(self) -> float:
-        """The part of all demands' credit that is left."""
+        """The share of all demands' credit that remains after the costs."""
         lost = self.held + RETURN_COST * self.returns
         return (self.credit - lost) / max(1, self.demands)
 
     def note_answer(self, answered_s: float, goal_s: float) -> None:
-        """Count a whole answer.
+        """Add the credit of a whole answer.
 
-        :param answered_s: since the first try.
+        :param answered_s: time from the first attempt to the end of the answer.
         """
         self.credit += 1.0 if answered_s <= goal_s else LATE_SHARE
 
     def note_unserved(self, held_s: float, goal_s: float, had_s: float, *, returned: bool) -> None:
-        """Count a try that ended without a run."""
+        """Add the costs of an attempt that ended without being dispatched.
+
+        :param returned: whether the attempt was a retry.
+        """
         self.held += held_cost(held_s, goal_s, had_s)
         self.returns += returned
--- a/benches/rounds/__init__.py
+++ b/benches/rounds/__init__.py
@@ -1,8 +1,8 @@
 """
 benches.rounds
 
-Compare versions of the gateway on the users' bench: the same days and seeds on each, paired.
+Compare versions of the gateway on the users' bench, in pairs with the same day and seed.
 
-``variant`` lays out what is compared, ``play`` runs the bench, ``report`` reads what it wrote, and
-``compare`` says what differs by more than the spread of the pairs. See ``docs/rounds.md``.
+``variant`` checks out the versions, ``play`` runs the bench, ``report`` reads its reports, and
+``compare`` computes which figures differ by more than chance. See ``docs/rounds.md``.
 """
--- a/benches/rounds/__main__.py
+++ b/benches/rounds/__main__.py
@@ -25,12 +25,12 @@
 Sites = Annotated[
     list[Path], typer.Option("--site", help="site file; may be repeated", exists=True)
 ]
-Days = Annotated[str, typer.Option(help="names of days, joined by commas")]
-Seeds = Annotated[str, typer.Option(help="seeds, joined by commas; 0 is a day's own luck")]
-Why = Annotated[str, typer.Option(help="the line for the journal")]
-Tag = Annotated[str, typer.Option(help="names the round; its reports lie under out/rounds/TAG")]
-Jobs = Annotated[int, typer.Option(min=1, help="days played at a time")]
-Charged = Annotated[bool, typer.Option(help="count processor time; plays then repeat less well")]
+Days = Annotated[str, typer.Option(help="comma-separated names of days")]
+Seeds = Annotated[str, typer.Option(help="comma-separated seeds; 0 is the day's own seed")]
+Why = Annotated[str, typer.Option(help="text of the journal entries")]
+Tag = Annotated[str, typer.Option(help="name of the round; its reports go to out/rounds/TAG")]
+Jobs = Annotated[int, typer.Option(min=1, help="days that run at a time")]
+Charged = Annotated[bool, typer.Option(help="count processor time; runs are then less repeatable")]
 
 
 @app.command()
@@ -45,7 +45,7 @@
     jobs: Jobs = 4,
     charged: Charged = False,
 ) -> None:
-    """Play the same days and seeds on each variant, then compare each with the first."""
+    """Run the same days and seeds on each variant, then compare each with the first."""
     variants = _parse_variants(variant)
     wanted = Bench(bench.resolve(), (OUT / tag).resolve(), why, charged)
     _play_variants(wanted, variants, [each.resolve() for each in site], days, seeds, jobs)
@@ -55,7 +55,7 @@
 
 @app.command()
 def compare(tag: Tag, before: str, after: str) -> None:
-    """Compare two variants of a round that was played."""
+    """Compare two variants of a finished round."""
     _print_comparison(OUT / tag, before, after)
 
 
@@ -65,13 +65,13 @@
     site: Sites,
     tag: Tag,
     why: Why,
-    parts: Annotated[str, typer.Option(help="parts of the policy, joined by commas")],
+    parts: Annotated[str, typer.Option(help="comma-separated parts of the policy")],
     revision: str = ".",
     days: Days = "trouble-1,scale-1,trouble-2,scale-2,trouble-3",
     seeds: Seeds = "0,1",
     jobs: Jobs = 4,
 ) -> None:
-    """Switch parts of the policy off, one at a time; a row tells what a part is worth."""
+    """Switch parts of the policy off one at a time; each row shows the worth of one part."""
     names = [part for part in parts.split(",") if part]
     variants = [Variant("whole", revision), *(Variant(n, revision, (n,)) for n in names)]
     wanted = Bench(bench.resolve(), (OUT / tag).resolve(), why)
--- a/benches/rounds/compare.py
+++ b/benches/rounds/compare.py
@@ -1,7 +1,7 @@
 """
 benches.rounds.compare
 
-Paired differences between two versions: the same day with the same seed on both. Pure functions.
+Paired differences between two versions, each pair with the same day and seed.
 """
 
 import math
@@ -11,8 +11,8 @@
 
 from benches.rounds.report import Report
 
-# A mean difference counts where it is this many standard errors away from nothing: 19 in 20 by
-# chance alone are nearer. Student's t for the few pairs of a round.
+# Quantiles of Student's t by number of pairs. A mean difference is significant if it is this many
+# standard errors away from 0: 19 in 20 that arise by chance alone are nearer.
 T_95 = {
     2: 12.71,
     3: 4.30,
@@ -26,7 +26,7 @@
     30: 2.05,
 }
 MIN_PAIRS = 2
-# Windows with fewer owed requests swing too much to be named.
+# Windows with fewer owed requests vary too much to be listed.
 MIN_OWED_REQUESTS = 15
 
 Key = tuple[str, str, int]
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """How a figure differs over some pairs.
+    """The difference of one figure over pairs of runs.
 
     :param before: mean on the first version.
     :param after: mean on the second.
-    :param spread: standard deviation of the pairs' differences; 0 where there is one pair.
+    :param spread: standard deviation of the pairs' differences; 0 for a single pair.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
     @property
     def margin(self) -> float:
-        """How far the mean may be off by chance, at 19 in 20; infinite for a single pair."""
+        """Half the width of the mean's 95% confidence interval; infinite for a single pair."""
         if self.pairs < MIN_PAIRS:
             return math.inf
         nearest = max(count for count in T_95 if count <= self.pairs)
@@ -63,12 +63,12 @@
 
     @property
     def noise(self) -> bool:
-        """Whether the difference lies within what chance alone gives."""
+        """Whether the mean difference is within the margin, so that chance alone may explain it."""
         return abs(self.mean) <= self.margin
 
 
 def difference(name: str, pairs: Iterable[tuple[float, float]]) -> Difference:
-    """Summarise pairs of a figure."""
+    """Summarise a figure's pairs of (before, after)."""
     listed = list(pairs)
     differences = [after - before for before, after in listed]
     return Difference(
@@ -83,12 +83,12 @@
 def matched(
     before: Mapping[Key, Report], after: Mapping[Key, Report]
 ) -> dict[Key, tuple[Report, Report]]:
-    """Pair what both versions played."""
+    """Pair the reports of the days and seeds that both versions have run."""
     return {key: (before[key], after[key]) for key in sorted(before.keys() & after.keys())}
 
 
 def by_day(pairs: Mapping[Key, tuple[Report, Report]]) -> list[Difference]:
-    """Compare the worth, all pairs first, then by site and day."""
+    """Compare the worth over all pairs, then by site and day."""
     groups: dict[str, list[tuple[float, float]]] = {"all": []}
     for (site, day, _), (before, after) in pairs.items():
         worths = (before.worth, after.worth)
@@ -98,7 +98,7 @@
 
 
 def by_part(pairs: Mapping[Key, tuple[Report, Report]]) -> list[Difference]:
-    """Compare the parts of the worth, the kinds of request, and the prices that differ."""
+    """Compare the parts of the worth, the kinds of request, and the prices other than 0."""
     rows = _differences_by_name("part", pairs, lambda report: report.parts)
     rows += _differences_by_name("kind", pairs, lambda report: report.classes)
     prices = _differences_by_name("price", pairs, lambda report: report.prices)
@@ -106,7 +106,10 @@
 
 
 def by_window(pairs: Mapping[Key, tuple[Report, Report]], most: int = 8) -> list[Difference]:
-    """Compare single windows: those in which most was lost by the second version, by day."""
+    """Compare the windows in which the second version lost most, by site and day.
+
+    :param most: number of windows at most.
+    """
     groups: dict[str, list[tuple[float, float]]] = {}
     for (site, day, _), (before, after) in pairs.items():
         for first, second in zip(before.windows, after.windows, strict=False):
--- a/benches/rounds/play.py
+++ b/benches/rounds/play.py
@@ -1,7 +1,7 @@
 """
 benches.rounds.play
 
-Play days on the users' bench, a few at a time, and keep its reports and journal entries.
+Run days on the users' bench, a few at a time, and store its reports and journal entries.
 """
 
 import shutil
@@ -11,17 +11,18 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-# A day of a small site plays in 20 to 60 s, one of 80 hosts in 10 minutes; what takes longer hangs.
+# A day of a small site takes 20 to 60 s and one of 80 hosts 10 minutes; a longer run has hung.
 PLAY_TIMEOUT_S = 1_800.0
 
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """One day to play.
+    """One day to run on one version.
 
-    :param variant: name of the version that plays it.
-    :param tree: where that version lies.
-    :param seed: other luck; 0 is the day's own.
+    :param variant: name of the version.
+    :param tree: root of the version's working tree.
+    :param site: the site file.
+    :param seed: seed of the random draws; 0 stands for the day's own seed.
     """
 
     variant: str
@@ -32,18 +33,19 @@
 
     @property
     def report(self) -> str:
-        """Name of the report's file."""
+        """The file name of the report."""
         return f"{self.variant}--{self.site.stem}--{self.day}--{self.seed}.json"
 
 
 @dataclass(frozen=True, slots=True)
 class Bench:
-    """How the bench is called.
+    """The bench's command and its options.
 
-    :param program: its path.
-    :param out: where reports and printed tables go.
-    :param why: the line that goes into the journal.
-    :param charged: whether processor time counts; without, a play mostly repeats.
+    :param program: path of the bench's program.
+    :param out: folder for reports and printed tables.
+    :param why: text of the journal entries.
+    :param charged: whether processor time counts; without it, a repeated run mostly gives the same
+        figures.
     """
 
     program: Path
@@ -52,9 +54,9 @@
     charged: bool = False
 
     def run(self, play: Play) -> str:
-        """Play one day.
+        """Run one day.
 
-        :return: what went wrong, or an empty text.
+        :return: the problem, or an empty string.
         """
         report = self.out / play.report
         words = [str(self.program), "run", str(play.site), play.day, "--report", str(report)]
@@ -70,14 +72,14 @@
         except subprocess.TimeoutExpired:
             return f"{play.report}: no end after {PLAY_TIMEOUT_S:.0f} s"
         report.with_suffix(".txt").write_text(done.stdout + done.stderr)
-        # The bench's exit code also tells of broken rules, which the report holds; only a play
-        # that left no report has failed.
+        # The bench's exit code also reflects broken rules, which the report lists. A run has failed
+        # only if it has written no report.
         return "" if report.exists() else f"{play.report}: {done.stderr.strip()[-300:]}"
 
     def build(self, tree: Path) -> str:
-        """Build a version once, before its days are played at the same time.
+        """Build a version once, before its days run concurrently.
 
-        :return: what went wrong, or an empty text.
+        :return: the end of the error output, or an empty string.
         """
         done = subprocess.run(
             [str(self.program), "build"], cwd=tree, capture_output=True, text=True
@@ -88,10 +90,11 @@
 def play_all(
     bench: Bench, plays: Iterable[Play], jobs: int, on_done: Callable[[str], None]
 ) -> list[str]:
-    """Play days, some at a time; what has a report already is not played again.
+    """Run days concurrently, except those that already have a report.
 
-    :param tell: called with each report's name once it is written.
-    :return: what went wrong.
+    :param jobs: days that run at a time.
+    :param on_done: called with the name of each report once it is written, or with the problem.
+    :return: the problems.
     """
 
     def play_one(play: Play) -> str:
@@ -106,9 +109,9 @@
 
 
 def copy_journal(tree: Path, repository: Path) -> int:
-    """Copy the journal entries that a version's plays left into the project's journal.
+    """Copy the journal entries of a version's runs into the project's journal.
 
-    :return: how many files were new.
+    :return: the number of files that were new.
     """
     kept = 0
     for entry in sorted((tree / "journal").rglob("*")):
--- a/benches/rounds/report.py
+++ b/benches/rounds/report.py
@@ -1,7 +1,7 @@
 """
 benches.rounds.report
 
-What the bench wrote of one played day (``--report``).
+The bench's report on one day, as its flag ``--report`` writes it.
 """
 
 import json
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Two seconds of a day.
+    """A window of two seconds of a day.
 
-    :param start_s: since the start of traffic.
-    :param owed: requests in it that earn something.
+    :param start_s: time since the start of traffic.
+    :param owed: requests in the window that can earn credit.
     :param worth: the share of their credit that was earned.
     """
 
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One played day.
+    """The results of one day.
 
-    :param worth: what the day is worth, prices taken off.
-    :param parts: earned share by part of the worth (whole day, worst windows, ...).
-    :param prices: what each price takes off.
+    :param worth: the day's earned share of all credit, less the prices.
+    :param parts: earned share by part of the worth, such as whole day or worst windows.
+    :param prices: amount that each price takes off the worth.
     :param classes: earned share by kind of request.
-    :param broken: rules that were broken, with how often; empty on a good day.
-    :param fault: why the day counts nothing; empty on a good day.
+    :param broken: number of violations by rule; empty if there are none.
+    :param fault: reason why the day counts as worth nothing; empty if it counts.
     """
 
     worth: float
@@ -46,12 +46,12 @@
 
 
 def read_report(path: Path) -> Report:
-    """Read a report."""
+    """Read a report from its JSON file."""
     return from_document(json.loads(path.read_text()))
 
 
 def from_document(document: dict[str, Any]) -> Report:
-    """Read a report from the bench's own document."""
+    """Convert the bench's JSON document into a report."""
     return Report(
         worth=document["G"],
         parts={name: share for name, _, share in document["parts"]},
--- a/benches/rounds/variant.py
+++ b/benches/rounds/variant.py
@@ -1,7 +1,7 @@
 """
 benches.rounds.variant
 
-A version of the project to play: a revision, perhaps with parts of the policy switched off.
+A version of the project to compare: a revision, optionally with parts of the policy switched off.
 """
 
 import re
@@ -14,15 +14,15 @@
 
 
 class VariantError(ValueError):
-    """A variant that can't be read or laid out, with the reason."""
+    """Raised for a variant that can't be parsed or checked out; the message has the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
     """One side of a comparison.
 
-    :param name: how tables call it.
-    :param revision: of git; ``.`` is the last commit of the tree that the tool runs in.
+    :param name: name in reports and tables.
+    :param revision: git revision; ``.`` is the last commit of the tree that the tool runs in.
     :param off: parts of the policy that are switched off.
     """
 
@@ -32,9 +32,9 @@
 
 
 def parse(text: str) -> Variant:
-    """Read ``NAME=REVISION`` or ``NAME=REVISION:PART,PART``.
+    """Parse ``NAME=REVISION`` or ``NAME=REVISION:PART,PART``.
 
-    :raises VariantError: where it is written otherwise.
+    :raises VariantError: if the text has another form.
     """
     found = VARIANT_PATTERN.fullmatch(text)
     if found is None:
@@ -44,9 +44,9 @@
 
 
 def switched_off(template: str, off: tuple[str, ...]) -> str:
-    """Give the settings template with parts of the policy switched off.
+    """Return the settings template with parts of the policy switched off.
 
-    :raises VariantError: where the template has a ``[scheduling]`` section already.
+    :raises VariantError: if the template already has a ``[scheduling]`` section.
     """
     if not off:
         return template
@@ -57,11 +57,11 @@
 
 
 def check_out(variant: Variant, repository: Path, trees: Path) -> Path:
-    """Clone the repository at the variant's revision, with its switches set.
+    """Clone the repository at the variant's revision and switch its parts off.
 
-    :param trees: where the clones lie; the bench refuses trees below ``/tmp``.
-    :return: the clone.
-    :raises VariantError: where the revision is not known.
+    :param trees: folder of the clones; the bench refuses trees below ``/tmp``.
+    :return: root of the clone.
+    :raises VariantError: if the revision is unknown.
     """
     tree = trees / variant.name
     revision = "HEAD" if variant.revision == "." else variant.revision
--- a/benches/statistics.py
+++ b/benches/statistics.py
@@ -1,7 +1,7 @@
 """
 benches.statistics
 
-Small helpers for figures: quantiles, straight lines, and what a process has used.
+Helpers for measurements: quantiles, fitted lines, and the memory and processor time of a process.
 """
 
 import re
@@ -11,14 +11,14 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Give a quantile of values, for example 0.99."""
+    """Return the quantile of values for a share, for example 0.99."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 @dataclass(frozen=True)
 class Line:
-    """A straight line fitted to points: value = base + slope * size.
+    """A straight line fitted to points: ``value = base + slope * size``.
 
     :param residual: the largest distance of a point from the line, as a share of the largest value.
     """
@@ -28,12 +28,12 @@
     residual: float
 
     def at(self, size: float) -> float:
-        """Give the value at a size."""
+        """Return the line's value at a size."""
         return self.base + self.slope * size
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
-    """Fit a line by least squares."""
+    """Fit a line to points (size, value) by least squares."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -53,6 +53,6 @@
 
 
 def processor_s(pid: int) -> float:
-    """Read the processor time of a process, in seconds."""
+    """Read the processor time of a process, in seconds; assumes 100 clock ticks a second."""
     fields = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8").rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / 100
