--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -119,7 +119,7 @@
         view, beats = membership_view(members)
         frames = [CODEC.encode(STAMP, each) for each in beats]
 
-        def second(view: MembershipView = view, beats: list[Heartbeat] = beats) -> None:
+        def run_second(view: MembershipView = view, beats: list[Heartbeat] = beats) -> None:
             for send in view.due_messages(1.0):
                 CODEC.encode(STAMP, send.message)
             for beat in beats:
@@ -128,7 +128,7 @@
             view.tick(1.0)
             view.pool_owner("some-pool")
 
-        times.append((members, best_processor_s(second)))
+        times.append((members, best_processor_s(run_second)))
         memory.append((members, allocated_bytes(lambda m=members: membership_view(m))))  # type: ignore[misc]
         del frames
     digests = (Digest("d1", "entry-1/fffffff", 9),)
@@ -312,7 +312,7 @@
         specs = fleet_specs(teams)
         state, root, fresh = apply_configuration(specs, teams)
 
-        def take(
+        def apply_change(
             state: ConfigurationState = state, root: Root = root, fresh: dict[str, bytes] = fresh
         ) -> None:
             copy = ConfigurationState()
@@ -320,7 +320,7 @@
             copy.specs, copy.resources = state.specs, state.resources
             copy.apply_root(root, fresh).unwrap()
 
-        times.append((teams, best_processor_s(take, 3)))
+        times.append((teams, best_processor_s(apply_change, 3)))
         memory.append(
             (teams, allocated_bytes(lambda s=specs, t=teams: apply_configuration(s, t)[0]))  # type: ignore[misc]
         )
@@ -388,8 +388,8 @@
         1e-3,
         per_pool,
     )
-    take, rebuild, config_memory, moved = measure_configuration()
-    print_line("taking one change, processor", "475..3,800 teams", take, "ms", 1e3, TEAMS)
+    change_cost, rebuild, config_memory, moved = measure_configuration()
+    print_line("taking one change, processor", "475..3,800 teams", change_cost, "ms", 1e3, TEAMS)
     print_line(
         "rebuilding the fleet's view",
         "475..3,800 teams, 162..1,300 replicas",
@@ -408,7 +408,7 @@
         beats,
         beat_bytes,
         by_upstreams,
-        take,
+        change_cost,
         rebuild,
         config_memory,
         members,
@@ -424,7 +424,7 @@
     beats: Line,
     beat_bytes: float,
     by_upstreams: Line,
-    take: Line,
+    change_cost: Line,
     rebuild: Line,
     config_memory: Line,
     members: Line,
@@ -454,7 +454,7 @@
         ),
         (
             "changes of configuration",
-            CHANGES_PER_DAY / 86_400 * (take.at(TEAMS) + rebuild.at(TEAMS)),
+            CHANGES_PER_DAY / 86_400 * (change_cost.at(TEAMS) + rebuild.at(TEAMS)),
             CHANGES_PER_DAY / 86_400 * moved,
             config_memory.at(TEAMS) / 1e6,
         ),
--- a/benches/policy/policies.py
+++ b/benches/policy/policies.py
@@ -95,7 +95,7 @@
         assert attempt.engine is not None
         self.outstanding[attempt.engine.spec.id] -= 1
 
-    def on_expired_waiting(self, attempt: CallerAttempt) -> None:
+    def on_waiting_ended(self, attempt: CallerAttempt) -> None:
         """Do nothing: no request waits outside the engines."""
 
     def lose_scheduler(self) -> None:
@@ -112,7 +112,7 @@
     name = "round robin"
 
     def attach(self, simulation: Simulation) -> None:
-        """Attach the policy to a simulation and start with the first engine."""
+        """Attach the policy to a simulation and reset the turn."""
         super().attach(simulation)
         self.turn = 0
 
@@ -317,7 +317,7 @@
         outcome = "delivered" if delivered else ("failed" if engine.gone else "cancelled")
         self._release_slot(attempt.id, self.grant_attempts[attempt.id], outcome, usage)
 
-    def on_expired_waiting(self, attempt: CallerAttempt) -> None:
+    def on_waiting_ended(self, attempt: CallerAttempt) -> None:
         """Withdraw an attempt that still waits for a grant."""
         self.waiting.pop(attempt.id, None)
         if self.scheduler is not None:
--- a/benches/policy/simulation.py
+++ b/benches/policy/simulation.py
@@ -59,7 +59,7 @@
     def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
         """Receive the end of a dispatched attempt, delivered or not."""
 
-    def on_expired_waiting(self, attempt: CallerAttempt) -> None:
+    def on_waiting_ended(self, attempt: CallerAttempt) -> None:
         """Receive the end of a waiting attempt: its caller left, or its deadline passed."""
 
     def lose_scheduler(self) -> None:
@@ -178,7 +178,7 @@
         attempt.ended = True
         if attempt.sequence is None:
             self._count_unserved(attempt)
-            self.policy.on_expired_waiting(attempt)
+            self.policy.on_waiting_ended(attempt)
             return
         assert attempt.engine is not None
         self._update_engine(attempt.engine, lambda: self._cancel_sequence(attempt))
