--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import aiohttp
-from chalkyoke_fakes.caller import Told
+from chalkyoke_fakes.caller import ReplyOutcome
 from chalkyoke_fakes.fleet import LocalFleet
 from chalkyoke_fakes.load import Load
 
@@ -40,7 +40,7 @@
     example = EXAMPLES / name
     plan = tomllib.loads((example / "load.toml").read_text(encoding="utf-8"))
     with tempfile.TemporaryDirectory(prefix="chalkyoke-bench-") as folder:
-        fleet = LocalFleet.of_example(Path(folder), example)
+        fleet = LocalFleet.from_example(Path(folder), example)
         domains = sorted({each["failure_domain"] for each in fleet.platform["entry"]})
         fleet.platform["entry"] = [
             {"host": f"entry-{i + 1}", "failure_domain": domains[i % len(domains)]}
@@ -51,7 +51,7 @@
         async with fleet, aiohttp.ClientSession(connector=connector) as session:
             load = Load(plan, [node.address for node in fleet.nodes.values()], session, SEED)
             faults = asyncio.create_task(_inject_faults(fleet, load))
-            await load.run(RUN_S)
+            await load.send_load(RUN_S)
             await faults
             _print_results(name, policy, load, await fleet.counts())
 
@@ -62,12 +62,15 @@
     await fleet.set_faults(fast, slow=SLOW_FACTOR)
     await asyncio.sleep(KILL_AT_S - SLOW_AT_S)
     victim = list(fleet.nodes.values())[-1]
-    victim.send(signal.SIGKILL)
+    victim.send_signal(signal.SIGKILL)
     load.nodes.remove(victim.address)
 
 
 def _print_results(name: str, policy: str, load: Load, counts: dict[str, dict[str, int]]) -> None:
-    lost = sum(tally.told[Told.NOTHING] + tally.told[Told.BAD] for tally in load.tallies.values())
+    lost = sum(
+        tally.outcomes[ReplyOutcome.NOTHING] + tally.outcomes[ReplyOutcome.BAD]
+        for tally in load.tallies.values()
+    )
     doubled = sum(each["doubled"] for each in counts.values())
     wasted = sum(each.get("prefill_wasted", 0) for each in counts.values())
     done = sum(each.get("prefill_done", 0) for each in counts.values())
@@ -75,10 +78,10 @@
     print("| tier or service | sent | whole | share | not run | failed | unknown |")
     print("|---|---|---|---|---|---|---|")
     for tier, tally in sorted(load.tallies.items()):
-        told = tally.told
+        told = tally.outcomes
         print(
-            f"| {tier} | {tally.sent} | {told[Told.WHOLE]} | {told[Told.WHOLE] / tally.sent:.3f} "
-            f"| {told[Told.NOT_RUN]} | {told[Told.FAILED]} | {told[Told.UNKNOWN]} |"
+            f"| {tier} | {tally.sent} | {told[ReplyOutcome.WHOLE]} | {told[ReplyOutcome.WHOLE] / tally.sent:.3f} "
+            f"| {told[ReplyOutcome.NOT_RUN]} | {told[ReplyOutcome.FAILED]} | {told[ReplyOutcome.UNKNOWN]} |"
         )
     print(
         f"\nWasted prefill {wasted:,} of {done:,} tokens; unaccounted for {lost}; "
