--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -78,7 +78,7 @@
     """
     print(
         f"| {what} | {sizes} | {line.base * scale:.3g} + {line.slope * scale:.3g} n {unit} "
-        f"| {line.residual:.0%} | {line.at(at) * scale:.3g} {unit} at {at:.0f} |"
+        f"| {line.residual:.0%} | {line.value_at(at) * scale:.3g} {unit} at {at:.0f} |"
     )
 
 
@@ -441,9 +441,9 @@
     rows: list[tuple[str, float, float, float]] = [
         (
             "heartbeats",
-            beats.at(per_domain) / HEARTBEAT_INTERVAL_S + 2 * per_domain * message,
+            beats.value_at(per_domain) / HEARTBEAT_INTERVAL_S + 2 * per_domain * message,
             2 * per_domain * beat_bytes / HEARTBEAT_INTERVAL_S,
-            members.at(per_domain) / 1e6,
+            members.value_at(per_domain) / 1e6,
         ),
         ("acquire, grant, release of own requests", rate * 3 * message, rate * per_request, 0.0),
         (
@@ -454,13 +454,13 @@
         ),
         (
             "changes of configuration",
-            CHANGES_PER_DAY / 86_400 * (change_cost.at(TEAMS) + rebuild.at(TEAMS)),
+            CHANGES_PER_DAY / 86_400 * (change_cost.value_at(TEAMS) + rebuild.value_at(TEAMS)),
             CHANGES_PER_DAY / 86_400 * moved,
-            config_memory.at(TEAMS) / 1e6,
+            config_memory.value_at(TEAMS) / 1e6,
         ),
         (
             "host list changes",
-            RESTARTS_PER_DAY / 86_400 * 2 * rebuild.at(TEAMS),
+            RESTARTS_PER_DAY / 86_400 * 2 * rebuild.value_at(TEAMS),
             RESTARTS_PER_DAY / 86_400 * 2 * (NODES + REPLICAS) * 90,
             0.5,
         ),
@@ -477,7 +477,7 @@
         f"| {memory:.1f} of {MEMORY_BUDGET_MB:.0f} MB |"
     )
     pool_rate = REQUESTS_PER_S / MODELS
-    each = 2 * by_upstreams.at(REPLICAS / MODELS) + 3 * message
+    each = 2 * by_upstreams.value_at(REPLICAS / MODELS) + 3 * message
     whole = pool_rate * each
     shards = max(1, -(-whole // CORE_SHARE_BUDGET))
     print(
@@ -486,7 +486,9 @@
         f"{pools_here:.2f} pools a node. Spread over all nodes that is {whole * MODELS / NODES:.2%} a node; "
         f"inside the budget of one node a pool needs about {shards:.0f} shards."
     )
-    print(f"A pool scheduler's memory there: {pool_memory.at(REPLICAS / MODELS) / 1e6:.1f} MB.")
+    print(
+        f"A pool scheduler's memory there: {pool_memory.value_at(REPLICAS / MODELS) / 1e6:.1f} MB."
+    )
     watchers = DOMAINS * (1 / 5.0 + 1.0)
     print(
         f"Calls on the store: {DOMAINS} watchers, one watch each 5 s and the host list each second: "
--- a/benches/fleet.py
+++ b/benches/fleet.py
@@ -78,10 +78,10 @@
     print("| tier or service | sent | whole | share | not run | failed | unknown |")
     print("|---|---|---|---|---|---|---|")
     for tier, tally in sorted(load.tallies.items()):
-        told = tally.outcomes
+        outcomes = tally.outcomes
         print(
-            f"| {tier} | {tally.sent} | {told[ReplyOutcome.WHOLE]} | {told[ReplyOutcome.WHOLE] / tally.sent:.3f} "
-            f"| {told[ReplyOutcome.NOT_RUN]} | {told[ReplyOutcome.FAILED]} | {told[ReplyOutcome.UNKNOWN]} |"
+            f"| {tier} | {tally.sent} | {outcomes[ReplyOutcome.WHOLE]} | {outcomes[ReplyOutcome.WHOLE] / tally.sent:.3f} "
+            f"| {outcomes[ReplyOutcome.NOT_RUN]} | {outcomes[ReplyOutcome.FAILED]} | {outcomes[ReplyOutcome.UNKNOWN]} |"
         )
     print(
         f"\nWasted prefill {wasted:,} of {done:,} tokens; unaccounted for {lost}; "
--- a/benches/path.py
+++ b/benches/path.py
@@ -118,7 +118,8 @@
 async def _run_burst(fleet: LocalFleet, caller: Caller, tokens: int) -> tuple[float, float, int]:
     """Send many streams at once.
 
-    :return: the node's processor time and the elapsed time in seconds, and the whole answers.
+    :return: the node's processor time and the elapsed time in seconds, and the number of answers
+        that came back whole.
     """
     node = fleet.nodes["n1"]
     before, started = processor_s(node.popen.pid), time.perf_counter()
--- a/benches/statistics.py
+++ b/benches/statistics.py
@@ -27,7 +27,7 @@
     slope: float
     residual: float
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the line's value at a size."""
         return self.base + self.slope * size
 
