--- a/benches/policy/policies.py
+++ b/benches/policy/policies.py
@@ -1,7 +1,8 @@
 """
 benches.policy.policies
 
-The baselines, chalkyoke with its parts, and the bound that is told what nobody knows.
+The simulated policies: simple baselines, chalkyoke with single features switched off, and an upper
+bound that knows true output lengths and engine speeds.
 """
 
 import random
@@ -30,124 +31,131 @@
 from chalkyoke.scheduling.state import PoolSpec, RouteSpec, TeamSpec, TierSpec, UpstreamSpec
 
 from benches.policy.engine import EngineSpec, SimEngine
-from benches.policy.simulation import Simulation, Try
-
-LINK_S = 0.001
-TICK_S = 0.05
-PROGRESS_S = 1.0
-REPORT_S = 1.0
-TAKE_OVER_S = 1.5
+from benches.policy.simulation import CallerAttempt, Simulation
+
+# One-way delay of a message from the scheduler to the entry node.
+LINK_DELAY_S = 0.001
+SCHEDULER_TICK_S = 0.05
+PROGRESS_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 1.0
+# Time from the loss of the scheduler until a successor is running.
+SUCCESSOR_DELAY_S = 1.5
+# Evicted cache blocks are reported after this delay, and this share of them is never reported.
 CACHE_LAG_S = 1.0
-CACHE_GAP = 0.2
-CARD_ERROR = 1.3
+CACHE_EVENT_LOSS_SHARE = 0.2
+# The speeds of a model card are wrong by up to this factor in either direction.
+MODEL_CARD_ERROR_FACTOR = 1.3
 
 
 class Baseline:
-    """Send each request to an engine as it arrives; first in, first out, nothing given up."""
+    """Base of the policies that send each request to an engine on arrival.
+
+    Engines serve their queues in order of arrival, and no request is refused.
+    """
 
     name = "baseline"
 
-    def begin(self, simulation: Simulation) -> None:
-        """Get ready."""
+    def attach(self, simulation: Simulation) -> None:
+        """Attach the policy to a simulation and start the load reports."""
         self.simulation = simulation
         self.random = random.Random(5)
         self.outstanding: dict[str, int] = defaultdict(int)
         self.reported: dict[str, int] = dict.fromkeys(simulation.engines, 0)
-        simulation.every(REPORT_S, self._report)
+        simulation.call_every(REPORT_INTERVAL_S, self._refresh_reported_loads)
 
-    def _report(self) -> None:
+    def _refresh_reported_loads(self) -> None:
         lag = self.simulation.scenario.report_lag_s
         loads = {name: engine.load for name, engine in self.simulation.engines.items()}
-        self.simulation.at(self.simulation.now + lag, lambda: self.reported.update(loads))
+        self.simulation.call_at(self.simulation.now + lag, lambda: self.reported.update(loads))
 
-    def eligible(self, item: Try) -> list[SimEngine]:
-        """List the engines that the request's route matches."""
-        names = eligible_names(self.simulation, item.demand.route)
+    def eligible_engines(self, attempt: CallerAttempt) -> list[SimEngine]:
+        """Return the engines that the selector of the request's route matches."""
+        names = eligible_engine_ids(self.simulation, attempt.demand.route)
         return [self.simulation.engines[name] for name in names]
 
-    def arrive(self, item: Try) -> None:
-        """Choose an engine; one that refuses the connection is passed over."""
-        engines = self.eligible(item)
+    def on_arrival(self, attempt: CallerAttempt) -> None:
+        """Send an attempt to the chosen engine, or to the next choice if it is unreachable."""
+        engines = self.eligible_engines(attempt)
         while engines:
-            chosen = self.choose(item, engines)
-            if self.simulation.start(item, chosen, 0):
+            chosen = self.choose_engine(attempt, engines)
+            if self.simulation.dispatch(attempt, chosen, 0):
                 self.outstanding[chosen.spec.id] += 1
                 return
             engines.remove(chosen)
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
-        """Choose one engine."""
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
+        """Choose one of the reachable engines."""
         raise NotImplementedError
 
-    def first(self, item: Try) -> None:
-        """Nothing is learned."""
+    def on_first_token(self, attempt: CallerAttempt) -> None:
+        """Ignore the first token: baselines learn nothing."""
 
-    def ended(self, item: Try, delivered: bool) -> None:
-        """Count down."""
-        assert item.engine is not None
-        self.outstanding[item.engine.spec.id] -= 1
+    def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
+        """Count one request less on its engine."""
+        assert attempt.engine is not None
+        self.outstanding[attempt.engine.spec.id] -= 1
 
-    def left(self, item: Try) -> None:
-        """Nothing waits outside engines."""
+    def on_waiting_ended(self, attempt: CallerAttempt) -> None:
+        """Do nothing: no request waits outside the engines."""
 
     def lose_scheduler(self) -> None:
-        """There is none."""
+        """Do nothing: baselines have no scheduler."""
 
-    def backlogged(self) -> dict[str, dict[str, int]]:
-        """Nothing waits outside engines."""
+    def count_waiting(self) -> dict[str, dict[str, int]]:
+        """Return an empty mapping: no request waits outside the engines."""
         return {}
 
 
 class RoundRobin(Baseline):
-    """One after the other."""
+    """Use the engines in turn."""
 
     name = "round robin"
 
-    def begin(self, simulation: Simulation) -> None:
-        """Get ready."""
-        super().begin(simulation)
+    def attach(self, simulation: Simulation) -> None:
+        """Attach the policy to a simulation and reset the turn."""
+        super().attach(simulation)
         self.turn = 0
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
-        """Choose the next one."""
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
+        """Choose the next engine in turn."""
         self.turn += 1
         return engines[self.turn % len(engines)]
 
 
 class LeastOutstanding(Baseline):
-    """The engine with the fewest requests sent and not ended."""
+    """Use the engine with the fewest requests in flight, as the policy counts them itself."""
 
     name = "least outstanding"
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
-        """Choose the emptiest."""
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
+        """Choose the engine with the fewest requests in flight."""
         return min(engines, key=lambda engine: self.outstanding[engine.spec.id])
 
 
 class TwoChoices(Baseline):
-    """The better of two random engines by their reported load."""
+    """Use the less loaded of two random engines by their last load reports."""
 
     name = "two choices"
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
-        """Choose the better of two."""
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
+        """Choose the less loaded of two random engines."""
         two = self.random.sample(engines, min(2, len(engines)))
         return min(two, key=lambda engine: self.reported[engine.spec.id])
 
 
 class PrefixAffinity(Baseline):
-    """The engine that a hash of the prompt's head names."""
+    """Use the engine that a hash of the prompt's first block selects."""
 
     name = "prefix affinity"
 
-    def choose(self, item: Try, engines: list[SimEngine]) -> SimEngine:
-        """Choose by rendezvous over the head block."""
-        head = item.demand.blocks[:1] or (item.demand.id,)
+    def choose_engine(self, attempt: CallerAttempt, engines: list[SimEngine]) -> SimEngine:
+        """Choose by rendezvous hashing of the prompt's first block, or of the request id."""
+        head = attempt.demand.blocks[:1] or (attempt.demand.id,)
         return max(engines, key=lambda engine: zlib.crc32(f"{head}{engine.spec.id}".encode()))
 
 
-def eligible_names(simulation: Simulation, route: str) -> list[str]:
-    """List the engines whose labels a route's selector matches."""
+def eligible_engine_ids(simulation: Simulation, route: str) -> list[str]:
+    """Return the ids of the engines whose labels match a route's selector."""
     wanted = next(each for each in simulation.scenario.routes if each["name"] == route)
     return [
         spec.id
@@ -156,13 +164,16 @@
     ]
 
 
-def _card(spec: EngineSpec) -> float:
-    """Give the error of an engine's model card: too good or too bad by up to 30%."""
-    return float(CARD_ERROR ** ((zlib.crc32(spec.id.encode()) % 201 - 100) / 100))
+def _model_card_factor(spec: EngineSpec) -> float:
+    """Return the factor by which a model card is wrong: up to 30% too fast or too slow.
+
+    The factor depends on the engine's id only.
+    """
+    return float(MODEL_CARD_ERROR_FACTOR ** ((zlib.crc32(spec.id.encode()) % 201 - 100) / 100))
 
 
 class Chalkyoke:
-    """The pool scheduler as it runs in a node, over the simulated engines."""
+    """Run the production pool scheduler over the simulated engines."""
 
     name = "chalkyoke"
 
@@ -170,20 +181,20 @@
         self.name = name
         self._features = features or Features()
 
-    def begin(self, simulation: Simulation) -> None:
-        """Make the scheduler and its timers."""
+    def attach(self, simulation: Simulation) -> None:
+        """Attach the policy to a simulation and start the scheduler and its timers."""
         self.simulation = simulation
         self.random = random.Random(3)
-        self.waiting: dict[str, Try] = {}
-        self.running: dict[str, Try] = {}
-        self.attempts: dict[str, int] = {}
+        self.waiting: dict[str, CallerAttempt] = {}
+        self.running: dict[str, CallerAttempt] = {}
+        self.grant_attempts: dict[str, int] = {}
         self.scheduler: PoolScheduler | None = self.make_scheduler()
-        simulation.every(TICK_S, self._tick)
-        simulation.every(PROGRESS_S, self._progress)
-        simulation.every(REPORT_S, self._report)
+        simulation.call_every(SCHEDULER_TICK_S, self._tick)
+        simulation.call_every(PROGRESS_INTERVAL_S, self._send_progress)
+        simulation.call_every(REPORT_INTERVAL_S, self._send_reports)
 
-    def spec(self) -> PoolSpec:
-        """Write the scenario as a pool; model cards are wrong by up to 30%."""
+    def pool_spec(self) -> PoolSpec:
+        """Build the pool of the scenario, with model cards that are wrong by up to 30%."""
         scenario = self.simulation.scenario
         return PoolSpec(
             "pool",
@@ -193,8 +204,8 @@
                     each.id,
                     each.domain,
                     each.slots,
-                    each.prefill_tokens_per_s * _card(each),
-                    each.decode_tokens_per_s * _card(each),
+                    each.prefill_tokens_per_s * _model_card_factor(each),
+                    each.decode_tokens_per_s * _model_card_factor(each),
                     each.batch_slowdown,
                     each.cache_blocks,
                 )
@@ -203,38 +214,45 @@
             tuple(TierSpec(tier["name"], rank) for rank, tier in enumerate(scenario.tiers)),
             tuple(TeamSpec(team["name"], team["weight"]) for team in scenario.teams),
             tuple(
-                RouteSpec(each["name"], frozenset(eligible_names(self.simulation, each["name"])))
+                RouteSpec(
+                    each["name"], frozenset(eligible_engine_ids(self.simulation, each["name"]))
+                )
                 for each in scenario.routes
             ),
             scenario.caution,
         )
 
     def make_scheduler(self, expected: tuple[str, ...] = ()) -> PoolScheduler:
-        """Make a scheduler."""
+        """Create a pool scheduler.
+
+        :param expected: entry nodes whose running requests it waits for before it grants.
+        """
         return PoolScheduler(
-            self.spec(), self.random.random, self.simulation.now, expected, self._features
+            self.pool_spec(), self.random.random, self.simulation.now, expected, self._features
         )
 
-    # The entry's side.
+    # The entry node: acquires, grants and releases.
 
-    def arrive(self, item: Try) -> None:
-        """Acquire."""
-        self.waiting[item.id] = item
-        self.attempts[item.id] = 1
-        self._acquire(item)
+    def on_arrival(self, attempt: CallerAttempt) -> None:
+        """Acquire a slot for a new attempt."""
+        self.waiting[attempt.id] = attempt
+        self.grant_attempts[attempt.id] = 1
+        self._request_slot(attempt)
 
-    def _acquire(self, item: Try) -> None:
+    def _request_slot(self, attempt: CallerAttempt) -> None:
         if self.scheduler is not None:
-            self._take(
-                self.scheduler.acquire("entry", "d", self.message(item), self.simulation.now)
+            self._schedule_actions(
+                self.scheduler.acquire(
+                    "entry", "d", self.acquire_message(attempt), self.simulation.now
+                )
             )
 
-    def message(self, item: Try) -> Acquire:
-        """Write the acquire message of a try."""
-        demand, now = item.demand, self.simulation.now
+    def acquire_message(self, attempt: CallerAttempt) -> Acquire:
+        """Build the acquire message of an attempt."""
+        demand, now = attempt.demand, self.simulation.now
         return Acquire(
-            item.id,
-            self.attempts[item.id],
+            attempt.id,
+            self.grant_attempts[attempt.id],
             "pool",
             demand.route,
             demand.tier,
@@ -242,49 +260,49 @@
             demand.prompt_tokens,
             demand.max_output,
             demand.blocks,
-            item.deadline - now,
-            now - item.arrived,
+            attempt.deadline - now,
+            now - attempt.arrived,
         )
 
-    def _take(self, outs: list[AddressedAction]) -> None:
-        for out in outs:
-            action = out.action
-            self.simulation.at(
-                self.simulation.now + LINK_S,
-                lambda action=action: self._act(action),  # type: ignore[misc]
+    def _schedule_actions(self, actions: list[AddressedAction]) -> None:
+        for addressed in actions:
+            action = addressed.action
+            self.simulation.call_at(
+                self.simulation.now + LINK_DELAY_S,
+                lambda action=action: self._apply_action(action),  # type: ignore[misc]
             )
 
-    def _act(self, action: Grant | Shed) -> None:
-        item = self.waiting.get(action.request)
-        if item is None or self.attempts[item.id] != action.attempt:
+    def _apply_action(self, action: Grant | Shed) -> None:
+        attempt = self.waiting.get(action.request)
+        if attempt is None or self.grant_attempts[attempt.id] != action.attempt:
             if isinstance(action, Grant):
-                self._release(action.request, action.attempt, "unused", Usage())
+                self._release_slot(action.request, action.attempt, "unused", Usage())
             return
         if isinstance(action, Shed):
-            del self.waiting[item.id]
-            self.simulation.refuse(item, action.reason, action.retry_after_s)
+            del self.waiting[attempt.id]
+            self.simulation.refuse(attempt, action.reason, action.retry_after_s)
             return
         engine = self.simulation.engines[action.upstream]
-        if self.simulation.start(item, engine, action.priority):
-            del self.waiting[item.id]
-            self.running[item.id] = item
+        if self.simulation.dispatch(attempt, engine, action.priority):
+            del self.waiting[attempt.id]
+            self.running[attempt.id] = attempt
             return
-        self._release(item.id, action.attempt, "unreachable", Usage())
-        self.attempts[item.id] += 1
-        self._acquire(item)
+        self._release_slot(attempt.id, action.attempt, "unreachable", Usage())
+        self.grant_attempts[attempt.id] += 1
+        self._request_slot(attempt)
 
-    def _release(self, request: str, attempt: int, outcome: str, usage: Usage) -> None:
+    def _release_slot(self, request: str, attempt: int, outcome: str, usage: Usage) -> None:
         if self.scheduler is not None:
             message = Release(request, attempt, "pool", outcome, usage)
-            self._take(self.scheduler.release("d", message, self.simulation.now))
+            self._schedule_actions(self.scheduler.release("d", message, self.simulation.now))
 
-    def first(self, item: Try) -> None:
-        """The next progress message tells it."""
+    def on_first_token(self, attempt: CallerAttempt) -> None:
+        """Do nothing: the next progress message reports the first token."""
 
-    def ended(self, item: Try, delivered: bool) -> None:
-        """Release."""
-        self.running.pop(item.id, None)
-        sequence, engine = item.sequence, item.engine
+    def on_end(self, attempt: CallerAttempt, delivered: bool) -> None:
+        """Release the slot and report the usage of the attempt."""
+        self.running.pop(attempt.id, None)
+        sequence, engine = attempt.sequence, attempt.engine
         assert sequence is not None
         assert engine is not None
         output = sequence.output_tokens if delivered else engine.tokens_of(sequence)
@@ -297,67 +315,69 @@
             self.simulation.now - sequence.submitted,
         )
         outcome = "delivered" if delivered else ("failed" if engine.gone else "cancelled")
-        self._release(item.id, self.attempts[item.id], outcome, usage)
+        self._release_slot(attempt.id, self.grant_attempts[attempt.id], outcome, usage)
 
-    def left(self, item: Try) -> None:
-        """Withdraw."""
-        self.waiting.pop(item.id, None)
+    def on_waiting_ended(self, attempt: CallerAttempt) -> None:
+        """Withdraw an attempt that still waits for a grant."""
+        self.waiting.pop(attempt.id, None)
         if self.scheduler is not None:
-            self.scheduler.withdraw(Withdraw(item.id, "pool"))
+            self.scheduler.withdraw(Withdraw(attempt.id, "pool"))
 
     def lose_scheduler(self) -> None:
-        """Lose it; its successor is asked after the heartbeats have run out."""
+        """Stop the scheduler; its successor starts once its heartbeats have timed out."""
         self.scheduler = None
-        self.simulation.at(self.simulation.now + TAKE_OVER_S, self._take_over)
+        self.simulation.call_at(self.simulation.now + SUCCESSOR_DELAY_S, self._start_successor)
 
-    def _take_over(self) -> None:
+    def _start_successor(self) -> None:
         self.scheduler = self.make_scheduler(("entry",))
         now = self.simulation.now
         items = []
-        for item in self.running.values():
-            assert item.sequence is not None
-            assert item.engine is not None
-            demand = item.demand
+        for attempt in self.running.values():
+            assert attempt.sequence is not None
+            assert attempt.engine is not None
+            demand = attempt.demand
             items.append(
                 RunningItem(
-                    item.id,
-                    self.attempts[item.id],
-                    item.engine.spec.id,
+                    attempt.id,
+                    self.grant_attempts[attempt.id],
+                    attempt.engine.spec.id,
                     demand.tier,
                     demand.team,
                     demand.route,
                     demand.prompt_tokens,
                     demand.max_output,
-                    item.engine.tokens_of(item.sequence),
-                    now - item.sequence.submitted,
+                    attempt.engine.tokens_of(attempt.sequence),
+                    now - attempt.sequence.submitted,
                 )
             )
-        self._take(self.scheduler.adopt("entry", Adopt("pool", tuple(items)), now))
-        for item in list(self.waiting.values()):
-            self._acquire(item)
+        self._schedule_actions(self.scheduler.adopt("entry", Adopt("pool", tuple(items)), now))
+        for attempt in list(self.waiting.values()):
+            self._request_slot(attempt)
 
     # Timers.
 
     def _tick(self) -> None:
         if self.scheduler is not None:
-            self._take(self.scheduler.tick(self.simulation.now))
+            self._schedule_actions(self.scheduler.tick(self.simulation.now))
 
-    def _progress(self) -> None:
+    def _send_progress(self) -> None:
         if self.scheduler is None:
             return
         now = self.simulation.now
         items = []
-        for item in self.running.values():
-            assert item.sequence is not None
-            assert item.engine is not None
-            item.engine.advance(now)
-            sequence = item.sequence
+        for attempt in self.running.values():
+            assert attempt.sequence is not None
+            assert attempt.engine is not None
+            attempt.engine.advance(now)
+            sequence = attempt.sequence
             first = sequence.first_at - sequence.submitted if sequence.first_at >= 0 else -1.0
-            tokens = item.engine.tokens_of(sequence)
-            items.append(ProgressItem(item.id, tokens, first, now - sequence.submitted))
-        self._take(self.scheduler.apply_progress("entry", Progress("pool", tuple(items)), now))
+            tokens = attempt.engine.tokens_of(sequence)
+            items.append(ProgressItem(attempt.id, tokens, first, now - sequence.submitted))
+        self._schedule_actions(
+            self.scheduler.apply_progress("entry", Progress("pool", tuple(items)), now)
+        )
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         now, lag = self.simulation.now, self.simulation.scenario.report_lag_s
         for name, engine in self.simulation.engines.items():
             if engine.gone:
@@ -365,27 +385,31 @@
             report = LoadReport(name, len(engine.batch), engine.load - len(engine.batch), lag)
             dropped = [block for at, block in engine.dropped if at <= now - CACHE_LAG_S]
             engine.dropped = [each for each in engine.dropped if each[0] > now - CACHE_LAG_S]
-            heard = tuple(block for block in dropped if self.random.random() >= CACHE_GAP)
-            self.simulation.at(
+            reported_drops = tuple(
+                block for block in dropped if self.random.random() >= CACHE_EVENT_LOSS_SHARE
+            )
+            self.simulation.call_at(
                 now + lag,
-                lambda report=report, heard=heard: self._hear(report, heard),  # type: ignore[misc]
+                lambda report=report, reported_drops=reported_drops: self._apply_report(
+                    report, reported_drops
+                ),  # type: ignore[misc]
             )
 
-    def _hear(self, report: LoadReport, dropped: tuple[int, ...]) -> None:
+    def _apply_report(self, report: LoadReport, dropped: tuple[int, ...]) -> None:
         if self.scheduler is not None:
             self.scheduler.apply_cache_event(CacheEvent(report.upstream, dropped))
-            self._take(self.scheduler.apply_load_report(report, self.simulation.now))
+            self._schedule_actions(self.scheduler.apply_load_report(report, self.simulation.now))
 
-    def backlogged(self) -> dict[str, dict[str, int]]:
-        """Count what waits, by tier and team."""
+    def count_waiting(self) -> dict[str, dict[str, int]]:
+        """Count the attempts that wait for a grant, by tier and team."""
         counts: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
-        for item in self.waiting.values():
-            counts[item.demand.tier][item.demand.team] += 1
+        for attempt in self.waiting.values():
+            counts[attempt.demand.tier][attempt.demand.team] += 1
         return counts
 
 
 class _TrueSpeed(SpeedModel):
-    """A speed model that reads the engine itself."""
+    """A speed model that uses the engine's true speed, slowdown faults included."""
 
     __slots__ = ("_engine",)
 
@@ -397,30 +421,30 @@
         self._engine = engine
 
     def token_time(self, streams: int) -> float:
-        """Give the true time."""
+        """Return the true seconds for one token of each stream."""
         return super().token_time(streams) * self._engine.slow
 
     def prefill_time(self, tokens: float) -> float:
-        """Give the true time."""
+        """Return the true seconds to process a prompt."""
         return super().prefill_time(tokens) * self._engine.slow
 
     def learn_tokens(self, tokens: int, seconds: float, streams: int) -> None:
-        """There is nothing to learn."""
+        """Ignore the observation: the true speed is known."""
 
     def learn_first(self, expected_s: float, observed_s: float) -> None:
-        """There is nothing to learn."""
+        """Ignore the observation: the true speed is known."""
 
 
 class _TrueOutput(OutputModel):
-    """An output model that is told the true length as the caller's bound."""
+    """An output model that gets the true output length in the place of the caller's limit."""
 
     def predict(self, _route: str, _team: str, max_output: int) -> OutputEstimate:
-        """Give the true length."""
+        """Return the true output length for all estimates."""
         return OutputEstimate(float(max_output), float(max_output), float(max_output))
 
 
 class Bound(Chalkyoke):
-    """The same policy told true lengths, true speeds and fresh load."""
+    """The upper bound: the same policy with true output lengths, true speeds and fresh progress."""
 
     name = "bound"
 
@@ -428,23 +452,23 @@
         super().__init__("bound")
 
     def make_scheduler(self, expected: tuple[str, ...] = ()) -> PoolScheduler:
-        """Make a scheduler that is told the truth."""
-        made = super().make_scheduler(expected)
-        made._learner.outputs = _TrueOutput()
-        for name, upstream in made.upstreams.items():
+        """Create a scheduler with true output lengths and speeds."""
+        scheduler = super().make_scheduler(expected)
+        scheduler._learner.outputs = _TrueOutput()
+        for name, upstream in scheduler.upstreams.items():
             upstream.speed = _TrueSpeed(self.simulation.engines[name])
-        return made
+        return scheduler
 
-    def begin(self, simulation: Simulation) -> None:
-        """Tell progress with each tick."""
-        super().begin(simulation)
-        simulation.every(TICK_S, self._progress)
+    def attach(self, simulation: Simulation) -> None:
+        """Attach the policy and send progress with each scheduler tick."""
+        super().attach(simulation)
+        simulation.call_every(SCHEDULER_TICK_S, self._send_progress)
 
-    def message(self, item: Try) -> Acquire:
-        """Tell the true length."""
-        message = super().message(item)
+    def acquire_message(self, attempt: CallerAttempt) -> Acquire:
+        """Build an acquire message with the true output length as its limit."""
+        message = super().acquire_message(attempt)
         fields = {name: getattr(message, name) for name in message.__struct_fields__}
-        return Acquire(**{**fields, "max_output": item.demand.output_tokens})
+        return Acquire(**{**fields, "max_output": attempt.demand.output_tokens})
 
 
 POLICIES: dict[str, Callable[[], Baseline | Chalkyoke]] = {
--- a/benches/policy/report.py
+++ b/benches/policy/report.py
@@ -1,7 +1,7 @@
 """
 benches.policy.report
 
-Run scenarios over seeds and policies in parallel, and write the tables.
+Run scenarios over seeds and policies in parallel, and format the results as tables.
 """
 
 import json
@@ -14,34 +14,40 @@
 
 from benches.policy.policies import BASELINES, POLICIES
 from benches.policy.scenario import Scenario
-from benches.policy.simulation import Simulation, Verdict
+from benches.policy.simulation import RunResult, Simulation
 
 BOUND = "bound"
-OURS = "chalkyoke"
-TOP_SHARE = 0.99
-TOTAL_SHARE = 0.95
-WASTE_SHARE = 0.1
-FAIR_LEAST = 0.95
+CHALKYOKE = "chalkyoke"
+# The aims of the policy: minimum goodput in the top tier and in total as shares of the bound's,
+# maximum wasted prefill in an overload as a share of least outstanding's, and minimum fairness.
+MIN_TOP_TIER_SHARE = 0.99
+MIN_TOTAL_SHARE = 0.95
+MAX_WASTE_SHARE = 0.1
+MIN_FAIRNESS = 0.95
 
 Key = tuple[str, str]
 
 
-def play_one(job: tuple[Scenario, str, int]) -> Verdict:
-    """Play one scenario with one policy and one seed."""
+def run_one(job: tuple[Scenario, str, int]) -> RunResult:
+    """Run one scenario with one policy and one seed."""
     scenario, policy, seed = job
-    return Simulation(scenario, POLICIES[policy](), seed).play()
+    return Simulation(scenario, POLICIES[policy](), seed).run()
 
 
-def play_all(scenarios: list[Scenario], policies: list[str], seeds: list[int]) -> list[Verdict]:
-    """Play all, on all processors."""
+def run_all(scenarios: list[Scenario], policies: list[str], seeds: list[int]) -> list[RunResult]:
+    """Run every scenario with every policy and seed, on all processors."""
     jobs = [(each, policy, seed) for each in scenarios for policy in policies for seed in seeds]
     with ProcessPoolExecutor() as pool:
-        return list(pool.map(play_one, jobs, chunksize=4))
+        return list(pool.map(run_one, jobs, chunksize=4))
 
 
 @dataclass
 class Row:
-    """One policy in one scenario, over all seeds."""
+    """The means over all seeds of one policy in one scenario.
+
+    :param spread: standard deviation of the goodput.
+    :param wasted: prompt tokens processed for requests that were then cancelled.
+    """
 
     goodput: float
     spread: float
@@ -54,39 +60,39 @@
     beside_free: float
 
 
-def rows_of(verdicts: list[Verdict]) -> dict[Key, dict[str, Row]]:
-    """Fold verdicts over seeds: rows by (scenario, fleet) and policy."""
-    grouped: dict[Key, dict[str, list[Verdict]]] = defaultdict(lambda: defaultdict(list))
-    for verdict in verdicts:
-        grouped[verdict.scenario, verdict.fleet][verdict.policy].append(verdict)
+def rows_by_scenario(results: list[RunResult]) -> dict[Key, dict[str, Row]]:
+    """Average results over seeds into rows by (scenario, fleet) and policy."""
+    grouped: dict[Key, dict[str, list[RunResult]]] = defaultdict(lambda: defaultdict(list))
+    for result in results:
+        grouped[result.scenario, result.fleet][result.policy].append(result)
     return {
-        key: {policy: _fold(each) for policy, each in policies.items()}
+        key: {policy: _average(each) for policy, each in policies.items()}
         for key, policies in grouped.items()
     }
 
 
-def _fold(verdicts: list[Verdict]) -> Row:
-    goodputs = [each.goodput for each in verdicts]
-    fair = [each.fairness for each in verdicts if not math.isnan(each.fairness)]
+def _average(results: list[RunResult]) -> Row:
+    goodputs = [each.goodput for each in results]
+    fair = [each.fairness for each in results if not math.isnan(each.fairness)]
     tiers = {
-        tier: statistics.mean(each.tier_goodput(tier) for each in verdicts)
-        for tier in verdicts[0].demands
+        tier: statistics.mean(each.tier_goodput(tier) for each in results)
+        for tier in results[0].demands
     }
     return Row(
         statistics.mean(goodputs),
         statistics.stdev(goodputs) if len(goodputs) > 1 else 0.0,
         tiers,
-        statistics.mean(each.wasted_prefill for each in verdicts),
+        statistics.mean(each.wasted_prefill for each in results),
         statistics.mean(fair) if fair else math.nan,
-        statistics.mean(each.value.net for each in verdicts),
-        statistics.mean(each.value.held / max(1, each.value.demands) for each in verdicts),
-        statistics.mean(each.value.returns / max(1, each.value.demands) for each in verdicts),
-        statistics.mean(each.value.beside_free for each in verdicts),
+        statistics.mean(each.value.net for each in results),
+        statistics.mean(each.value.held / max(1, each.value.demands) for each in results),
+        statistics.mean(each.value.returns / max(1, each.value.demands) for each in results),
+        statistics.mean(each.value.beside_free for each in results),
     )
 
 
-def table(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
-    """Write one table for each scenario and fleet, as Markdown."""
+def scenario_tables(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
+    """Format one Markdown table for each scenario and fleet."""
     lines: list[str] = []
     for (scenario, fleet), policies in rows.items():
         names = tiers[fleet]
@@ -106,15 +112,15 @@
     return "\n".join(lines)
 
 
-def summary(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
-    """Write one line for each scenario and fleet: ours, the bound and the best baseline."""
+def summary_table(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> str:
+    """Format one line for each scenario and fleet: chalkyoke, the bound and the best baseline."""
     lines = [
         "| scenario, fleet | ours | bound | best baseline | top tier, ours and bound | wasted, ours and "
         "least outstanding's | fairness |",
         "|---|---|---|---|---|---|---|",
     ]
     for (scenario, fleet), policies in rows.items():
-        ours, bound, top = policies[OURS], policies[BOUND], tiers[fleet][0]
+        ours, bound, top = policies[CHALKYOKE], policies[BOUND], tiers[fleet][0]
         name, best = max(
             ((each, policies[each]) for each in BASELINES), key=lambda pair: pair[1].goodput
         )
@@ -127,8 +133,8 @@
     return "\n".join(lines)
 
 
-def values(rows: dict[Key, dict[str, Row]]) -> str:
-    """Write what service is worth from a caller's first try, beside goodput."""
+def value_table(rows: dict[Key, dict[str, Row]]) -> str:
+    """Format the value of service, timed from the first attempt, next to the goodput."""
     lines = [
         "| scenario, fleet | policy | goodput | value from the first try | held in vain | "
         "came back in vain | refused beside free slots |",
@@ -143,8 +149,8 @@
     return "\n".join(lines)
 
 
-def ablations(rows: dict[Key, dict[str, Row]]) -> str:
-    """Write the means over all scenarios and fleets for each policy."""
+def ablation_table(rows: dict[Key, dict[str, Row]]) -> str:
+    """Format the means over all scenarios and fleets for each policy."""
     lines = ["| policy | mean goodput | mean wasted prefill |", "|---|---|---|"]
     for policy in next(iter(rows.values())):
         goodput = statistics.mean(each[policy].goodput for each in rows.values())
@@ -154,17 +160,17 @@
 
 
 def shortfalls(rows: dict[Key, dict[str, Row]], tiers: dict[str, list[str]]) -> list[str]:
-    """List where the aims of the policy are not reached."""
+    """Return a line for each aim of the policy that a scenario misses."""
     found: list[str] = []
     for (scenario, fleet), policies in rows.items():
-        ours, bound = policies[OURS], policies.get(BOUND)
+        ours, bound = policies[CHALKYOKE], policies.get(BOUND)
         where = f"{scenario}, {fleet}"
         top = tiers[fleet][0]
-        if bound is not None and ours.tiers[top] < TOP_SHARE * bound.tiers[top]:
+        if bound is not None and ours.tiers[top] < MIN_TOP_TIER_SHARE * bound.tiers[top]:
             found.append(
                 f"{where}: {top} {ours.tiers[top]:.3f} of the bound's {bound.tiers[top]:.3f}"
             )
-        if bound is not None and ours.goodput < TOTAL_SHARE * bound.goodput:
+        if bound is not None and ours.goodput < MIN_TOTAL_SHARE * bound.goodput:
             found.append(f"{where}: total {ours.goodput:.3f} of the bound's {bound.goodput:.3f}")
         for name in BASELINES:
             other = policies.get(name)
@@ -180,15 +186,15 @@
         if (
             "overload" in scenario
             and least is not None
-            and ours.wasted > WASTE_SHARE * least.wasted
+            and ours.wasted > MAX_WASTE_SHARE * least.wasted
         ):
             share = ours.wasted / least.wasted
             found.append(f"{where}: waste is {share:.2f} of least outstanding's")
-        if ours.fairness < FAIR_LEAST:
+        if ours.fairness < MIN_FAIRNESS:
             found.append(f"{where}: fairness {ours.fairness:.3f}")
     return found
 
 
-def write_json(path: Path, verdicts: list[Verdict]) -> None:
-    """Write all verdicts as JSON."""
-    path.write_text(json.dumps([asdict(each) for each in verdicts], indent=1), encoding="utf-8")
+def write_json(path: Path, results: list[RunResult]) -> None:
+    """Write all results to a JSON file."""
+    path.write_text(json.dumps([asdict(each) for each in results], indent=1), encoding="utf-8")
