--- a/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rolloutleads.py
@@ -22,6 +22,7 @@
 from chalkyoke.quotas.owner import Presence
 from chalkyoke.rollouts.lead import Decision, Phase, RolloutLeader
 from chalkyoke.rollouts.messages import RolloutReport, RolloutUpdate
+from chalkyoke.rollouts.noderollout import NodeRollout
 from chalkyoke.rollouts.resources import (
     OrderName,
     RolloutOrder,
@@ -30,7 +31,6 @@
     TrackedOrder,
     matching_status,
 )
-from chalkyoke.rollouts.share import NodeRollout
 from chalkyoke.rollouts.standing import Eligibility
 from chalkyoke.storage.messages import Conflict, LeaseGone, Unavailable
 from chalkyoke.storage.port import Store
@@ -53,14 +53,14 @@
     return None if stored is None or stored.state is RolloutState.RUNNING else stored
 
 
-def current_order(state: CatalogState, share: NodeRollout, now: float) -> TrackedOrder:
+def current_order(state: CatalogState, rollout: NodeRollout, now: float) -> TrackedOrder:
     """Combine an order with its final status from the store or else from the leader."""
-    order = share.order
+    order = rollout.order
     status = stored_outcome(state, order)
-    if status is None and share.ended is not None:
-        ended = STATE_OF_PHASE[share.ended]
+    if status is None and rollout.ended is not None:
+        ended = STATE_OF_PHASE[rollout.ended]
         status = RolloutStatus(order.service, order.version, ended, order.revision)
-    return TrackedOrder(order, now - share.elapsed(now).max_s, status)
+    return TrackedOrder(order, now - rollout.elapsed(now).max_s, status)
 
 
 class _LedOrder(msgspec.Struct):
@@ -120,76 +120,74 @@
         """Return the node that leads a service's order; this node if it knows no other."""
         return next(iter(self._view.ranked(f"rollout/{service}")), self._view.record)
 
-    def receive_report(self, process: str, share: NodeRollout, report: RolloutReport) -> None:
+    def receive_report(self, process: str, rollout: NodeRollout, report: RolloutReport) -> None:
         """Add a node's report to the evidence of an order.
 
         :param process: id of the node's process.
         """
-        self._led_order(share).lead.apply_report(process, report)
+        self._led_order(rollout).lead.apply_report(process, report)
 
     def drop_order(self, service: str) -> None:
         """Drop the state of an order that was withdrawn."""
         self._led_orders.pop(service, None)
 
-    def advance(self, share: NodeRollout) -> None:
+    def advance(self, rollout: NodeRollout) -> None:
         """Decide the phase of an order and announce it, if this node leads the order."""
-        service = share.order.service
+        service = rollout.order.service
         if self.leader(service).host != self._view.record.host:
             return
-        order = current_order(self._state, share, self._now())
-        led = self._led_order(share)
-        decision = self._decide(share, order, led)
-        self._log_decision(order, led, decision)
-        ended = stored_outcome(self._state, share.order)
-        stored = matching_status(share.order, self._state.statuses.get(service))
+        tracked = current_order(self._state, rollout, self._now())
+        led = self._led_order(rollout)
+        decision = self._decide(rollout, tracked, led)
+        self._log_decision(tracked, led, decision)
+        ended = stored_outcome(self._state, rollout.order)
+        stored = matching_status(rollout.order, self._state.statuses.get(service))
         state = STATE_OF_PHASE.get(decision.phase, RolloutState.RUNNING)
         if ended is None and (stored is None or stored.state is not state):
-            self._start_status_write(order, led, state)
+            self._start_status_write(tracked, led, state)
         # A rollback is announced at once. A completed roll-out is announced as closing until the
         # store has its final status.
         phase = decision.phase
         if phase is Phase.DONE and ended is None:
             phase = Phase.CLOSING
-        self._announce(share, led, phase)
+        self._announce(rollout, led, phase)
 
-    def _led_order(self, share: NodeRollout) -> _LedOrder:
-        service, name = share.order.service, share.order.name
+    def _led_order(self, rollout: NodeRollout) -> _LedOrder:
+        service, name = rollout.order.service, rollout.order.name
         found = self._led_orders.get(service)
         if found is None or found.order != name:
             found = self._led_orders[service] = _LedOrder(RolloutLeader(), name)
         return found
 
-    def _decide(self, share: NodeRollout, order: TrackedOrder, led: _LedOrder) -> Decision:
-        if share.ended is Phase.UNDONE and not order.ended:
+    def _decide(self, rollout: NodeRollout, tracked: TrackedOrder, led: _LedOrder) -> Decision:
+        if rollout.ended is Phase.UNDONE and not tracked.ended:
             return Decision(Phase.UNDONE)
-        ordered = order.order
+        order = tracked.order
         new = [
             each
             for each in self._state.replicas.values()
-            if each.service == ordered.service
-            and each.version == ordered.version
-            and not each.draining
+            if each.service == order.service and each.version == order.version and not each.draining
         ]
         return led.lead.decide(
-            order,
-            share.elapsed(self._now()).max_s,
+            tracked,
+            rollout.elapsed(self._now()).max_s,
             new_replicas=len(new),
             tried=any(self._standing(each) is Eligibility.TRIAL for each in new),
             live=[each.process for each in self._view.live()],
             sees_fleet=self._presence().share >= MIN_VISIBLE_FLEET_SHARE,
         )
 
-    def _log_decision(self, order: TrackedOrder, led: _LedOrder, decision: Decision) -> None:
+    def _log_decision(self, tracked: TrackedOrder, led: _LedOrder, decision: Decision) -> None:
         if led.phase is decision.phase:
             return
         finding = decision.finding
         log.notice(
             "decided",
-            service=order.order.service,
-            to=order.order.version,
+            service=tracked.order.service,
+            to=tracked.order.version,
             phase=decision.phase,
             why=decision.why,
-            passed_s=round(self._now() - order.since, 2),
+            passed_s=round(self._now() - tracked.since, 2),
             verdict=finding.verdict,
             route=finding.route,
             measure=finding.measure,
@@ -198,51 +196,53 @@
             expected=round(finding.expected, 3),
             old_running=led.lead.old_running(each.process for each in self._view.live()),
         )
-        self._metrics.count("rollout_phases", service=order.order.service, phase=decision.phase)
+        self._metrics.count("rollout_phases", service=tracked.order.service, phase=decision.phase)
         led.phase = decision.phase
 
-    def _announce(self, share: NodeRollout, led: _LedOrder, phase: Phase) -> None:
+    def _announce(self, rollout: NodeRollout, led: _LedOrder, phase: Phase) -> None:
         now = self._now()
-        changed = share.phase(now) is not phase
+        changed = rollout.phase(now) is not phase
         if not changed and now - led.announced_at < ANNOUNCE_INTERVAL_S:
             return
         led.announced_at = now
-        order = share.order
+        order = rollout.order
         name = order.name
         message = RolloutUpdate(
             order.service,
             name.revision,
             phase,
-            share.elapsed(now).min_s,
+            rollout.elapsed(now).min_s,
             epoch=name.epoch,
             digest=name.digest,
         )
         send_to_all(self._view, self._send, message)
-        self._apply_locally(share, message)
+        self._apply_locally(rollout, message)
 
-    def _start_status_write(self, order: TrackedOrder, led: _LedOrder, state: RolloutState) -> None:
+    def _start_status_write(
+        self, tracked: TrackedOrder, led: _LedOrder, state: RolloutState
+    ) -> None:
         """Start a write of an order's status, unless the pause after the last write still runs."""
         pause_s = CONFIRMED_WRITE_RETRY_S if led.written is state else WRITE_RETRY_S
         if self._now() - led.written_at < pause_s:
             return
         led.written_at = self._now()
-        task = asyncio.get_running_loop().create_task(self._write_order_status(order, led, state))
+        task = asyncio.get_running_loop().create_task(self._write_order_status(tracked, led, state))
         self._write_tasks.add(task)
         task.add_done_callback(self._write_tasks.discard)
 
     async def _write_order_status(
-        self, order: TrackedOrder, led: _LedOrder, state: RolloutState
+        self, tracked: TrackedOrder, led: _LedOrder, state: RolloutState
     ) -> None:
         """Write a status if no other node wrote one meanwhile: a final status never changes."""
-        key, document = self._write_status(order.order, state)
-        held = self._state.statuses.get(order.order.service)
+        key, document = self._write_status(tracked.order, state)
+        held = self._state.statuses.get(tracked.order.service)
         expected = held.revision if held else 0
         written = await self._store.write(key, document, expected=expected)
         done = not isinstance(written, Unavailable | Conflict | LeaseGone)
         log.notice(
             "answered" if done else "answer_failed",
-            service=order.order.service,
-            to=order.order.version,
+            service=tracked.order.service,
+            to=tracked.order.version,
             state=state,
             expected=expected,
             outcome=type(written).__name__,
--- a/packages/chalkyoke/src/chalkyoke/node/rollouts.py
+++ b/packages/chalkyoke/src/chalkyoke/node/rollouts.py
@@ -27,10 +27,10 @@
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
 from chalkyoke.rollouts.lead import Phase
 from chalkyoke.rollouts.messages import RolloutMessage, RolloutReport, RolloutUpdate
+from chalkyoke.rollouts.noderollout import NodeRollout
 from chalkyoke.rollouts.resources import (
     RolloutOrder,
 )
-from chalkyoke.rollouts.share import NodeRollout
 from chalkyoke.rollouts.standing import Eligibility, VersionEligibility
 from chalkyoke.storage.port import Store
 
@@ -98,7 +98,7 @@
         self._changed = changed
         self._now = now
         self._versions = VersionEligibility()
-        self._shares: dict[str, NodeRollout] = {}
+        self._rollouts: dict[str, NodeRollout] = {}
         self._report_times: dict[str, _ReportTimes] = {}
         self._running: Counter[tuple[str, str]] = Counter()
         self._rollout_leads = RolloutLeads(
@@ -118,37 +118,37 @@
 
     def rebuild(self) -> None:
         """Apply changed orders, statuses or replicas of the catalog."""
-        for service, ordered in self._state.orders.items():
-            share = self._shares.get(service)
-            if share is not None and share.order.name == ordered.order.name:
-                share.order = ordered.order
+        for service, received in self._state.orders.items():
+            rollout = self._rollouts.get(service)
+            if rollout is not None and rollout.order.name == received.order.name:
+                rollout.order = received.order
             else:
-                self._shares[service] = self._make_share(ordered)
+                self._rollouts[service] = self._make_rollout(received)
                 log.notice(
                     "ordered",
                     service=service,
-                    to=ordered.order.version,
-                    over_s=ordered.order.over_s,
-                    revision=ordered.order.revision,
-                    news_age_s=round(self._now() - ordered.since, 3),
+                    to=received.order.version,
+                    over_s=received.order.over_s,
+                    revision=received.order.revision,
+                    news_age_s=round(self._now() - received.since, 3),
                 )
-        for service in [each for each in self._shares if each not in self._state.orders]:
-            log.notice("withdrawn", service=service, to=self._shares[service].order.version)
-            del self._shares[service]
+        for service in [each for each in self._rollouts if each not in self._state.orders]:
+            log.notice("withdrawn", service=service, to=self._rollouts[service].order.version)
+            del self._rollouts[service]
             self._rollout_leads.drop_order(service)
             self._report_times.pop(service, None)
         now = self._now()
         orders = {
-            service: current_order(self._state, share, now)
-            for service, share in self._shares.items()
+            service: current_order(self._state, rollout, now)
+            for service, rollout in self._rollouts.items()
         }
         self._versions.rebuild(orders, self._state.replicas.values())
 
-    def _make_share(self, ordered: ReceivedOrder) -> NodeRollout:
+    def _make_rollout(self, received: ReceivedOrder) -> NodeRollout:
         now = self._now()
-        since = ordered.since if now - ordered.since < UNKNOWN_AGE_S else now
+        since = received.since if now - received.since < UNKNOWN_AGE_S else now
         exposure = Exposure(self._bounds, self._presence().known, self._random)
-        return NodeRollout(ordered.order, exposure, since, now)
+        return NodeRollout(received.order, exposure, since, now)
 
     def standing(self, replica: Replica) -> Eligibility:
         """Return which requests a replica takes."""
@@ -159,8 +159,8 @@
 
         The closing phase uses all of them.
         """
-        share = self._shares.get(service)
-        if share is not None and share.phase(self._now()) is Phase.CLOSING:
+        rollout = self._rollouts.get(service)
+        if rollout is not None and rollout.phase(self._now()) is Phase.CLOSING:
             return replicas
         count = max(MIN_TRIAL_REPLICAS, math.ceil(TRIAL_REPLICA_SHARE * len(replicas)))
         return sorted(replicas, key=lambda each: xxhash.xxh64_intdigest(each.id.encode()))[:count]
@@ -169,18 +169,18 @@
 
     def claim_trial(self, admission: Admission, *, again: bool) -> bool:
         """Return whether a request goes to the version under trial, and count it if so."""
-        share = self._shares.get(admission.service.name)
-        if share is None or share.ended is not None:
+        rollout = self._rollouts.get(admission.service.name)
+        if rollout is None or rollout.ended is not None:
             return False
-        return share.admit_to_new_version(
+        return rollout.admit_to_new_version(
             self._expected_duration_s(admission), self._now(), again=again
         )
 
     def return_trial(self, admission: Admission) -> None:
         """Uncount a request that doesn't go to the version under trial after all."""
-        share = self._shares.get(admission.service.name)
-        if share is not None:
-            share.exposure.cancel_reservation()
+        rollout = self._rollouts.get(admission.service.name)
+        if rollout is not None:
+            rollout.exposure.cancel_reservation()
 
     def may_send(self, replica: Replica) -> bool:
         """Return whether a granted request may still be sent to its replica.
@@ -188,17 +188,17 @@
         A grant is used a moment after it was issued. Once this node has reported that it no longer
         uses the old replicas, they may stop, which would abort a request sent to one of them.
         """
-        share = self._shares.get(replica.service)
-        if share is None or self._runs_new_version(share, replica):
+        rollout = self._rollouts.get(replica.service)
+        if rollout is None or self._runs_new_version(rollout, replica):
             return True
-        return not share.has_left_old(self._now())
+        return not rollout.has_left_old(self._now())
 
     def record_sent(self, replica: Replica) -> None:
         """Count a request that is sent to a replica."""
         self._running[replica.service, replica.version] += 1
-        share = self._shares.get(replica.service)
-        if share is not None:
-            share.exposure.count_sent()
+        rollout = self._rollouts.get(replica.service)
+        if rollout is not None:
+            rollout.exposure.count_sent()
 
     def record_finished(self, replica: Replica) -> None:
         """Uncount a request that its replica no longer runs."""
@@ -224,24 +224,24 @@
 
         :param took_s: time from the send to the end, in seconds; 0 if it isn't meaningful.
         """
-        share = self._shares.get(replica.service)
-        if share is None:
+        rollout = self._rollouts.get(replica.service)
+        if rollout is None:
             return
-        is_new = self._runs_new_version(share, replica)
+        is_new = self._runs_new_version(rollout, replica)
         work_s = 1.0
         if admission.route.is_stream:
             work_s = self._estimated_work_s(admission.fields.prompt_tokens, output_tokens)
-        share.count_end(
+        rollout.count_end(
             admission.route.name,
             replica.id if is_new else "",
             failed=failed,
             ratio=took_s / work_s,
         )
         if failed and is_new:
-            self._send_report(share)
+            self._send_report(rollout)
 
-    def _runs_new_version(self, share: NodeRollout, replica: Replica) -> bool:
-        return replica.version == share.order.version
+    def _runs_new_version(self, rollout: NodeRollout, replica: Replica) -> bool:
+        return replica.version == rollout.order.version
 
     def _estimated_work_s(self, prompt_tokens: float, output_tokens: float) -> float:
         engine_defaults = self._engine_defaults
@@ -262,54 +262,54 @@
 
     def tick(self) -> None:
         """Send the reports that are due and advance the orders that this node leads."""
-        for service, share in list(self._shares.items()):
+        for service, rollout in list(self._rollouts.items()):
             if (
                 self._now() - self._report_times.setdefault(service, _ReportTimes()).sent_at
                 >= REPORT_INTERVAL_S
             ):
-                self._send_report(share)
-            self._rollout_leads.advance(share)
+                self._send_report(rollout)
+            self._rollout_leads.advance(rollout)
 
     def receive(self, process: str, message: RolloutMessage) -> None:
         """Handle a report of a node or an announcement of the leader.
 
         :param process: id of the sender.
         """
-        share = self._shares.get(message.service)
-        if share is None or not share.order.name.matches(message.name):
+        rollout = self._rollouts.get(message.service)
+        if rollout is None or not rollout.order.name.matches(message.name):
             return
         if isinstance(message, RolloutReport):
-            share.update_elapsed(message.least_s, self._now())
-            self._rollout_leads.receive_report(process, share, message)
+            rollout.update_elapsed(message.least_s, self._now())
+            self._rollout_leads.receive_report(process, rollout, message)
             return
-        self._apply_announcement(share, message)
+        self._apply_announcement(rollout, message)
         relay_to_domain(self._view, self._send, message)
 
-    def _send_report(self, share: NodeRollout) -> None:
-        if stored_outcome(self._state, share.order) is not None:
+    def _send_report(self, rollout: NodeRollout) -> None:
+        if stored_outcome(self._state, rollout.order) is not None:
             return
-        service, now = share.order.service, self._now()
+        service, now = rollout.order.service, self._now()
         leader = self._rollout_leads.leader(service)
         last = self._report_times.setdefault(service, _ReportTimes())
         whole = last.leader != leader.process or now - last.full_sent_at >= FULL_REPORT_INTERVAL_S
         last.leader, last.sent_at = leader.process, now
         if whole:
             last.full_sent_at = now
-        report = share.report(now, self._count_old_running(share.order), whole=whole)
+        report = rollout.report(now, self._count_old_running(rollout.order), whole=whole)
         if leader.host == self._view.record.host:
-            self._rollout_leads.receive_report(self._view.record.process, share, report)
+            self._rollout_leads.receive_report(self._view.record.process, rollout, report)
         else:
             self._send(leader.address, report)
 
-    def _apply_announcement(self, share: NodeRollout, message: RolloutUpdate) -> None:
-        if not share.apply_update(message, self._now()):
+    def _apply_announcement(self, rollout: NodeRollout, message: RolloutUpdate) -> None:
+        if not rollout.apply_update(message, self._now()):
             return
         log.info(
             "phase",
             service=message.service,
             phase=message.phase,
             least_s=round(message.least_s, 2),
-            sent=share.exposure.sent,
-            exposed=share.exposure.exposed,
+            sent=rollout.exposure.sent,
+            exposed=rollout.exposure.exposed,
         )
         self._changed()
--- a/packages/chalkyoke/src/chalkyoke/rollouts/share.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/noderollout.py
@@ -1,5 +1,5 @@
 """
-chalkyoke.rollouts.share
+chalkyoke.rollouts.noderollout
 
 One node's part in an order: which of its requests go to the new version, and their outcomes.
 """
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
@@ -16,8 +16,8 @@
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
 from chalkyoke.rollouts.lead import Phase, RolloutLeader
 from chalkyoke.rollouts.messages import RolloutUpdate
+from chalkyoke.rollouts.noderollout import NodeRollout
 from chalkyoke.rollouts.resources import RolloutOrder, RolloutState, RolloutStatus, TrackedOrder
-from chalkyoke.rollouts.share import NodeRollout
 
 BOUNDS = ExposureBounds(share=0.1, slack=50)
 ROLLBACK_S = 5.0
@@ -64,7 +64,7 @@
 @dataclass
 class Node:
     name: str
-    share: NodeRollout
+    rollout: NodeRollout
     side: int = 0
     alive: bool = True
     born: float = 0.0
@@ -107,8 +107,8 @@
         exposure = Exposure(BOUNDS, self.size, self.rng.random)
         # A node that starts later reads the order from the store, which does not show its age.
         age = self.rng.uniform(0.02, 0.4) if self.now == 0.0 else 0.0
-        share = NodeRollout(self.order, exposure, self.now - age, self.now)
-        return Node(f"n{next(self.names):04}", share, born=self.now)
+        rollout = NodeRollout(self.order, exposure, self.now - age, self.now)
+        return Node(f"n{next(self.names):04}", rollout, born=self.now)
 
     # Time.
 
@@ -173,9 +173,9 @@
         estimate_s = LASTS_FACTOR * usual * self.rng.lognormvariate(0.0, 0.5)
         if not again and self.now <= self.order.over_s:
             self.sent += 1
-        node.share.exposure.count_sent()
+        node.rollout.exposure.count_sent()
         is_done = node.status is not None and node.status.state is RolloutState.COMPLETED
-        is_new = is_done or node.share.admit_to_new_version(
+        is_new = is_done or node.rollout.admit_to_new_version(
             min(estimate_s, LONGEST_S), self.now, again=again
         )
         took = usual / self.rng.choice(SPEEDS)
@@ -205,7 +205,7 @@
         else:
             node.old_running -= 1
         if node.alive:
-            node.share.count_end(
+            node.rollout.count_end(
                 route, replica, failed=failed, ratio=0.0 if failed else took / usual
             )
 
@@ -229,7 +229,7 @@
             node.reported_at_s = self.now
             whole = node.report_leader != leader.name
             node.report_leader = leader.name
-            report = node.share.report(self.now, node.old_running, whole=whole)
+            report = node.rollout.report(self.now, node.old_running, whole=whole)
             self.at(
                 self.now + self.rng.uniform(*DELAY_S),
                 self.receive_report,
@@ -242,14 +242,14 @@
 
     def receive_report(self, name, leader, report):
         if leader.alive:
-            leader.share.update_elapsed(report.least_s, self.now)
+            leader.rollout.update_elapsed(report.least_s, self.now)
             leader.lead.apply_report(name, report)
 
     def lead_order(self, node, reaches_store):
-        passed = node.share.elapsed(self.now)
+        passed = node.rollout.elapsed(self.now)
         order = TrackedOrder(self.order, 0.0, node.status)
         phase = Phase.UNDONE
-        if node.share.ended is not Phase.UNDONE:
+        if node.rollout.ended is not Phase.UNDONE:
             live = [each.name for each in self.reached(node)]
             decided = node.lead.decide(
                 order,
@@ -274,7 +274,7 @@
     def receive_update(self, node, phase, passed, side):
         if node.alive and node.side == side:
             update = RolloutUpdate("model", self.order.revision, phase, passed.min_s)
-            node.share.apply_update(update, self.now)
+            node.rollout.apply_update(update, self.now)
 
     def write(self, state, status):
         """Write a status unless another node has; requests at old replicas are then aborted."""
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_share.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/test_noderollout.py
@@ -3,13 +3,13 @@
 from chalkyoke.rollouts.exposure import Exposure, ExposureBounds
 from chalkyoke.rollouts.lead import Phase, RolloutLeader
 from chalkyoke.rollouts.messages import RolloutUpdate
+from chalkyoke.rollouts.noderollout import UPDATE_TTL_S, NodeRollout
 from chalkyoke.rollouts.resources import RolloutOrder
-from chalkyoke.rollouts.share import UPDATE_TTL_S, NodeRollout
 
 BOUNDS = ExposureBounds(share=0.1, slack=0.0)
 
 
-def share(over_s=20.0):
+def make_rollout(over_s=20.0):
     order = RolloutOrder("s", "2", 2, over_s, 5)
     return NodeRollout(order, Exposure(BOUNDS, 3, lambda: 0.0), 0.0, 0.0)
 
@@ -27,7 +27,7 @@
 
 
 def test_new_version_gets_no_requests_without_a_current_update_of_the_leader():
-    node = share()
+    node = make_rollout()
     assert send(node, 100, 1.0) == 0
     update(node, Phase.TRIAL, 1.0)
     assert send(node, 100, 1.1) > 0
@@ -35,7 +35,7 @@
 
 
 def test_trial_uses_its_fraction_of_the_operators_share_and_no_retries():
-    node = share()
+    node = make_rollout()
     update(node, Phase.TRIAL, 0.0)
     assert send(node, 1000, 0.1) == 49
     node.exposure.count_sent()
@@ -43,7 +43,7 @@
 
 
 def test_requests_that_outlast_the_deadline_move_first_and_all_move_after_it():
-    node = share()
+    node = make_rollout()
     update(node, Phase.CLOSING, 16.0)
     send(node, 400, 16.0)
     while node.admit_to_new_version(0.1, 16.1, again=False):
@@ -54,7 +54,7 @@
 
 
 def test_rolled_back_version_stays_so_despite_updates_of_another_leader():
-    node = share()
+    node = make_rollout()
     update(node, Phase.TRIAL, 0.0)
     update(node, Phase.UNDONE, 0.5)
     update(node, Phase.TRIAL, 0.6)
@@ -63,13 +63,13 @@
 
 
 def test_age_of_an_order_is_at_least_what_another_node_reports():
-    node = share()
+    node = make_rollout()
     node.update_elapsed(7.0, 5.0)
     assert (node.elapsed(5.0).min_s, node.elapsed(5.0).max_s) == (7.0, 7.0)
 
 
 def test_reports_may_be_repeated_and_later_ones_do_not_change_sent_ones():
-    node, lead = share(), RolloutLeader()
+    node, lead = make_rollout(), RolloutLeader()
     node.count_end("r", "", failed=False, ratio=1.0)
     first = node.report(1.0, 2, whole=False)
     node.count_end("r", "", failed=True, ratio=0.0)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -283,22 +283,22 @@
             await each.declare("ready")
         await asyncio.sleep(1.0)
 
-        def shares():
-            return [node.rollouts._shares["model"] for node in fleet.nodes]
+        def rollouts():
+            return [node.rollouts._rollouts["model"] for node in fleet.nodes]
 
         async def order():
             fleet.store.put(ORDER_KEY, ORDER)
             await asyncio.sleep(2.0)
             assert STATUS_KEY in fleet.store.items
-            order.shares = shares()
+            order.rollouts = rollouts()
 
         await restore(fleet, order)
         assert STATUS_KEY not in fleet.store.items
         await asyncio.sleep(AGREED_S)
-        kept = shares() == order.shares
+        kept = rollouts() == order.rollouts
         fleet.store.put(ORDER_KEY, ORDER)
         await asyncio.sleep(2.0)
-        return kept and shares() == order.shares, STATUS_KEY in fleet.store.items
+        return kept and rollouts() == order.rollouts, STATUS_KEY in fleet.store.items
 
     found, _ = play_path("/chat/1", story)
     assert found == (True, True)
