--- a/packages/chalkyoke/src/chalkyoke/balancing/local.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/local.py
@@ -134,7 +134,7 @@
     def are_all_unreachable(
         self, replicas: Iterable[Replica], now: float, *, tried: Collection[str]
     ) -> bool:
-        """Tell whether a request has tried all replicas and all are in connection backoff.
+        """Return whether a request has tried all replicas and all are in connection backoff.
 
         Another immediate attempt would only wait for one more time-out.
 
--- a/packages/chalkyoke/src/chalkyoke/balancing/observer.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/observer.py
@@ -100,7 +100,7 @@
         return tuple(found[:max_suspects])
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether there is no evidence and no recent count of any route."""
+        """Return whether there is no evidence and no recent count of any route."""
         return not self._evidence and all(
             now - each.at > ROUTE_HALF_LIFE_S for each in self._routes.values()
         )
--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -48,7 +48,8 @@
 # at least this many seconds. This is a trade-off: the other replica reads the whole prompt again.
 STALL_MIN_S = 0.9
 STALL_GAP_GOALS = 2.0
-# Number of goals to wait for a first output, where another replica may be tried.
+# Time to wait for the first output before another replica is tried, as a multiple of the goal of
+# the route.
 FIRST_STALL_GOALS = 1.5
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
@@ -77,17 +78,17 @@
     :param parts: components that all exchanges share.
     """
 
-    def __init__(self, parts: GatewayParts, request: Request, answering: ResponseWriter) -> None:
+    def __init__(self, parts: GatewayParts, request: Request, response: ResponseWriter) -> None:
         self._parts = parts
         self._feedback = Feedback(parts)
         self._request = request
-        self._answering = answering
+        self._response = response
         self._fields = parts.headers.read_request(request.headers)
         after_event = self._fields.last_event_id
         after_number = int(after_event) if after_event.isdigit() else -1
-        self._delivery = Delivery(answering, EventSplitter(after_number))
+        self._delivery = Delivery(response, EventSplitter(after_number))
         self._progress = _Progress()
-        self._replies = Replies(parts, answering, self._delivery, self._progress.sends)
+        self._replies = Replies(parts, response, self._delivery, self._progress.sends)
         self._connection: ClientConnection | None = None
         self._granted: Granted | None = None
         self._admission: Admission | None = None
@@ -315,7 +316,7 @@
         elif next_step is NextStep.FAIL:
             self._replies.send_answer(502, f"replica: {end}", None)
         elif next_step is NextStep.BREAK_OFF:
-            self._answering.abort()
+            self._response.abort()
         parts.log_decision(
             "ended",
             admission,
@@ -551,7 +552,7 @@
         self._release_cancelled(admission)
         self._parts.log_decision("expired", admission, sends=self._progress.sends.arrivals)
         if self._delivery.head_sent:
-            self._answering.abort()
+            self._response.abort()
         elif sent:
             self._replies.send_answer(504, "no answer in time", None)
         else:
--- a/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
@@ -85,7 +85,12 @@
             parts.on_plain_request_ended(admission, granted.replica, failed)
 
     def _record_quarantine_evidence(
-        self, admission: Admission, replica: Replica, end: SendEnd, output: float, request: Identity
+        self,
+        admission: Admission,
+        replica: Replica,
+        end: SendEnd,
+        output_s: float,
+        request: Identity,
     ) -> None:
         """Report to the quarantine what the end suggests about a request that ends replicas."""
         quarantine = self._parts.quarantine
@@ -94,9 +99,9 @@
         if end is SendEnd.DELIVERED:
             quarantine.record_delivered(replica, request)
         elif end is SendEnd.BROKEN:
-            quarantine.record_broken(admission, replica, request(), output)
+            quarantine.record_broken(admission, replica, request(), output_s)
         elif end is SendEnd.STALLED:
-            quarantine.record_abandoned(replica, request(), output)
+            quarantine.record_abandoned(replica, request(), output_s)
         else:
             quarantine.record_answer(replica)
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/gateway.py
@@ -24,9 +24,9 @@
         """Count the requests that are being answered."""
         return len(self._exchanges)
 
-    def start_exchange(self, request: Request, answering: ResponseWriter) -> Exchange:
+    def start_exchange(self, request: Request, response: ResponseWriter) -> Exchange:
         """Start the task that answers a request."""
-        exchange = Exchange(self._parts, request, answering)
+        exchange = Exchange(self._parts, request, response)
         exchange.task = asyncio.get_running_loop().create_task(exchange.run())
         self._exchanges[exchange.task] = exchange
         exchange.task.add_done_callback(self._on_task_done)
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -51,7 +51,7 @@
 # Interval at which a scheduler that has queued a request is checked for being alive, in seconds:
 # half of the shortest goal in use.
 QUEUE_CHECK_INTERVAL_S = 0.15
-# Time for which no request asks a scheduler that was silent to one of them, in seconds.
+# Time for which all requests skip a scheduler that did not answer one of them, in seconds.
 SILENT_SCHEDULER_AVOID_S = 0.4
 # Highest number of schedulers that a request asks: the owner, the next one in another failure
 # domain and the next one in this node's own.
--- a/packages/chalkyoke/src/chalkyoke/gateway/localchoice.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/localchoice.py
@@ -23,8 +23,9 @@
 
 # Interval at which the node looks for a free replica, in seconds.
 POLL_INTERVAL_S = 0.01
-# Share of the time to its goal for which a request waits until a limit allows it; the rest is left
-# for the answer. The share shrinks by a factor for each more urgent rank, up to a number of ranks.
+# Share of the time to its goal for which a request of the most urgent rank waits until a limit
+# allows it; the rest is left for the answer. Each less urgent rank multiplies the share by
+# LIMIT_WAIT_SHARE_PER_RANK, up to MAX_RANKS times.
 LIMIT_WAIT_SHARE = 0.5
 LIMIT_WAIT_SHARE_PER_RANK = 0.7
 MAX_RANKS = 3
@@ -168,7 +169,7 @@
         return now
     if now >= admission.due_at:
         return admission.patience_until
-    share = LIMIT_WAIT_SHARE * LIMIT_WAIT_SHARE_PER_RANK ** min(MAX_RANKS, admission.urgency)
+    share = LIMIT_WAIT_SHARE * LIMIT_WAIT_SHARE_PER_RANK ** min(MAX_RANKS, admission.rank_in_team)
     return now + (admission.due_at - now) * share
 
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/reception.py
@@ -68,7 +68,7 @@
     patience_until: float
 
     @property
-    def urgency(self) -> int:
+    def rank_in_team(self) -> int:
         """Rank of the request among those of its team; 0 is the most urgent."""
         return self.route.rank
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/relay.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/relay.py
@@ -31,7 +31,7 @@
     :ivar head_sent: whether the head of an answer has been forwarded.
     """
 
-    answering: ResponseWriter
+    response: ResponseWriter
     splitter: EventSplitter
     events: int = 0
     first_at: float = 0.0
@@ -110,7 +110,7 @@
         if self._is_event_stream:
             self._forward_events(data, now)
         elif self._is_forwarding:
-            self._delivery.answering.send_body(data)
+            self._delivery.response.send_body(data)
         else:
             self._buffer(data, now)
 
@@ -123,7 +123,7 @@
         elif self._is_event_stream:
             self._end_stream()
         elif self._is_forwarding:
-            self._delivery.answering.finish()
+            self._delivery.response.finish()
             self._finish(SendEnd.DELIVERED)
         else:
             self._finish(self._classify(head))
@@ -147,7 +147,7 @@
         body = b"".join(self._buffered)
         whole = AnswerHead(head.status, head.reason, end_to_end_headers(head.headers), len(body))
         self._begin_answer(whole, body, self._clock())
-        self._delivery.answering.finish()
+        self._delivery.response.finish()
 
     def _is_usable(self) -> bool:
         """Return whether the answer is signed by the replica and not re-encoded on the way."""
@@ -196,7 +196,7 @@
         self.events += whole_events.count
         self._delivery.events += whole_events.count
         if self._delivery.head_sent:
-            self._delivery.answering.send_body(whole_events.data)
+            self._delivery.response.send_body(whole_events.data)
         elif self.head is not None:
             head = self.head
             caller_head = AnswerHead(
@@ -207,13 +207,13 @@
     def _begin_answer(self, head: AnswerHead, data: bytes, now: float) -> None:
         self._delivery.head_sent = True
         self._delivery.first_at = now
-        self._delivery.answering.send_head(head, data)
+        self._delivery.response.send_head(head, data)
 
     def _end_stream(self) -> None:
         if self._delivery.splitter.has_partial or not self._delivery.head_sent:
             self._finish(SendEnd.BROKEN)
             return
-        self._delivery.answering.finish()
+        self._delivery.response.finish()
         self._finish(SendEnd.DELIVERED)
 
     def _finish(self, end: SendEnd) -> None:
--- a/packages/chalkyoke/src/chalkyoke/gateway/replies.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/replies.py
@@ -27,10 +27,10 @@
     """
 
     def __init__(
-        self, parts: GatewayParts, answering: ResponseWriter, delivery: Delivery, sends: SendCounts
+        self, parts: GatewayParts, response: ResponseWriter, delivery: Delivery, sends: SendCounts
     ) -> None:
         self._parts = parts
-        self._answering = answering
+        self._response = response
         self._delivery = delivery
         self._sends = sends
 
@@ -45,10 +45,10 @@
             bounded = min(MAX_RETRY_AFTER_S, max(0.0, retry_after_s))
             headers.append((b"Retry-After", b"%.2f" % bounded))
         body = reason.encode()
-        self._answering.send_head(
+        self._response.send_head(
             AnswerHead(status, reason_phrase(status), headers, len(body)), body
         )
-        self._answering.finish()
+        self._response.finish()
 
     def refuse(self, admission: Admission, reason: str, retry_after_s: float) -> None:
         """Answer that the request has not run and never will.
@@ -57,7 +57,7 @@
         a 502: the node knows only that it received no answer.
         """
         if self._delivery.head_sent:
-            self._answering.abort()
+            self._response.abort()
             return
         if self._sends.runs > 0 and admission.route.repeatable:
             self._parts.log_decision(
@@ -98,7 +98,7 @@
             "held_back", admission, digest=digest.hex(), sends=self._sends.arrivals
         )
         if self._delivery.head_sent:
-            self._answering.abort()
+            self._response.abort()
         else:
             self.send_answer(
                 502, "held back: replicas have ended while they ran this request", None
@@ -110,6 +110,6 @@
         If nothing was sent, the caller gets an answer: closing the connection would give it none.
         """
         if self._sends.runs or self._delivery.head_sent:
-            self._answering.abort()
+            self._response.abort()
         else:
             self.send_answer(503, "internal fault", RETRY_SOON_S)
--- a/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/tests/test_exchange.py
@@ -86,7 +86,7 @@
     """Create an exchange that gets grants and connections from the given coroutine functions."""
     catalog = replace(CATALOG, routes=(route,))
     loop = asyncio.get_running_loop()
-    quotas, answering = Quotas(), Answering()
+    quotas, response = Quotas(), Answering()
     released = []
     parts = GatewayParts(
         catalog=lambda: catalog,
@@ -114,7 +114,7 @@
         announcements=SimpleNamespace(),
     )
     request = Request(b"POST", b"/x", [(b"host", b"h")], b"{}")
-    return Exchange(parts, request, answering), quotas, answering
+    return Exchange(parts, request, response), quotas, response
 
 
 def test_a_refused_request_gets_its_quota_refunded():
@@ -122,9 +122,9 @@
         async def acquire(*_):
             return Denied("shed", 0.5)
 
-        exchange, quotas, answering = exchange_with(acquire)
+        exchange, quotas, response = exchange_with(acquire)
         await exchange.run()
-        assert answering.status == 503
+        assert response.status == 503
         assert quotas.refunded == [(1000.0, 7)]
 
     virtual.run(main)
@@ -168,10 +168,10 @@
         async def acquire(*_):
             return Denied("shed", 0.5)
 
-        exchange, _, answering = exchange_with(acquire, route=replace(ROUTE, resumable=True))
+        exchange, _, response = exchange_with(acquire, route=replace(ROUTE, resumable=True))
         exchange._progress.sends.runs = 1
         await exchange.run()
-        assert answering.status == 502
+        assert response.status == 502
 
     virtual.run(main)
 
@@ -211,7 +211,7 @@
             sent.append(SilentConnection())
             return sent[-1]
 
-        exchange, _, answering = exchange_with(acquire, connect)
+        exchange, _, response = exchange_with(acquire, connect)
         parts = exchange._parts
         if stage == "quota":
             parts.quotas.charge = forever
@@ -223,7 +223,7 @@
         exchange.caller_left()
         await asyncio.gather(exchange.task, return_exceptions=True)
         assert [each.closed for each in sent] == [True] * (stage == "answer")
-        assert answering.status is None
+        assert response.status is None
 
     virtual.run(main)
 
@@ -233,10 +233,10 @@
         async def acquire(*_):
             raise ValueError("broken")
 
-        exchange, quotas, answering = exchange_with(acquire)
+        exchange, quotas, response = exchange_with(acquire)
         with pytest.raises(ValueError, match="broken"):
             await exchange.run()
-        assert answering.status == 503
+        assert response.status == 503
         assert quotas.refunded == [(1000.0, 7)]
 
     virtual.run(main)
@@ -254,7 +254,7 @@
             return SilentConnection()
 
         route = replace(ROUTE, kind=RouteKind.IDEMPOTENT, attempts=2)
-        exchange, _, answering = exchange_with(acquire, connect, route)
+        exchange, _, response = exchange_with(acquire, connect, route)
         parts = exchange._parts
         parts.connections.abort_idle = lambda ip, port: dropped.append((ip, port))
         parts.headers.forwarded_headers = lambda headers, forwarding: []
@@ -265,7 +265,7 @@
         parts.balancer.stats = lambda replica: SimpleNamespace(record_failure=lambda *_: None)
         await exchange.run()
         assert dropped == [(REPLICA.ip, REPLICA.port)]
-        assert answering.status == 502
+        assert response.status == 502
 
     virtual.run(main)
 
@@ -290,12 +290,12 @@
         async def connect(*_, **__):
             return SilentConnection()
 
-        exchange, _, answering = exchange_with(acquire, rollouts=OldReplicasAbandoned())
+        exchange, _, response = exchange_with(acquire, rollouts=OldReplicasAbandoned())
         exchange._parts.connections = SimpleNamespace(
             connect=connect, release=lambda *where: given_back.append(where)
         )
         await exchange.run()
-        assert answering.status == 503
+        assert response.status == 503
         assert len(given_back) == 1
 
     virtual.run(main)
--- a/packages/chalkyoke/src/chalkyoke/gateway/verdict.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/verdict.py
@@ -11,11 +11,12 @@
 
 from chalkyoke.catalog.resources import Route
 
-# Statuses of HTTP (RFC 9110).
+# HTTP statuses (RFC 9110). The lowest status of a server error.
 SERVER_ERROR_MIN = 500
-# (RFC 9110): another replica serves at this address.
+# The request reached another replica than it was meant for, which serves at this address now.
 MISDIRECTED = 421
-# With a Retry-After time: the replica wants no requests from this sender for that time.
+# If the answer has a Retry-After time, the replica wants no requests from this sender for that
+# time.
 UNAVAILABLE = 503
 
 
--- a/packages/chalkyoke/src/chalkyoke/limits/allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/allowance.py
@@ -80,8 +80,8 @@
         self.consume(now)
         return wait_s
 
-    def give_back(self) -> None:
-        """Return the permit of a request that was never sent."""
+    def refund(self) -> None:
+        """Refund the permit of a request that was never sent."""
         self._bucket.level = min(self._bucket.capacity, self._bucket.level + 1.0)
 
     def _rate(self) -> float:
--- a/packages/chalkyoke/src/chalkyoke/limits/client.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/client.py
@@ -141,7 +141,7 @@
             return
         if permit.keeper == NO_KEEPER:
             if (allowance := self._own_allowances.get(permit.replica)) is not None:
-                allowance.give_back()
+                allowance.refund()
             return
         returned = PermitReturned(permit.service, permit.replica)
         if self._port.is_here(permit.keeper):
@@ -219,7 +219,7 @@
     def _apply_returned(self, message: PermitReturned) -> None:
         allowance = self._keeper.allowance(message.service, message.replica, self._now())
         if allowance is not None:
-            allowance.give_back()
+            allowance.refund()
 
     # Housekeeping.
 
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
@@ -21,7 +21,7 @@
 def test_waiting_requests_are_sent_one_after_the_other():
     allowance = Allowance(2.0, 1.0, 0.0)
     assert [allowance.reserve(1.2, 0.0) for _ in range(3)] == [0.5, 1.0, None]
-    allowance.give_back()
+    allowance.refund()
     assert allowance.reserve(1.2, 0.0) == 1.0
 
 
@@ -60,16 +60,16 @@
                 self.sent.append(self.now + wait_s)
 
     @rule()
-    def give_back(self):
+    def refund(self):
         if self.sent and self.sent[-1] >= self.now:
             self.sent.pop()
-            self.allowance.give_back()
+            self.allowance.refund()
 
     @rule(limit_per_s=LIMITS)
     def change_limit(self, limit_per_s):
         # Requests that wait under an earlier limit return their permits and request new ones.
         for _ in [each for each in self.sent if each > self.now]:
-            self.allowance.give_back()
+            self.allowance.refund()
         self.sent = [each for each in self.sent if each <= self.now]
         self.allowance.reconfigure(limit_per_s, 1.0, self.now)
         self.limits.append((self.now, limit_per_s))
--- a/packages/chalkyoke/src/chalkyoke/membership/inside.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/inside.py
@@ -18,7 +18,7 @@
     spacing_s,
     suspect_timeout_s,
 )
-from chalkyoke.membership.state import NEVER_HEARD_S, Candidate, Change, Joined, Left, Member
+from chalkyoke.membership.state import NO_HEARTBEAT_S, Candidate, Change, Joined, Left, Member
 
 # Number of members that receive the heartbeats of all others in a large domain: three, so that one
 # remains when one is lost and another is frozen. The best ranked of them report the domain to other
@@ -109,7 +109,7 @@
         :param beat: heartbeat number of this process.
         """
         return any(
-            each.alive and (each.beat > beat or each.last_beat_s == NEVER_HEARD_S)
+            each.alive and (each.beat > beat or each.last_beat_s == NO_HEARTBEAT_S)
             for each in self._members.values()
         )
 
@@ -190,7 +190,7 @@
         changes: list[Change] = []
         spacing = self.spacing_s
         timeout = suspect_timeout_s(spacing, self._interval_s)
-        listed = self._rosters.vouched_members(
+        listed = self._rosters.listed_members(
             now, roster_timeout_s(spacing, self._interval_s), timeout
         )
         for record in listed.values():
@@ -216,14 +216,14 @@
             # Rosters sent before expire by themselves while all members resume direct heartbeats.
             self._own_roster = OwnRoster()
             return None
-        heard_members: list[MemberRecord] = []
+        directly_live: list[MemberRecord] = []
         if self.is_monitor:
             timeout = suspect_timeout_s(self.spacing_s, self._interval_s)
-            heard_members = [self.record]
-            heard_members += [
+            directly_live = [self.record]
+            directly_live += [
                 each.record for each in self._members.values() if now - each.last_beat_s <= timeout
             ]
-        self._own_roster.update(heard_members)
+        self._own_roster.update(directly_live)
         return self._own_roster.next_change(self.digest())
 
     def summary(self) -> Summary | None:
@@ -291,11 +291,12 @@
         return [known[silent[self._probe_count % len(silent)]].address]
 
     def _adopt_record(
-        self, record: MemberRecord, heard_since_s: float, listed: Mapping[str, MemberRecord]
+        self, record: MemberRecord, heartbeat_since_s: float, listed: Mapping[str, MemberRecord]
     ) -> list[Change]:
         """Apply the record of a member from a monitor's roster.
 
-        :param heard_since_s: the known record stays if its last heartbeat is not older than this.
+        :param heartbeat_since_s: the known record stays if its last heartbeat is not older than
+            this time.
         :param listed: member records on any monitor's roster, by process id.
         """
         if record.host == self.record.host:
@@ -303,14 +304,14 @@
         member = self._members.get(record.host)
         if member is None:
             # The caller then determines whether the member is alive.
-            self._members[record.host] = Member(record, 0, NEVER_HEARD_S, alive=False)
+            self._members[record.host] = Member(record, 0, NO_HEARTBEAT_S, alive=False)
             return []
         if record.incarnation == member.record.incarnation:
             if record.edition > member.record.edition:
                 member.record = record
                 self.generation += 1
             return []
-        is_known_better = member.last_beat_s >= heard_since_s or member.record.process in listed
+        is_known_better = member.last_beat_s >= heartbeat_since_s or member.record.process in listed
         if record.incarnation in member.retired or is_known_better:
             return []
         changes: list[Change] = [Left(member.record)] if member.alive else []
--- a/packages/chalkyoke/src/chalkyoke/membership/rosters.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/rosters.py
@@ -70,7 +70,7 @@
         roster.version = checksum(roster.records.values())
         return self.confirm(message.digest, now)
 
-    def vouched_members(
+    def listed_members(
         self, now: float, timeout_s: float, own_timeout_s: float
     ) -> Mapping[str, MemberRecord]:
         """List the members on any monitor's roster by process id, and drop expired rosters.
--- a/packages/chalkyoke/src/chalkyoke/membership/state.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/state.py
@@ -10,7 +10,7 @@
 from chalkyoke.membership.messages import Digest, MemberRecord
 
 # Time of the last heartbeat, in seconds, of a member that has never sent one to this process.
-NEVER_HEARD_S = float("-inf")
+NO_HEARTBEAT_S = float("-inf")
 
 
 class Candidate(msgspec.Struct, frozen=True):
@@ -29,7 +29,7 @@
     """One process of this failure domain.
 
     :param last_beat_s: when its heartbeat number last advanced, in seconds on this process's clock;
-        ``NEVER_HEARD_S`` if only other processes receive its heartbeats.
+        ``NO_HEARTBEAT_S`` if only other processes receive its heartbeats.
     :param retired: earlier incarnations of the host; their messages are ignored.
     """
 
--- a/packages/chalkyoke/src/chalkyoke/membership/view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/view.py
@@ -28,7 +28,8 @@
 from chalkyoke.membership.state import Candidate, Change, Joined
 
 DEFAULT_INTERVAL_S = 0.25
-# Number of full heartbeats after a change of the record, and then one full heartbeat in this many.
+# Number of heartbeat intervals after a change of the record in which heartbeats are full. Later,
+# heartbeats whose number is a multiple of FULL_EVERY_BEATS are full, and the others are short.
 FULL_BEATS_AFTER_CHANGE = 4
 FULL_EVERY_BEATS = 5
 # Number of heartbeats in which a new member does not report its domain, because other members know
@@ -197,9 +198,9 @@
             *self._other_domains.rankings().values(),
         ]:
             first = ranking[:REPORTERS]
-            mine = self.record.host
-            if len(ranking) <= MAX_FULL_MESH_MEMBERS or mine in {each.host for each in first}:
-                direct += [each.address for each in ranking if each.host != mine]
+            own_host = self.record.host
+            if len(ranking) <= MAX_FULL_MESH_MEMBERS or own_host in {each.host for each in first}:
+                direct += [each.address for each in ranking if each.host != own_host]
             else:
                 relays += [each.address for each in first]
         return direct, relays
@@ -235,7 +236,7 @@
         A change of this process's announced state makes a heartbeat due at once.
 
         :param now: seconds on this process's monotonic clock.
-        :rtype: list[Send]
+        :rtype: list[OutgoingMessage]
         """
         self._beat += 1
         sends: list[OutgoingMessage] = []
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -600,7 +600,7 @@
         self.quarantine.apply_stored_holds(state.held_requests, state.released_requests)
 
     def _epoch_changed(self, epoch: int) -> None:
-        """Check this node's records in the store again if it was restored from a copy."""
+        """Check this node's records again after a restore of the store from a backup."""
         before, self._store_epoch = self._store_epoch, epoch
         if not before:
             return
--- a/packages/chalkyoke/src/chalkyoke/node/pages.py
+++ b/packages/chalkyoke/src/chalkyoke/node/pages.py
@@ -38,19 +38,19 @@
         self._is_ready = is_ready
         self._metrics = metrics
 
-    def start(self, request: Request, answering: ResponseWriter) -> _FinishedPage:
+    def start(self, request: Request, response: ResponseWriter) -> _FinishedPage:
         """Answer one page request at once; 404 for other paths."""
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
             status = 200 if self._is_ready() else 503
-            self._respond(answering, status, b"ready" if status == 200 else b"not ready")
+            self._respond(response, status, b"ready" if status == 200 else b"not ready")
         elif path == METRICS_PATH:
-            self._respond(answering, 200, metrics_page(self._metrics))
+            self._respond(response, 200, metrics_page(self._metrics))
         else:
-            self._respond(answering, 404, b"no such page")
+            self._respond(response, 404, b"no such page")
         return _FinishedPage()
 
-    def _respond(self, answering: ResponseWriter, status: int, body: bytes) -> None:
+    def _respond(self, response: ResponseWriter, status: int, body: bytes) -> None:
         headers: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
-        answering.send_head(AnswerHead(status, reason_phrase(status), headers, len(body)), body)
-        answering.finish()
+        response.send_head(AnswerHead(status, reason_phrase(status), headers, len(body)), body)
+        response.finish()
--- a/packages/chalkyoke/src/chalkyoke/node/peers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/peers.py
@@ -110,8 +110,8 @@
         self._follow_view()
         if team not in self._owners:
             found = self._ranked(team)[:1]
-            mine = not found or found[0].host == self._view.record.host
-            self._owners[team] = None if mine else found[0].address
+            is_owned = not found or found[0].host == self._view.record.host
+            self._owners[team] = None if is_owned else found[0].address
         return self._owners[team]
 
     def successors(self, team: str) -> list[str]:
@@ -147,8 +147,8 @@
 
     def others(self) -> list[str]:
         """List the link addresses of the other live nodes."""
-        mine = self._view.record.host
-        return [each.address for each in self._view.live() if each.host != mine]
+        own_host = self._view.record.host
+        return [each.address for each in self._view.live() if each.host != own_host]
 
     def knows_owners(self) -> bool:
         """Return whether this node sees enough of the fleet to rely on computed owners."""
--- a/packages/chalkyoke/src/chalkyoke/node/registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/registration.py
@@ -89,9 +89,9 @@
         self._restored = asyncio.Event()
 
     def store_restored(self, epoch: int) -> None:
-        """Check the registration soon, as the store was restored from a copy.
+        """Check the registration soon, as the store was restored from a backup.
 
-        The copy may lack this node's entry.
+        The backup may lack this node's entry.
 
         :param epoch: the epoch of the restored store.
         """
--- a/packages/chalkyoke/src/chalkyoke/node/schedulers.py
+++ b/packages/chalkyoke/src/chalkyoke/node/schedulers.py
@@ -66,7 +66,7 @@
     :param process: id of this process.
     :param send: sends a message to a process by its link address.
     :param now: seconds on the monotonic clock since this process started.
-    :param source: random numbers in [0, 1).
+    :param random_source: source of random numbers in [0, 1).
     :param features: enabled parts of the policy; all of them if None.
     :param keeper: counts the requests to upstreams that state a limit; None if upstreams can't
         state one.
@@ -87,7 +87,7 @@
         events: EventRing,
         metrics: Metrics,
         now: Callable[[], float],
-        source: Callable[[], float] = random.random,
+        random_source: Callable[[], float] = random.random,
         features: Features | None = None,
         keeper: LimitKeeper | None = None,
         *,
@@ -109,7 +109,7 @@
         self._owners: dict[str, str] = {}
         self._live_addresses: dict[str, str] = {}
         self._moved_since: dict[str, float] = {}
-        self._random = source
+        self._random = random_source
         self._features = features
         self._keeper = keeper
         self._acknowledge = acknowledge
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_registration.py
@@ -1,4 +1,4 @@
-"""Registration of nodes in the store: unreadable entries, and a store restored from a copy."""
+"""Registration of nodes in the store: unreadable entries, and a store restored from a backup."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 
 
 class RestoredStore:
-    """A store that issues the same lease numbers again after a restore from a copy."""
+    """A store that issues the same lease numbers again after a restore from a backup."""
 
     def __init__(self):
         self.epoch = 1
--- a/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
@@ -52,7 +52,7 @@
         self._wake.set()
 
     def store_restored(self) -> None:
-        """Queue the records again that a store restored from a copy may have lost."""
+        """Queue the records again that a store restored from a backup may have lost."""
         self._lease_until = 0.0
         since = self._now() - MAX_BACKUP_AGE_S
         lost = [request for request, at in self._written if at >= since]
--- a/packages/chalkyoke/src/chalkyoke/quotas/client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/client.py
@@ -83,7 +83,7 @@
         """The cost of the request, in the units of the team's quota."""
 
     @property
-    def urgency(self) -> int:
+    def rank_in_team(self) -> int:
         """The rank of the request among those of its team; 0 is the most urgent."""
 
     @property
@@ -239,7 +239,7 @@
             request.cost,
             self._leases.cost_ahead(team),
             request.version,
-            request.urgency,
+            request.rank_in_team,
             *self._leases.take_remainder(team.name),
             self._leases.pop_unreported(team.name),
         )
@@ -263,7 +263,7 @@
         if isinstance(message, QuotaReturned):
             before = self._owner.spent(message.team, self._now())
             self._owner.apply_returned(message, self._now())
-            self._log_window(message.team, "returned", before, told_by=sender)
+            self._log_window(message.team, "returned", before, reported_by=sender)
             return
         if isinstance(message, QuotaWindows):
             self._owner.apply_window_updates(message, self._now())
@@ -276,7 +276,7 @@
             self._owner.apply_spending_report(team, message, self._port.presence(), self._now())
             if message.window:
                 how = "copied" if message.copied else "handed over"
-                self._log_window(message.team, how, before, told_by=sender)
+                self._log_window(message.team, how, before, reported_by=sender)
             return
         self._port.send(sender, self._answer(team, message))
 
@@ -292,19 +292,19 @@
         """
         if not self._owner.is_new_owner(team.name):
             return
-        mine = self._build_spending_report(team.name)
+        own_spending = self._build_spending_report(team.name)
         self._owner.start_owning(team, self._port.presence(), self._now())
-        self._owner.apply_spending_report(team, mine, self._port.presence(), self._now())
+        self._owner.apply_spending_report(team, own_spending, self._port.presence(), self._now())
         self._log_window(team.name, "opened", -1.0)
         for address in self._port.others():
             self._port.send(address, QuotaSurvey(team.name))
 
-    def _log_window(self, team: str, how: str, before: float, told_by: str = "") -> None:
+    def _log_window(self, team: str, how: str, before: float, reported_by: str = "") -> None:
         """Log a change of the cost in a team's window.
 
         :param how: the cause of the change.
         :param before: cost in the window before the change.
-        :param told_by: link address of the node that sent the information.
+        :param reported_by: link address of the node that reported the cost; empty for this node.
         """
         spent = self._owner.spent(team, self._now())
         if spent != before:
@@ -312,7 +312,7 @@
                 "quota_window",
                 team=team,
                 how=how,
-                told_by=told_by,
+                told_by=reported_by,
                 before=round(before),
                 spent=round(spent),
                 share=round(self._port.presence().share, 3),
@@ -347,9 +347,11 @@
         Call after each change of the membership and about once a second, so that an owner knows the
         earlier spending before the first request.
         """
-        mine = self._port.owner
-        for returned in self._owner.release_unowned(lambda team: mine(team) is None, self._now()):
-            address = mine(returned.team)
+        owner_address = self._port.owner
+        for returned in self._owner.release_unowned(
+            lambda team: owner_address(team) is None, self._now()
+        ):
+            address = owner_address(returned.team)
             if address is not None:
                 self._port.send(address, returned)
         if self._now() < OWNERSHIP_DELAY_S:
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -83,7 +83,7 @@
         if lease.lease_window != lease_window:
             return False
         lease.balance += cost
-        self._spending_window(team).give_back(cost, now)
+        self._spending_window(team).subtract_unspent(cost, now)
         return True
 
     def cost_ahead(self, team: Team) -> float:
--- a/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/ledger.py
@@ -155,7 +155,7 @@
 
     def return_unspent(self, amount: float, now: float) -> None:
         """Subtract leased cost that a node returned unspent."""
-        self.leased -= self.window.give_back(amount, now)
+        self.leased -= self.window.subtract_unspent(amount, now)
 
     def own_spending(self, now: float) -> Parts:
         """Return the cost that only this node knows, by part of the window, oldest first."""
@@ -214,8 +214,8 @@
         """Cap the share in use at the share whose spending is known; it grows as the window passes.
 
         The copy of an owner that saw one side of a partition lacks the spending on the other sides.
-        If all copies from those sides are lost, using the whole limit beside this copy brings a
-        window to 1.13 of its limit.
+        If all copies from those sides are lost, leasing the whole limit in addition to the spending
+        in this copy would bring the window to 1.13 times its limit.
         """
         if share < self.share:
             self.share, self.share_at = share, now
--- a/packages/chalkyoke/src/chalkyoke/quotas/owner.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/owner.py
@@ -282,16 +282,16 @@
         if ledger is not None and now - ledger.started_at > SURVEY_S:
             ledger.apply_returned(message.parts, message.share, now)
 
-    def release_unowned(self, mine: Callable[[str], bool], now: float) -> list[QuotaReturned]:
+    def release_unowned(self, is_owned: Callable[[str], bool], now: float) -> list[QuotaReturned]:
         """Stop owning the teams that another node owns now.
 
         Their windows are kept for :data:`HAND_OFF_RETENTION_S` for the hand-off to the new owners.
 
-        :param mine: returns whether this node is a team's owner.
+        :param is_owned: returns whether this node is the owner of a team.
         :return: the cost that this node leased as one of several owners during a partition.
         """
         returned: list[QuotaReturned] = []
-        for name in [each for each in self._ledgers if not mine(each)]:
+        for name in [each for each in self._ledgers if not is_owned(each)]:
             ledger, own = self._ledgers[name], self._ledgers[name].own_spending(now)
             returns = ledger.share < FULL_SHARE and any(own)
             if returns:
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/fleet.py
@@ -112,8 +112,10 @@
         for name, node in self.nodes.items():
             if not any(name in side for side in self.sides):
                 continue
-            mine = self.owner_of(name) == name
-            for message in node.owner.release_unowned(lambda _, m=mine: m, node.local(self.now)):
+            is_owner = self.owner_of(name) == name
+            for message in node.owner.release_unowned(
+                lambda _, m=is_owner: m, node.local(self.now)
+            ):
                 owner = self.nodes[self.owner_of(name)]
                 owner.owner.apply_returned(message, owner.local(self.now))
         for side in self.sides:
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_client.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_client.py
@@ -18,7 +18,7 @@
 class Charge:
     cost: float
     team: Team = TEAM
-    urgency: int = 0
+    rank_in_team: int = 0
     version: int = 1
 
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/window.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/window.py
@@ -68,7 +68,7 @@
             self._buckets.append((index, cost))
         self._sum += cost
 
-    def give_back(self, cost: float, now: float) -> float:
+    def subtract_unspent(self, cost: float, now: float) -> float:
         """Subtract unspent cost, as far as it is still in the window.
 
         :return: the cost that was subtracted.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
@@ -124,7 +124,7 @@
         return [entry for entry, until in self._rests.items() if until > now]
 
     def is_clear(self, now: float) -> bool:
-        """Tell whether the upstream neither declines requests nor asks any process for rest."""
+        """Return whether the upstream neither declines requests nor asks any process for rest."""
         counts = (streak.count for streak in (self._all, *self._domains.values()))
         return not any(counts) and not self.resting(now)
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
@@ -170,7 +170,7 @@
 
 
 def _could_start(item: WaitingRequest, upstream: Upstream, now: float) -> bool:
-    """Tell whether a slot is free and the optimistic prediction meets the deadline."""
+    """Return whether a slot is free and the optimistic prediction meets the deadline."""
     prediction = predict(item, upstream, 0, upstream.occupied(now) + 1, now)
     optimistic = prediction.first_s if item.has_goal else prediction.optimistic_s
     return upstream.has_slot(now) and now + optimistic <= item.deadline
--- a/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
@@ -138,12 +138,12 @@
         return True
 
     def _leaves_headroom(self, item: WaitingRequest, openings: Openings) -> bool:
-        """Tell whether enough slots stay free for higher tiers if a long request starts."""
+        """Return whether enough slots stay free for higher tiers if a long request starts."""
         free = openings.free_slots(item.route, item.domain, item.entry)
         return free > self._headroom.reserved_slots(item.rank)
 
     def _may_start(self, item: WaitingRequest, placement: Placement, now: float) -> bool:
-        """Tell whether to start a request, given its risk of being cut at its deadline."""
+        """Return whether to start a request, given its risk of being cut at its deadline."""
         prediction = placement.prediction
         assert prediction is not None
         if item.has_goal:
--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -133,7 +133,7 @@
             self.refusal_changes.append(RefusalChange(upstream.spec.id, refuses=False))
 
     def _may_suspend(self, now: float) -> bool:
-        """Tell whether one more upstream may be suspended.
+        """Return whether one more upstream may be suspended.
 
         At most half of the upstreams (but at least one) may be, so that a pool does not lose all
         its upstreams on suspicion.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/overlaps.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/overlaps.py
@@ -25,7 +25,7 @@
         self._sharing = {(one, other) for one in distinct for other in distinct if one & other}
 
     def __contains__(self, pair: object) -> bool:
-        """Tell whether two routes share an upstream; an unknown route shares none."""
+        """Return whether two routes share an upstream; an unknown route shares none."""
         if not isinstance(pair, tuple):
             return False
         one, other = (self._upstreams.get(name) for name in pair)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
@@ -26,22 +26,25 @@
 # Upper bound of the caution margin for a request without a goal, as a share of the time between
 # its arrival and its deadline.
 MAX_CAUTION_SHARE = 0.2
-# Penalties, in seconds, that rank an upstream that misses the goal after all that meet it, and one
-# where running streams would exceed their gap goals after all others; both exceed any real time.
-MISSED_GOAL_SCORE = 1e6
-HARM_SCORE = 1e3
+# Penalties in the score of an upstream, in seconds: for missing the goal, and for each running
+# stream of the highest tier that would exceed its gap goal. Both exceed any real time, so upstreams
+# that would stall streams rank after those that meet the goal without stalls, and upstreams that
+# miss the goal rank last.
+MISSED_GOAL_PENALTY_S = 1e6
+STALL_PENALTY_S = 1e3
 # Share of a stream's gap goal that a prefill may use; the rest is left for the network and for
 # tokens that are slower than predicted.
 PREFILL_GAP_SHARE = 0.65
-# Weight of a stalled stream relative to one of the next higher tier, as a factor.
-TIER_HARM_FACTOR = 0.5
+# Penalty for a stalled stream relative to that for a stream of the next higher tier, as a factor.
+STALL_FACTOR_PER_TIER = 0.5
 # Safety margin on the predicted time of the first output, as a share: one in ten takes twice as
 # long as predicted.
 FIRST_OUTPUT_RISK_SHARE = 0.5
-# Penalty for using a slot of an infinitely fast upstream instead of the slowest one, in seconds of
-# finish time. Short requests lose less than that on a slow upstream and leave the fast ones to long
-# requests, which would be cut at their deadlines elsewhere.
-SPARE_BONUS_S = 1.0
+# Highest penalty for using a slot of a fast upstream, in seconds of finish time: the slowest
+# upstream has none, and the penalty grows with the speed of the upstream up to this value. Short
+# requests lose less than that on a slow upstream and leave the fast ones to long requests, which
+# would be cut at their deadlines elsewhere.
+FAST_UPSTREAM_PENALTY_S = 1.0
 
 
 class Prediction(msgspec.Struct, frozen=True):
@@ -214,7 +217,7 @@
         if features.predict:
             score = _score(item, upstream, prediction, cached, now)
             if features.spare:
-                score += SPARE_BONUS_S * (1.0 - upstream.speed.token_time(1) / slowest)
+                score += FAST_UPSTREAM_PENALTY_S * (1.0 - upstream.speed.token_time(1) / slowest)
         if best is None or score < best[0]:
             best = (score, upstream, prediction)
 
@@ -258,10 +261,10 @@
     missed = lateness_s(item, now, prediction)
     overrun = now + prediction.cautious_s - item.answer_due
     if missed > -prediction.first_s * FIRST_OUTPUT_RISK_SHARE or overrun > 0:
-        return MISSED_GOAL_SCORE + max(missed, overrun)
+        return MISSED_GOAL_PENALTY_S + max(missed, overrun)
     stalled = streams_stalled_by(item, upstream, cached_blocks, now)
-    return prediction.finish_s + HARM_SCORE * sum(
-        TIER_HARM_FACTOR**each.tier_index for each in stalled
+    return prediction.finish_s + STALL_PENALTY_S * sum(
+        STALL_FACTOR_PER_TIER**each.tier_index for each in stalled
     )
 
 
@@ -305,7 +308,7 @@
 def _would_delay_running(
     item: WaitingRequest, upstream: Upstream, cached_blocks: int, now: float
 ) -> bool:
-    """Tell whether a prefill would make a running request of the same or a higher tier late."""
+    """Return whether a prefill would make a running request of the same or a higher tier late."""
     if not upstream.running:
         return False
     stall = upstream.speed.prefill_time(uncached_prompt_tokens(item, cached_blocks))
--- a/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
@@ -145,21 +145,21 @@
         self.upstreams[item.upstream].record_own_load(now)
 
     def has_lower_tier_waiting(self, item: WaitingRequest) -> bool:
-        """Tell whether a request of a lower tier waits for some of the same upstreams."""
+        """Return whether a request of a lower tier waits for some of the same upstreams."""
         return any(
             count > 0 and rank > item.rank and (route, item.route) in self.overlaps
             for (rank, route), count in self.waiting_counts.items()
         )
 
     def has_free_slot(self, now: float) -> bool:
-        """Tell whether any upstream that accepts new requests has a free slot.
+        """Return whether any upstream that accepts new requests has a free slot.
 
         :rtype: bool
         """
         return any(each.has_slot(now) and not each.leaving for each in self.upstreams.values())
 
     def is_mostly_free(self) -> bool:
-        """Tell whether no request waits and less than half of the available slots are in use.
+        """Return whether no request waits and less than half of the available slots are in use.
 
         A refusal in this state is hard to explain to its caller, whatever its reason.
         """
@@ -183,7 +183,7 @@
         return found
 
     def at_limit(self, team: str) -> bool:
-        """Tell whether a team has as many grants as its limit allows.
+        """Return whether a team has as many grants as its limit allows.
 
         :rtype: bool
         """
--- a/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
@@ -166,7 +166,7 @@
         if len(self._pool.waiting) <= MAX_WAITING_REQUESTS:
             return []
         victim = item
-        while (lower := self._lowest_beside(victim)).rank > victim.rank:
+        while (lower := self._last_of_lowest_tier(victim)).rank > victim.rank:
             victim = lower
         return [self.shed(victim, Reason.SHED, self.retry_after_s(victim.deadline - now))]
 
@@ -286,7 +286,7 @@
         return [each for each in self._pool.eligible.get(route, ()) if not each.leaving]
 
     def _is_hopeless(self, item: WaitingRequest, now: float) -> bool:
-        """Tell whether the deadline cannot be met even on an idle pool.
+        """Return whether the deadline cannot be met even on an idle pool.
 
         A retry with little time left would be cut in the middle of its answer, and its prefill
         would be wasted.
@@ -307,14 +307,14 @@
             return False
         return self._is_hopeless(item, now)
 
-    def _lowest_beside(self, item: WaitingRequest) -> WaitingRequest:
-        """Find the last request of the lowest tier among those that share upstreams with one."""
-        beside = (
+    def _last_of_lowest_tier(self, item: WaitingRequest) -> WaitingRequest:
+        """Return the last request of the lowest tier among those that share upstreams with one."""
+        sharing = (
             each
             for each in self._pool.waiting.values()
             if (each.route, item.route) in self._pool.overlaps
         )
-        return max(beside, key=lambda each: (each.rank, each.deadline, each.order))
+        return max(sharing, key=lambda each: (each.rank, each.deadline, each.order))
 
     def _build_refusal(
         self, item: WaitingRequest, reason: Reason, retry_after_s: float | None
@@ -331,7 +331,7 @@
 
 
 def _should_refuse_closed(closure: Closure, item: WaitingRequest, now: float) -> bool:
-    """Tell whether to refuse a request immediately instead of holding it for closed upstreams.
+    """Return whether to refuse a request immediately instead of holding it for closed upstreams.
 
     A request is held if it can start within its goal, or if it can still be served and the caller
     cannot wait for so long a Retry-After.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/scheduler.py
@@ -121,7 +121,7 @@
         return self._pool.upstreams
 
     def is_waiting(self, request: str) -> bool:
-        """Tell whether a request is waiting for a grant.
+        """Return whether a request is waiting for a grant.
 
         :rtype: bool
         """
@@ -221,7 +221,7 @@
         """Refund the upstream's limit for a request that was granted but never sent."""
         unsent = message.outcome in UNSENT_OUTCOMES and message.usage.total_s == 0.0
         if unsent and item.counts_toward_limit and upstream.allowance is not None:
-            upstream.allowance.give_back()
+            upstream.allowance.refund()
 
     def apply_progress(self, entry: str, message: Progress, now: float) -> list[AddressedAction]:
         """Update running requests from a progress report and end grants whose release was lost.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/state.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/state.py
@@ -264,7 +264,7 @@
         return len(self.running) + foreign
 
     def has_slot(self, now: float) -> bool:
-        """Tell whether the upstream has a free slot and its announced limit allows a request.
+        """Return whether the upstream has a free slot and its announced limit allows a request.
 
         :rtype: bool
         """
@@ -280,7 +280,7 @@
         return now if self.allowance is None else now + self.allowance.opens_in_s(now)
 
     def is_usable(self, domain: str, now: float) -> bool:
-        """Tell whether entry processes of a failure domain may be granted this upstream.
+        """Return whether entry processes of a failure domain may be granted this upstream.
 
         Rests are checked separately, as they concern single entry processes.
 
--- a/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
@@ -87,7 +87,7 @@
         return Token(self.host, self.address, self.incarnation, sequence, expires_ms)
 
     def is_issued_here(self, token: Token) -> bool:
-        """Tell whether this process issued a token; no other process may dispatch its request.
+        """Return whether this process issued a token; no other process may dispatch its request.
 
         :rtype: bool
         """
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -117,7 +117,7 @@
     def make_room(refuser, item, now):
         if len(refuser._pool.waiting) <= refusals.MAX_WAITING_REQUESTS:
             return []
-        victim = refuser._lowest_beside(item)
+        victim = refuser._last_of_lowest_tier(item)
         return [refuser.shed(victim, refusals.Reason.SHED, 1.0)]
 
     monkeypatch.setattr(refusals.Refuser, "make_room", make_room)
