--- a/packages/chalkyoke/src/chalkyoke/balancing/observer.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/observer.py
@@ -52,7 +52,7 @@
 
 
 class _Evidence(msgspec.Struct):
-    """Hold the evidence that a replica is bad, and the time of its last failure."""
+    """The evidence that a replica is bad, and the time of its last failure."""
 
     weight: float = 0.0
     failed_at: float = 0.0
--- a/packages/chalkyoke/src/chalkyoke/balancing/state.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/state.py
@@ -23,7 +23,7 @@
 
 
 class ReplicaStats(msgspec.Struct):
-    """Hold this node's statistics of one replica.
+    """This node's statistics of one replica.
 
     :ivar outstanding: requests that this node has in flight at the replica.
     :ivar other_load: requests of other nodes according to the last report; the value decays.
--- a/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/suspicions.py
@@ -24,7 +24,7 @@
 
 
 class _BroadcastState(msgspec.Struct):
-    """Hold the suspects of a service that were last broadcast, and when."""
+    """The suspects of a service that were last broadcast, and when."""
 
     suspects: tuple[str, ...] = ()
     at: float = float("-inf")
--- a/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
@@ -37,12 +37,12 @@
 # How long a node may lag a peer before it requests an update, in seconds. The nodes that watch the
 # store broadcast sooner than that, unless their messages are lost.
 REQUEST_AFTER_LAG_S = 0.1
-# Minimum time between two update requests, in seconds: an answer is awaited for so long before
-# another peer is asked.
+# Minimum time between two update requests, in seconds: the node waits this long for an answer
+# before it asks another peer.
 REQUEST_INTERVAL_S = 0.3
 # How long a node may lag before it restarts its own watch, in seconds: a few heartbeat intervals.
 RESTART_WATCH_AFTER_LAG_S = 0.4
-# A lag that is observed more than so many seconds after the last one began counts as a new lag.
+# Age of a lag, in seconds, above which an observed lag counts as a new one.
 LAG_RESET_S = 2.0
 # How long a removed replica is remembered, in seconds: longer than any request deadline.
 REMOVED_REPLICA_TTL_S = 30.0
--- a/packages/chalkyoke/src/chalkyoke/catalog/records.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/records.py
@@ -43,7 +43,7 @@
 
 
 class Records:
-    """Hold the records in force, parsed and indexed.
+    """The records in force, parsed and indexed.
 
     :param read: parses a replica record, a roll-out order, a roll-out status or the record of a
         request that is held back.
--- a/packages/chalkyoke/src/chalkyoke/catalog/state.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/state.py
@@ -44,7 +44,7 @@
 
 
 class CatalogState:
-    """Hold the catalog and the records, and build and apply updates between nodes.
+    """The catalog and the records of this node; builds and applies updates between nodes.
 
     :param read_catalog: parses the operators' document.
     :param read_record: parses a replica record, a roll-out order, a roll-out status or the record
--- a/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/feedback.py
@@ -30,7 +30,7 @@
     SendEnd.UNUSABLE: 1.0,
     SendEnd.STALLED: 1.0,
 }
-# Ends that say nothing about the health of a replica: one that is full or that this node can't
+# Ends that are no evidence of the health of a replica: one that is full or that this node can't
 # reach may serve other nodes well.
 NOT_HEALTH_EVIDENCE = frozenset((SendEnd.DECLINED, SendEnd.NOT_CONNECTED))
 
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -84,7 +84,8 @@
 
     :param random: source of numbers in [0, 1), to spread the retries of callers.
     :param now: the node's clock, in seconds.
-    :param pooled: whether pool schedulers are asked at all.
+    :param pooled: whether pool schedulers grant requests to engines; otherwise this node chooses
+        the replicas.
     """
 
     def __init__(
@@ -199,7 +200,7 @@
     ) -> Granted | Denied | None:
         """Ask one scheduler until it decides.
 
-        :return: None if the scheduler stops answering, or grants a replica that is gone.
+        :return: None if the scheduler stops answering, or grants an unknown replica.
         """
         self._schedulers.send(owner, self._acquire_message(wanted))
         wait_s = FIRST_ANSWER_TIMEOUT_S
--- a/packages/chalkyoke/src/chalkyoke/gateway/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/reception.py
@@ -136,7 +136,7 @@
 
     The hash covers the team, the route, the highest output and the prompt parts.
 
-    :return: 0 if the request has no prompt parts to tell it from others.
+    :return: 0 if the request has no prompt parts that distinguish it from others.
     """
     fields = admission.fields
     if not fields.parts:
--- a/packages/chalkyoke/src/chalkyoke/gateway/settings.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/settings.py
@@ -18,7 +18,7 @@
 # the broadcasts for a failure domain send more.
 LINK_MBPS_PER_CORE = 10.0
 # Lowest limit for the silence of a connection to the store, in milliseconds. The timeout for an
-# answer is a quarter of it; a shorter one would take slow answers for a dead connection.
+# answer is a quarter of it; a shorter one would mistake slow answers for a dead connection.
 MIN_SILENCE_MS = 400
 # Late requests wait behind their own tier only, since late answers still have value for callers.
 GATEWAY_FEATURES = Features(late_last=False, headroom=True, early=True)
--- a/packages/chalkyoke/src/chalkyoke/limits/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/announcements.py
@@ -56,7 +56,7 @@
         self._pending: set[str] = set()
         metrics.register_gauge("replica_limits", lambda: len(known.limits()))
 
-    def note_answer(self, replica: str, limit_per_s: float | None) -> None:
+    def record_answer(self, replica: str, limit_per_s: float | None) -> None:
         """Record the limit in a replica's answer, and broadcast a change.
 
         :param replica: id of the replica's start.
--- a/packages/chalkyoke/src/chalkyoke/limits/known.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/known.py
@@ -77,7 +77,7 @@
         return {start: limit_per_s for start, limit_per_s in found if limit_per_s is not None}
 
     def drop_expired(self, listed: Container[str], now: float) -> None:
-        """Drop the reports on starts that are gone and on limits that were removed long ago.
+        """Drop reports on starts that are not listed and on limits that were removed long ago.
 
         :param listed: the starts that the catalog lists.
         """
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/fleet.py
@@ -145,13 +145,13 @@
 
     :ivar limit_per_s: requests per second; negative if the replica announces no limit.
     :ivar arrivals: times at which requests arrived, and the processes that sent them.
-    :ivar told: time at which each process processed its first answer with a limit.
+    :ivar informed_at: time at which each process processed its first answer with a limit.
     """
 
     resource: Replica
     limit_per_s: float = -1.0
     arrivals: list = field(default_factory=list)
-    told: dict = field(default_factory=dict)
+    informed_at: dict = field(default_factory=dict)
 
 
 class Fleet:
@@ -285,9 +285,9 @@
         self.answers["served", route.name] += 1
         self.answers["in time"] += self.now() <= admission.due_at
         limit = replica.limit_per_s
-        node.announcements.note_answer(granted.replica.id, limit if limit >= 0 else None)
+        node.announcements.record_answer(granted.replica.id, limit if limit >= 0 else None)
         if limit >= 0 and self.nodes[node.name] is node:
-            replica.told.setdefault(node.process, self.now())
+            replica.informed_at.setdefault(node.process, self.now())
 
     # Results.
 
@@ -300,12 +300,14 @@
         return max(self._worst_of(each, since) for each in self.limited.values())
 
     def _worst_of(self, replica, since):
-        if not replica.told:
+        if not replica.informed_at:
             return 0
         counted = [
             (at, process) for at, process in replica.arrivals if not self._is_excused(process, at)
         ]
-        return worst_window(counted, replica.told, max(since, min(replica.told.values())))
+        return worst_window(
+            counted, replica.informed_at, max(since, min(replica.informed_at.values()))
+        )
 
     def _is_excused(self, process, at):
         began, ended = self.excused.get(process, (math.inf, 0.0))
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_allowance.py
@@ -46,7 +46,7 @@
         self.now += seconds
 
     @rule(count=st.integers(1, 20))
-    def take_what_is_open(self, count):
+    def send_while_open(self, count):
         for _ in range(count):
             if self.allowance.is_open(self.now):
                 self.allowance.consume(self.now)
--- a/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/limits/tests/test_announcements.py
@@ -42,7 +42,9 @@
 
 def sent_limits(made):
     return [
-        (address, each.replica, each.value) for address, told in made.sent for each in told.items
+        (address, each.replica, each.value)
+        for address, message in made.sent
+        for each in message.items
     ]
 
 
@@ -50,10 +52,10 @@
 def test_a_first_limit_is_broadcast_at_once(at):
     made = make_announcements()
     made._now.now = at
-    made.note_answer("p1", 3.8)
+    made.record_answer("p1", 3.8)
     assert sent_limits(made) == [(address, "p1", 3.8) for address in ("n2", "n3", "far")]
     assert [message.relay for _, message in made.sent] == [False, False, True]
-    made.note_answer("p1", 3.8)
+    made.record_answer("p1", 3.8)
     assert len(made.sent) == 3
     assert made.changes == [{"p1": 3.8}]
 
@@ -62,7 +64,7 @@
     made = make_announcements()
     for number in range(100):
         made._now.now = number * 0.01
-        made.note_answer("p1", 3.0 + number / 100)
+        made.record_answer("p1", 3.0 + number / 100)
     assert len(made.sent) / 3 <= 1.0 / BROADCAST_INTERVAL_S
     made.sent.clear()
     made._now.now = 1.1
@@ -75,7 +77,7 @@
 
 def test_a_broadcast_of_another_node_is_relayed_only_if_it_asks_for_it():
     made = make_announcements()
-    made.note_answer("p1", 3.8)
+    made.record_answer("p1", 3.8)
     made.sent.clear()
     made._now.now = 2.0
     items = (ReplicaAttribute("p1", "limit", 1.0, 0.1), ReplicaAttribute("p2", "mood", 7.0, 0.0))
@@ -89,7 +91,7 @@
 
 def test_a_joining_node_gets_the_limits_that_this_node_broadcast():
     made = make_announcements()
-    made.note_answer("p1", 3.8)
+    made.record_answer("p1", 3.8)
     made.apply_report("p2", 2.0, 0.0)
     made.sent.clear()
     made._now.now = 4.0
@@ -100,10 +102,10 @@
 
 def test_the_removal_of_a_limit_is_broadcast_and_later_dropped():
     made = make_announcements()
-    made.note_answer("p1", 3.8)
+    made.record_answer("p1", 3.8)
     made._now.now = 1.0
     made.sent.clear()
-    made.note_answer("p1", None)
+    made.record_answer("p1", None)
     assert sent_limits(made)[0] == ("n2", "p1", None)
     made._now.now = 2.0 + ENDED_RETENTION_S
     made.broadcast_pending()
--- a/packages/chalkyoke/src/chalkyoke/node/announcements.py
+++ b/packages/chalkyoke/src/chalkyoke/node/announcements.py
@@ -58,7 +58,7 @@
         if statement.rest_s > 0:
             self._apply_rest(replica, statement.rest_s)
         if statement.reports_limit:
-            self._limits.note_answer(replica.id, statement.limit_per_s)
+            self._limits.record_answer(replica.id, statement.limit_per_s)
 
     def _apply_leaving(self, replica: Replica) -> None:
         """Mark a replica as leaving and broadcast it, unless it is already known to leave.
--- a/packages/chalkyoke/src/chalkyoke/node/configuration.py
+++ b/packages/chalkyoke/src/chalkyoke/node/configuration.py
@@ -41,7 +41,7 @@
 
 
 class ConfigurationKeeper:
-    """Hold the revision and host list in force on this node.
+    """Keep the revision and the host list in force on this node up to date.
 
     :param changed: called after either has changed.
     :param now: seconds on the monotonic clock since this process started.
--- a/packages/chalkyoke/src/chalkyoke/node/fleetsize.py
+++ b/packages/chalkyoke/src/chalkyoke/node/fleetsize.py
@@ -9,8 +9,8 @@
 
 from chalkyoke.membership.messages import MemberRecord
 
-# How long a host that is gone still counts, in seconds: a network partition or a restart is over by
-# then.
+# How long a host counts after it was last seen, in seconds: a network partition or a restart is
+# over by then.
 HOST_RETENTION_S = 120.0
 
 
@@ -21,7 +21,7 @@
         self._last_seen: dict[str, float] = {}
 
     def record_live(self, records: Iterable[MemberRecord], now: float) -> None:
-        """Record the live members that don't leave, and drop hosts that were gone for too long."""
+        """Record the live members that are not leaving, and drop hosts not seen for too long."""
         for record in records:
             if not record.leaving:
                 self._last_seen[record.host] = now
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -453,7 +453,7 @@
         log.notice("stopping", in_progress=self.gateway.in_progress)
         self.view.update_self(leaving=True, ready=False)
         self._send_heartbeats()
-        # Callers still connect until the load balancer has noticed.
+        # Callers still connect until the load balancer has removed this node.
         await asyncio.sleep(LEAVE_DELAY_S)
         server.close()
         for connection in list(self._connections):
--- a/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
+++ b/packages/chalkyoke/src/chalkyoke/node/tests/test_pools.py
@@ -29,7 +29,7 @@
     return state, replicas, clock
 
 
-def change(state, replicas, clock, revision, *changes):
+def apply_changes(state, replicas, clock, revision, *changes):
     state.apply_replica_changes(changes, revision, clock.now)
     replicas.rebuild()
 
@@ -37,7 +37,7 @@
 def test_a_leaving_replica_stays_excluded_while_the_store_is_unavailable():
     """The store sends no more updates, and the passing of time must not restore the replica."""
     state, replicas, clock = declared("m1 ready", "m2 ready")
-    change(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
+    apply_changes(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
     for clock.now in (0.1, 5.0, 60.0):
         assert replicas.find("m1") is None
         assert [each.id for each in replicas.of_service("model")] == ["m2"]
@@ -45,8 +45,8 @@
 
 def test_a_leaving_replica_is_no_fallback_when_all_records_are_removed():
     state, replicas, clock = declared("m1 ready", "m2 ready")
-    change(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
-    change(state, replicas, clock, 3, Removed("m1", 3), Removed("m2", 4))
+    apply_changes(state, replicas, clock, 2, Item("m1", b"m1 draining", 2))
+    apply_changes(state, replicas, clock, 3, Removed("m1", 3), Removed("m2", 4))
     assert [each.id for each in replicas.of_service("model")] == ["m2"]
     assert replicas.find("m1") is None
 
@@ -54,7 +54,7 @@
 def test_a_removed_replica_gets_no_new_requests_while_others_are_left():
     """Some replicas never announce that they leave; grants in transit stay usable for a moment."""
     state, replicas, clock = declared("m1 ready", "m2 ready")
-    change(state, replicas, clock, 2, Removed("m1", 2))
+    apply_changes(state, replicas, clock, 2, Removed("m1", 2))
     assert [each.id for each in replicas.of_service("model")] == ["m2"]
     clock.now = DEPARTED_FALLBACK_S * 1.01
     assert replicas.find("m1") is None
@@ -63,7 +63,7 @@
 
 def test_the_last_removed_replica_is_a_fallback_for_a_limited_time():
     state, replicas, clock = declared("m1 ready")
-    change(state, replicas, clock, 2, Removed("m1", 2))
+    apply_changes(state, replicas, clock, 2, Removed("m1", 2))
     clock.now = DEPARTED_FALLBACK_S / 2
     assert replicas.find("m1") is not None
     clock.now = DEPARTED_FALLBACK_S * 2
--- a/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
@@ -19,7 +19,7 @@
 # Time for which new records share one lease, in seconds, so that many requests at once need only
 # one call each.
 LEASE_REUSE_S = 30.0
-# Highest number of records that wait to be written. Each needs one call, and other nodes learn of
+# Highest number of records that wait to be written. Each needs one call, and other nodes receive
 # all held requests without the store.
 MAX_WAITING = 100
 # Backoff after a failed call, in seconds: doubled with each failure, up to the maximum.
--- a/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_evidence.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/tests/test_evidence.py
@@ -14,20 +14,24 @@
 REQUEST = b"request-name"
 
 
-def end(tracker, number, at, *, weight=1.0, request=REQUEST, now=None):
+def count_end(tracker, number, at, *, weight=1.0, request=REQUEST, now=None):
     return tracker.record_end(request, f"m{number}/1", weight, at, at if now is None else now)
 
 
 def test_a_request_is_held_back_from_the_third_end_on():
     tracker = EvidenceTracker()
-    assert [end(tracker, number, float(number)) for number in range(3)] == [False, False, True]
+    assert [count_end(tracker, number, float(number)) for number in range(3)] == [
+        False,
+        False,
+        True,
+    ]
     assert tracker.is_held(REQUEST)
 
 
 def test_one_end_reported_by_two_nodes_counts_once():
     tracker = EvidenceTracker()
-    end(tracker, 1, 1.0)
-    end(tracker, 1, 3.9, now=4.0)
+    count_end(tracker, 1, 1.0)
+    count_end(tracker, 1, 3.9, now=4.0)
     # The reporting node doesn't know yet that the replica had restarted before.
     tracker.record_end(REQUEST, "m1/0", 1.0, 1.1, 1.2)
     assert tracker.find(REQUEST).weight == 1.0
@@ -38,7 +42,7 @@
 
 def test_ends_under_a_long_output_count_half_and_five_are_enough_in_any_case():
     tracker = EvidenceTracker()
-    held = [end(tracker, number, float(number), weight=0.5) for number in range(5)]
+    held = [count_end(tracker, number, float(number), weight=0.5) for number in range(5)]
     assert held == [False] * 4 + [True]
 
 
@@ -47,36 +51,36 @@
     for number in range(4):
         # Three other replicas end each time while they run other requests.
         for other in range(3):
-            end(
+            count_end(
                 tracker, f"other-{number}-{other}", number - 0.1, request=b"%d-%d" % (number, other)
             )
-        assert not end(tracker, number, float(number))
-    assert end(tracker, 9, 9.0)
+        assert not count_end(tracker, number, float(number))
+    assert count_end(tracker, 9, 9.0)
 
 
 def test_a_popular_request_that_runs_at_every_end_is_never_held_back():
     tracker = EvidenceTracker()
     for number in range(50):
-        end(tracker, number, float(number))
+        count_end(tracker, number, float(number))
         tracker.record_served(REQUEST, number + 0.1)
         assert not tracker.is_held(REQUEST)
 
 
 def test_a_late_report_of_an_end_before_a_complete_answer_is_ignored():
     tracker = EvidenceTracker()
-    end(tracker, 0, 0.0)
+    count_end(tracker, 0, 0.0)
     tracker.record_served(REQUEST, 1.0)
-    end(tracker, 1, 0.5, now=2.0)
-    end(tracker, 2, 0.9, now=2.0)
+    count_end(tracker, 1, 0.5, now=2.0)
+    count_end(tracker, 2, 0.9, now=2.0)
     assert tracker.find(REQUEST).weight == 0.0
 
 
 @given(st.permutations([("end", 0), ("end", 1), ("end", 2), ("end", 3), ("served", 1.5)]))
-def test_the_decision_does_not_depend_on_the_order_of_reports(news):
+def test_the_decision_does_not_depend_on_the_order_of_reports(reports):
     tracker = EvidenceTracker()
-    for kind, at in news:
+    for kind, at in reports:
         if kind == "end":
-            end(tracker, at, float(at), now=10.0)
+            count_end(tracker, at, float(at), now=10.0)
         else:
             tracker.record_served(REQUEST, at)
     # Two ends remain after the complete answer; a node that held the request has released it.
@@ -87,11 +91,11 @@
 def test_a_request_on_probation_is_held_back_by_one_end_and_for_longer():
     tracker = EvidenceTracker()
     for number in range(3):
-        end(tracker, number, float(number))
+        count_end(tracker, number, float(number))
     assert tracker.expire(HOLD_S + 2.0) == [REQUEST]
     assert not tracker.is_held(REQUEST)
     again = HOLD_S + 10.0
-    assert end(tracker, 9, again)
+    assert count_end(tracker, 9, again)
     assert tracker.expire(again + HOLD_S + 1.0) == []
     assert tracker.expire(again + 2 * HOLD_S) == [REQUEST]
     assert tracker.expire(again + 2 * HOLD_S + EVIDENCE_RETENTION_S + 1.0) == []
@@ -101,23 +105,23 @@
 def test_a_hold_of_another_node_applies_unless_the_request_was_served_since():
     tracker, other = EvidenceTracker(), EvidenceTracker()
     for number in range(3):
-        end(tracker, number, float(number))
-    told = tracker.held_requests(5.0)
-    assert told == (HeldRequest(REQUEST, 3.0, HOLD_S - 3.0),)
-    assert other.merge_held(told[0], 105.0)
+        count_end(tracker, number, float(number))
+    announced = tracker.held_requests(5.0)
+    assert announced == (HeldRequest(REQUEST, 3.0, HOLD_S - 3.0),)
+    assert other.merge_held(announced[0], 105.0)
     assert other.checksum() == tracker.checksum() != 0
     other.record_served(REQUEST, 104.0)
-    assert other.refuted_holds(told, 105.0) == [(REQUEST, 104.0)]
-    assert not other.merge_held(told[0], 105.0)
+    assert other.refuted_holds(announced, 105.0) == [(REQUEST, 104.0)]
+    assert not other.merge_held(announced[0], 105.0)
 
 
 def test_a_thousand_requests_are_held_back_at_once_within_bounded_memory():
     tracker = EvidenceTracker()
     for number in range(ENDS_TO_HOLD_ALWAYS):
         for request in range(1000):
-            end(tracker, 5 * request + number, float(number), request=b"%d" % request)
+            count_end(tracker, 5 * request + number, float(number), request=b"%d" % request)
     for victim in range(3 * MAX_REQUESTS):
-        end(tracker, victim, 5.0, request=b"victim-%d" % victim)
+        count_end(tracker, victim, 5.0, request=b"victim-%d" % victim)
     assert len(tracker.held) == 1000
     assert len(tracker) <= MAX_REQUESTS + 1
 
@@ -127,14 +131,14 @@
     tracker, popular = EvidenceTracker(), b"popular"
     tracker.record_delivered(popular, 0.5)
     for number in range(3):
-        assert not end(tracker, number, 1.0 + number, weight=0.9, request=popular)
-        held = end(tracker, number, 1.0 + number)
+        assert not count_end(tracker, number, 1.0 + number, weight=0.9, request=popular)
+        held = count_end(tracker, number, 1.0 + number)
     assert held
     for number in range(3, 9):
-        end(tracker, number, 1.0 + number)
-        assert not end(tracker, number, 1.0 + number, request=popular)
+        count_end(tracker, number, 1.0 + number)
+        assert not count_end(tracker, number, 1.0 + number, request=popular)
     # Unexplained ends still count.
-    ends = [end(tracker, number, 1.0 + number, request=popular) for number in range(9, 15)]
+    ends = [count_end(tracker, number, 1.0 + number, request=popular) for number in range(9, 15)]
     assert True in ends
 
 
@@ -142,8 +146,8 @@
     tracker, popular = EvidenceTracker(), b"popular"
     tracker.record_delivered(popular, 0.5)
     for number in range(3):
-        end(tracker, number, 1.0 + number, request=popular)
-        end(tracker, number, 1.0 + number)
+        count_end(tracker, number, 1.0 + number, request=popular)
+        count_end(tracker, number, 1.0 + number)
     assert tracker.is_held(popular)
     assert tracker.release_explained() == [popular]
     assert not tracker.is_held(popular) and tracker.is_held(REQUEST)
@@ -154,7 +158,7 @@
 def test_ends_of_a_request_that_was_never_served_are_not_explained():
     tracker, other = EvidenceTracker(), b"other"
     for number in range(3):
-        end(tracker, number, 1.0 + number)
-        held = end(tracker, number, 1.0 + number, request=other)
+        count_end(tracker, number, 1.0 + number)
+        held = count_end(tracker, number, 1.0 + number, request=other)
     assert held
     assert tracker.release_explained() == []
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -1,8 +1,8 @@
 """
 chalkyoke.quotas.leases
 
-A node's side of quotas: the unspent rest of its leases, and a small share of its own for the time
-when no owner answers.
+The quota that a node may spend without asking an owner: the unspent remainder of its leases, and a
+small share of the quota for the time when no owner answers.
 """
 
 from collections.abc import Callable
--- a/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/tests/test_fleet.py
@@ -116,8 +116,8 @@
     owner.start_owning(TEAM, Presence(9, 9), 100.0)
     windows = [tuple([100.0] * 40), tuple([5000.0] * 40)]
     for index in (first, 1 - first):
-        told = QuotaSpent("t", f"n{index}", 0.0, 90.0, windows[index])
-        owner.apply_spending_report(TEAM, told, Presence(9, 9), 100.01)
+        report = QuotaSpent("t", f"n{index}", 0.0, 90.0, windows[index])
+        owner.apply_spending_report(TEAM, report, Presence(9, 9), 100.01)
     grant = owner.answer_request(TEAM, QuotaRequest("t", 1, 1e9, 0.0, 1), Presence(9, 9), 100.02)
     assert grant.amount == 0 and 190_000 < grant.spent <= 200_000
 
--- a/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
+++ b/packages/chalkyoke/src/chalkyoke/rollouts/tests/fleet.py
@@ -196,10 +196,17 @@
         else:
             node.old_running += 1
         self.at(
-            self.now + min(took, LONGEST_S), self.end, node, route, replica, failed, took, usual
+            self.now + min(took, LONGEST_S),
+            self.end_request,
+            node,
+            route,
+            replica,
+            failed,
+            took,
+            usual,
         )
 
-    def end(self, node, route, replica, failed, took, usual):
+    def end_request(self, node, route, replica, failed, took, usual):
         if replica:
             self.running[replica] -= 1
         else:
--- a/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
@@ -135,7 +135,7 @@
 
 
 class Closure(msgspec.Struct, frozen=True):
-    """Describe a period in which no upstream accepts requests of an entry process.
+    """A period in which no upstream accepts requests of an entry process.
 
     :param until: when the first upstream may accept one again, on the scheduler's clock.
     :param refused: whether all upstreams refuse all requests, so that waiting is pointless.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
@@ -148,7 +148,7 @@
 
         :param tokens: number of output tokens.
         :param seconds: decode time of these tokens.
-        :param streams: number of concurrent streams meanwhile.
+        :param streams: number of concurrent streams during that time.
         """
         if seconds <= 0:
             return
--- a/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
@@ -21,10 +21,10 @@
 
 
 class Late(msgspec.Struct, frozen=True):
-    """Describe a waiting request that is predicted to miss its goal or deadline.
+    """A waiting request that is predicted to miss its goal or deadline.
 
     :param late_s: predicted lateness in seconds.
-    :param hopeless: whether the caller would be gone by then.
+    :param hopeless: whether the caller would have disconnected by then.
     """
 
     item: WaitingRequest
--- a/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/granting.py
@@ -29,7 +29,7 @@
 
 
 class _Decision(msgspec.Struct, frozen=True):
-    """Hold the inputs and results of one decision.
+    """The inputs and results of one decision.
 
     :param actions: collects the grants.
     :param held: number of requests held for a busy upstream, by upstream.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -27,7 +27,7 @@
 
 
 class RefusalChange(msgspec.Struct, frozen=True):
-    """Report that an upstream starts or stops refusing all requests.
+    """A change: an upstream starts or stops refusing all requests.
 
     :param refuses: whether the upstream refuses all requests from now on.
     """
--- a/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/messages.py
@@ -157,7 +157,7 @@
 
 
 class RunningItem(msgspec.Struct, frozen=True, array_like=True):
-    """Describe one running request to a new scheduler."""
+    """A running request, as described to a new scheduler."""
 
     request: str
     attempt: int
--- a/packages/chalkyoke/src/chalkyoke/scheduling/overlaps.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/overlaps.py
@@ -12,7 +12,7 @@
 
 
 class Overlaps(Container[tuple[str, str]]):
-    """Contain the pairs of routes that share an upstream.
+    """The pairs of routes that share an upstream.
 
     Usage::
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
@@ -48,7 +48,7 @@
 
 
 class Prediction(msgspec.Struct, frozen=True):
-    """Predict the progress of one request on one upstream, in seconds from now.
+    """The predicted progress of one request on one upstream, in seconds from now.
 
     :param first_s: time until the first output token.
     :param finish_s: time until the last token, with the median output.
@@ -64,7 +64,7 @@
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """Describe the placement of one request.
+    """The placement of one request.
 
     :param upstream: the upstream that gets the request now; ``None`` where it keeps waiting.
     :param held_for: the busy upstream whose next slot the request waits for, if any.
@@ -77,7 +77,7 @@
 
 
 class Features(msgspec.Struct, frozen=True):
-    """Switch parts of the policy on or off, to compare their effects.
+    """The parts of the policy that are switched on, to compare their effects.
 
     :param hold: wait for a better upstream.
     :param prefix: predict prefill only for the part of the prompt after the cached prefix.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/pool.py
@@ -33,7 +33,7 @@
 
 
 class PoolState:
-    """Hold the state of one pool's scheduler.
+    """The state of one pool's scheduler.
 
     :ivar waiting: waiting requests by id.
     :ivar running: granted requests by id.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/queues.py
@@ -53,7 +53,7 @@
 
 
 class TierQueue:
-    """Hold the waiting requests of one tier.
+    """The waiting requests of one tier.
 
     Teams share the tier by start-time fair queueing: the team with the lowest virtual time goes
     first, and a grant adds its work divided by the team's weight. Source: Goyal, Vin and Cheng,
--- a/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
@@ -49,7 +49,7 @@
 
 
 class Counters(msgspec.Struct):
-    """Count the scheduler's decisions for metrics.
+    """Counts of the scheduler's decisions, for metrics.
 
     :param held: how often a request was held for a busy upstream.
     :param shed: refusals by (reason, rank).
@@ -61,7 +61,7 @@
 
 
 class AddressedAction(msgspec.Struct):
-    """Hold one action and the entry process that receives it.
+    """An action and the entry process that receives it.
 
     :param pool_mostly_free: whether the pool was mostly free when a request was refused.
     """
--- a/packages/chalkyoke/src/chalkyoke/scheduling/shortlist.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/shortlist.py
@@ -93,7 +93,7 @@
         return [each for each in found if each.spec.id not in tried] or found
 
     def _sender_key(self, route: str, domain: str, entry: str) -> "_SenderKey":
-        """Build a cache key, with the entry process only if an upstream asked it to pause."""
+        """Build a cache key, with the entry process only if an upstream asks it for rest."""
         if not entry:
             return route, domain, ""
         if route not in self._resting:
--- a/packages/chalkyoke/src/chalkyoke/scheduling/state.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/state.py
@@ -33,7 +33,7 @@
 
 
 class ReleaseOutcome(StrEnum):
-    """Enumerate the outcomes of a grant."""
+    """The outcomes of a grant."""
 
     DELIVERED = "delivered"
     FAILED = "failed"
@@ -43,7 +43,7 @@
 
 
 class UpstreamSpec(msgspec.Struct, frozen=True):
-    """Describe one upstream as configuration and host list define it.
+    """One upstream, as configuration and host list define it.
 
     :param slots: number of requests that the upstream runs concurrently.
     :param prefill_tokens_per_s: initial estimate, used until samples arrive.
@@ -75,14 +75,14 @@
 
 
 class TierSpec(msgspec.Struct, frozen=True):
-    """Describe one tier; rank 0 is the highest."""
+    """One tier; rank 0 is the highest."""
 
     name: str
     rank: int
 
 
 class TeamSpec(msgspec.Struct, frozen=True):
-    """Describe one team's share and limit in a pool.
+    """One team's share and limit in a pool.
 
     :param weight: share relative to the other teams of the same tier.
     :param max_running: maximum number of concurrent grants; 0 means no limit.
@@ -94,14 +94,14 @@
 
 
 class RouteSpec(msgspec.Struct, frozen=True):
-    """Describe one route and the upstreams that its selector matches."""
+    """One route and the upstreams that its selector matches."""
 
     name: str
     upstreams: frozenset[str]
 
 
 class PoolSpec(msgspec.Struct, frozen=True):
-    """Describe one pool as configuration and host list define it.
+    """One pool, as configuration and host list define it.
 
     :param caution: quantile of the output length with which a request must still meet its deadline
         to be started while others wait. A higher quantile wastes less prefill work and delivers
@@ -117,7 +117,7 @@
 
 
 class WaitingRequest(msgspec.Struct, eq=False):
-    """Hold one request that waits for a grant.
+    """A request that waits for a grant.
 
     :param deadline: time on the scheduler's own clock.
     :param output: learned estimate of the output tokens.
@@ -179,7 +179,7 @@
 
 
 class RunningRequest(msgspec.Struct, eq=False):
-    """Hold one request that has a grant.
+    """A request that has a grant.
 
     :param prefill_left: uncached prompt tokens at the time of the grant.
     :param tier_index: number of tiers in the pool above the request's own.
@@ -218,7 +218,7 @@
 
 
 class Upstream(msgspec.Struct, eq=False):
-    """Hold the current state of one upstream.
+    """The current state of one upstream.
 
     :ivar failures: recent failures; each success subtracts a fraction of one.
     :ivar unreachable: consecutive connection failures.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_declines.py
@@ -7,7 +7,7 @@
 from chalkyoke.scheduling.messages import Grant, Release, Shed, Usage
 from chalkyoke.scheduling.state import ReleaseOutcome
 
-from .test_goals import acquire, make, upstream
+from .test_goals import acquire, make_scheduler, upstream
 
 USAGE = Usage(100, -1, 20, 0.05, 0.3)
 
@@ -19,7 +19,7 @@
     return [out.action for out in scheduler.release(domain, message, now)]
 
 
-def ask(scheduler, name, now, entry="e", domain="z", **changes):
+def send_acquire(scheduler, name, now, entry="e", domain="z", **changes):
     outs = scheduler.acquire(entry, domain, acquire(name, **changes), now)
     return outs[0].action if outs else None
 
@@ -67,17 +67,17 @@
 
 
 def test_declining_upstream_does_not_attract_requests_of_its_pool():
-    scheduler = make([upstream("u1", 4), upstream("u2", 4)])
+    scheduler = make_scheduler([upstream("u1", 4), upstream("u2", 4)])
     granted = []
     for number in range(200):
         now = number * 0.02
         name = f"x{number}"
-        action = ask(scheduler, name, now)
+        action = send_acquire(scheduler, name, now)
         while isinstance(action, Grant) and action.upstream == "u1":
             granted.append(now)
             decline(scheduler, name, now)
             tried = ("u1",)
-            action = ask(scheduler, name, now, attempt=2, tried=tried)
+            action = send_acquire(scheduler, name, now, attempt=2, tried=tried)
             assert not isinstance(action, Grant) or action.upstream == "u2"
         if isinstance(action, Grant):
             attempt = action.attempt
@@ -88,33 +88,35 @@
 
 
 def test_rest_applies_only_to_the_entry_process_that_it_names():
-    scheduler = make([upstream("u1", 4)])
-    assert ask(scheduler, "x", 0.0).upstream == "u1"
+    scheduler = make_scheduler([upstream("u1", 4)])
+    assert send_acquire(scheduler, "x", 0.0).upstream == "u1"
     outcome = Release("x", 1, "p", ReleaseOutcome.DELIVERED, USAGE, rest_s=3.0)
     scheduler.release("z", outcome, 0.1)
-    refused = ask(scheduler, "y", 0.2, entry="e", goal_s=0.5, budget_s=4.0, comes_back_s=3.0)
+    refused = send_acquire(
+        scheduler, "y", 0.2, entry="e", goal_s=0.5, budget_s=4.0, comes_back_s=3.0
+    )
     assert isinstance(refused, Shed)
     assert refused.reason is Reason.NO_UPSTREAM
     assert 2.9 <= refused.retry_after_s <= 3.4
-    assert ask(scheduler, "z", 0.2, entry="f").upstream == "u1"
-    assert ask(scheduler, "w", 3.2, entry="e").upstream == "u1"
+    assert send_acquire(scheduler, "z", 0.2, entry="f").upstream == "u1"
+    assert send_acquire(scheduler, "w", 3.2, entry="e").upstream == "u1"
 
 
 def test_request_waits_for_upstream_whose_rest_ends_within_its_goal():
-    scheduler = make([upstream("u1", 4)])
-    ask(scheduler, "x", 0.0)
+    scheduler = make_scheduler([upstream("u1", 4)])
+    send_acquire(scheduler, "x", 0.0)
     scheduler.release("z", Release("x", 1, "p", "delivered", USAGE, rest_s=0.6), 0.1)
-    assert ask(scheduler, "y", 0.2, goal_s=1.0, budget_s=4.0) is None
+    assert send_acquire(scheduler, "y", 0.2, goal_s=1.0, budget_s=4.0) is None
     granted = [out.action for out in scheduler.tick(0.8)]
     assert [type(each) for each in granted] == [Grant]
 
 
 def test_pool_that_declines_all_refuses_at_once_and_is_probed_once_a_second():
-    scheduler = make([upstream("u1", 4), upstream("u2", 4)])
+    scheduler = make_scheduler([upstream("u1", 4), upstream("u2", 4)])
     tries, refusals = [], []
     for number in range(500):
         now, name = number * 0.02, f"x{number}"
-        first = ask(scheduler, name, now, goal_s=1.0, budget_s=4.0, comes_back_s=2.0)
+        first = send_acquire(scheduler, name, now, goal_s=1.0, budget_s=4.0, comes_back_s=2.0)
         actions = [first, *(out.action for out in scheduler.tick(now))]
         while actions:
             action = actions.pop()
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_goals.py
@@ -44,7 +44,7 @@
     )
 
 
-def make(upstreams, features=FEATURES):
+def make_scheduler(upstreams, features=FEATURES):
     names = frozenset(each.id for each in upstreams)
     spec = PoolSpec(
         "p",
@@ -82,7 +82,7 @@
     return {name: getattr(message, name) for name in message.__struct_fields__}
 
 
-def ask(scheduler, now=0.0, **fields):
+def send_acquire(scheduler, now=0.0, **fields):
     outs = scheduler.acquire("h", "z", acquire(**fields), now)
     return [out.action for out in outs]
 
@@ -97,17 +97,17 @@
 
 
 def test_higher_tier_goes_first_even_if_already_late():
-    scheduler = make([upstream(FAST, slots=1)])
-    ask(scheduler, name="holder", tier="0")
-    ask(scheduler, name="low", tier="1", now=0.1)
-    ask(scheduler, name="high", tier="0", now=0.1, goal_s=-1.0)
+    scheduler = make_scheduler([upstream(FAST, slots=1)])
+    send_acquire(scheduler, name="holder", tier="0")
+    send_acquire(scheduler, name="low", tier="1", now=0.1)
+    send_acquire(scheduler, name="high", tier="0", now=0.1, goal_s=-1.0)
     assert [each.request for each in release(scheduler, "holder", 0.2)] == ["high"]
 
 
 def test_late_request_waits_until_its_deadline_and_then_expires():
-    scheduler = make([upstream(FAST, slots=1)])
-    ask(scheduler, name="holder", tier="0", likely_output=600)
-    ask(scheduler, name="waits", tier="0", now=0.1)
+    scheduler = make_scheduler([upstream(FAST, slots=1)])
+    send_acquire(scheduler, name="holder", tier="0", likely_output=600)
+    send_acquire(scheduler, name="waits", tier="0", now=0.1)
     kept = [out.action for out in scheduler.tick(1.0)]
     assert kept == [] and scheduler.is_waiting("waits")
     gone = [out.action for out in scheduler.tick(3.2)]
@@ -115,18 +115,18 @@
 
 
 def test_long_requests_of_lower_tier_leave_slots_for_higher_tiers():
-    scheduler = make([upstream(FAST, slots=8)])
+    scheduler = make_scheduler([upstream(FAST, slots=8)])
     for number in range(4):
-        ask(scheduler, name=f"h{number}", tier="0", likely_output=400)
+        send_acquire(scheduler, name=f"h{number}", tier="0", likely_output=400)
     for step in range(200):
         scheduler.tick(0.05 * step)
     taken = [
-        granted(ask(scheduler, name=f"l{number}", likely_output=600, now=10.0))
+        granted(send_acquire(scheduler, name=f"l{number}", likely_output=600, now=10.0))
         for number in range(4)
     ]
     assert sum(len(each) for each in taken) < 4
-    assert granted(ask(scheduler, name="urgent", tier="0", now=10.0)) == [FAST]
-    short = ask(scheduler, name="short", likely_output=10, now=10.0)
+    assert granted(send_acquire(scheduler, name="urgent", tier="0", now=10.0)) == [FAST]
+    short = send_acquire(scheduler, name="short", likely_output=10, now=10.0)
     assert granted(short) == [FAST]
 
 
@@ -134,15 +134,15 @@
     """On a slow upstream, the request would occupy its slot several times as long, and streams
     would exceed their gap goals.
     """
-    scheduler = make([upstream(FAST), upstream(SLOW, prefill=14_000.0, decode=100.0)])
-    assert granted(ask(scheduler, name="long", likely_output=300)) == [FAST]
-    assert granted(ask(scheduler, name="short", likely_output=10)) == [FAST]
-    assert granted(ask(scheduler, name="third", likely_output=300)) == [SLOW]
+    scheduler = make_scheduler([upstream(FAST), upstream(SLOW, prefill=14_000.0, decode=100.0)])
+    assert granted(send_acquire(scheduler, name="long", likely_output=300)) == [FAST]
+    assert granted(send_acquire(scheduler, name="short", likely_output=10)) == [FAST]
+    assert granted(send_acquire(scheduler, name="third", likely_output=300)) == [SLOW]
 
 
 def test_answer_too_long_for_slow_upstream_goes_to_fast_one():
-    scheduler = make([upstream(FAST), upstream(SLOW, prefill=14_000.0, decode=60.0)])
-    assert granted(ask(scheduler, name="long", likely_output=400)) == [FAST]
+    scheduler = make_scheduler([upstream(FAST), upstream(SLOW, prefill=14_000.0, decode=60.0)])
+    assert granted(send_acquire(scheduler, name="long", likely_output=400)) == [FAST]
 
 
 def test_long_prompt_avoids_upstream_with_running_stream():
@@ -150,32 +150,34 @@
         upstream("a", prefill=14_000.0, decode=100.0),
         upstream("b", prefill=14_000.0, decode=100.0),
     ]
-    scheduler = make(specs)
-    first = granted(ask(scheduler, name="stream", tier="0"))[0]
+    scheduler = make_scheduler(specs)
+    first = granted(send_acquire(scheduler, name="stream", tier="0"))[0]
     scheduler.apply_first_output(FirstOutput("stream", "p", 0.05), 0.06)
-    other = granted(ask(scheduler, name="big", tier="0", prompt_tokens=5000, now=0.1))[0]
+    other = granted(send_acquire(scheduler, name="big", tier="0", prompt_tokens=5000, now=0.1))[0]
     assert other != first
 
 
 def test_first_output_removes_prompt_from_prefill_backlog():
-    scheduler = make([upstream(FAST, slots=8)])
-    ask(scheduler, name="big", prompt_tokens=16_000, goal_s=2.0)
-    (before,) = [a for a in ask(scheduler, name="x", now=0.5) if isinstance(a, Grant)]
+    scheduler = make_scheduler([upstream(FAST, slots=8)])
+    send_acquire(scheduler, name="big", prompt_tokens=16_000, goal_s=2.0)
+    (before,) = [a for a in send_acquire(scheduler, name="x", now=0.5) if isinstance(a, Grant)]
     scheduler.apply_first_output(FirstOutput("big", "p", 0.4), 0.5)
-    (after,) = [a for a in ask(scheduler, name="y", now=0.5) if isinstance(a, Grant)]
+    (after,) = [a for a in send_acquire(scheduler, name="y", now=0.5) if isinstance(a, Grant)]
     assert after.expected_first_s < before.expected_first_s / 2
 
 
 def send_requests(scheduler, count, now, start=0, **fields):
     return [
-        ask(scheduler, name=f"c{start + number}", fingerprint=start + number + 1, now=now, **fields)
+        send_acquire(
+            scheduler, name=f"c{start + number}", fingerprint=start + number + 1, now=now, **fields
+        )
         for number in range(count)
     ]
 
 
 def test_request_that_would_miss_its_goal_is_refused_early_and_its_retry_goes_first():
-    scheduler = make([upstream(FAST, slots=1)])
-    ask(scheduler, name="holder", likely_output=400)
+    scheduler = make_scheduler([upstream(FAST, slots=1)])
+    send_acquire(scheduler, name="holder", likely_output=400)
     answers = send_requests(scheduler, 6, now=0.1, comes_back_s=1.0)
     shed = [each for actions in answers for each in actions if isinstance(each, Shed)]
     assert shed and all(0 < each.retry_after_s <= 1.0 for each in shed)
@@ -183,9 +185,9 @@
     first = shed[0]
     number = int(first.request[1:])
     back = 0.1 + first.retry_after_s
-    again = ask(scheduler, name="again", fingerprint=number + 1, now=back)
+    again = send_acquire(scheduler, name="again", fingerprint=number + 1, now=back)
     assert not [each for each in again if isinstance(each, Shed)]
-    new = ask(scheduler, name="new", fingerprint=999, now=back)
+    new = send_acquire(scheduler, name="new", fingerprint=999, now=back)
     assert [each for each in new if isinstance(each, Shed)]
     scheduler.tick(back + 0.05)
     queue = release(scheduler, "holder", back + 0.1)
@@ -193,20 +195,20 @@
 
 
 def test_higher_tier_is_not_refused_early_while_lower_tier_waits():
-    scheduler = make([upstream(FAST, slots=1)])
-    ask(scheduler, name="holder", tier="0", likely_output=1000)
-    ask(scheduler, name="low", now=0.1)
+    scheduler = make_scheduler([upstream(FAST, slots=1)])
+    send_acquire(scheduler, name="holder", tier="0", likely_output=1000)
+    send_acquire(scheduler, name="low", now=0.1)
     for number in range(5):
-        actions = ask(scheduler, name=f"h{number}", tier="0", now=0.1)
+        actions = send_acquire(scheduler, name=f"h{number}", tier="0", now=0.1)
         assert not [each for each in actions if isinstance(each, Shed)]
 
 
 def test_successor_imports_learned_speeds():
-    old = make([upstream(FAST)])
+    old = make_scheduler([upstream(FAST)])
     old.import_learned(Learned("p", (LearnedSpeed(FAST, 2.0, 3.0, 7),)))
     exported = old.export_learned()
     assert exported.speeds == (LearnedSpeed(FAST, 2.0, 3.0, 7),)
-    new = make([upstream(FAST)])
+    new = make_scheduler([upstream(FAST)])
     new.import_learned(exported)
     new.import_learned(Learned("p", (LearnedSpeed(FAST, 9.0, 9.0, 3),)))
     new.import_learned(Learned("p", (LearnedSpeed("unknown", 9.0, 9.0, 3),)))
@@ -238,8 +240,8 @@
 
 def test_request_without_goal_gets_fast_upstream():
     features = msgspec.structs.replace(FEATURES, late_last=True)
-    scheduler = make([upstream(FAST), upstream(SLOW, decode=100.0)], features)
-    actions = ask(scheduler, name="plain", goal_s=0.0, likely_output=300, budget_s=30.0)
+    scheduler = make_scheduler([upstream(FAST), upstream(SLOW, decode=100.0)], features)
+    actions = send_acquire(scheduler, name="plain", goal_s=0.0, likely_output=300, budget_s=30.0)
     assert granted(actions) == [FAST]
 
 
@@ -248,26 +250,28 @@
         upstream("a", slots=6, prefill=14_000.0, decode=100.0),
         upstream("b", slots=6, prefill=14_000.0, decode=100.0),
     ]
-    scheduler = make(specs)
+    scheduler = make_scheduler(specs)
     for number in range(4):
         name = f"stream{number}"
-        ask(scheduler, name=name, tier="0", likely_output=500, now=0.1 * number)
+        send_acquire(scheduler, name=name, tier="0", likely_output=500, now=0.1 * number)
         scheduler.apply_first_output(FirstOutput(name, "p", 0.05), 0.1 * number + 0.06)
     assert all(each.running for each in scheduler.upstreams.values())
-    first = granted(ask(scheduler, name="big1", tier="0", prompt_tokens=5000, now=1.0))
+    first = granted(send_acquire(scheduler, name="big1", tier="0", prompt_tokens=5000, now=1.0))
     scheduler.apply_first_output(FirstOutput("big1", "p", 0.4), 1.4)
-    second = granted(ask(scheduler, name="big2", tier="0", prompt_tokens=5000, now=1.5))
+    second = granted(send_acquire(scheduler, name="big2", tier="0", prompt_tokens=5000, now=1.5))
     assert first == second
 
 
 def test_late_requests_do_not_make_later_timely_request_late():
     """Late requests are granted after it, so the forecast must simulate them after it too."""
     features = msgspec.structs.replace(FEATURES, early=False, fair=False)
-    scheduler = make([upstream(FAST, slots=1)], features)
-    ask(scheduler, name="holder", tier="1", likely_output=60)
+    scheduler = make_scheduler([upstream(FAST, slots=1)], features)
+    send_acquire(scheduler, name="holder", tier="1", likely_output=60)
     for number in range(4):
-        ask(scheduler, name=f"late{number}", tier="1", goal_s=-0.5, likely_output=60, now=0.01)
-    ask(scheduler, name="timely", tier="1", goal_s=0.6, likely_output=60, now=0.02)
+        send_acquire(
+            scheduler, name=f"late{number}", tier="1", goal_s=-0.5, likely_output=60, now=0.01
+        )
+    send_acquire(scheduler, name="timely", tier="1", goal_s=0.6, likely_output=60, now=0.02)
     scheduler.tick(0.1)
     late = {each.request: each.late for each in scheduler.waiting_items()}
     assert late == {"late0": True, "late1": True, "late2": True, "late3": True, "timely": False}
@@ -277,27 +281,27 @@
 def test_long_prompt_waits_for_upstream_where_it_stalls_no_stream():
     fast = upstream(FAST, slots=1, prefill=80_000.0)
     slow = upstream(SLOW, slots=4, prefill=20_000.0)
-    scheduler = make([fast, slow])
-    assert granted(ask(scheduler, name="soon done", tier="0", likely_output=30)) == [FAST]
+    scheduler = make_scheduler([fast, slow])
+    assert granted(send_acquire(scheduler, name="soon done", tier="0", likely_output=30)) == [FAST]
     for number in range(2):
-        assert granted(ask(scheduler, name=f"stream{number}", tier="0")) == [SLOW]
+        assert granted(send_acquire(scheduler, name=f"stream{number}", tier="0")) == [SLOW]
     long = {"prompt_tokens": 9000, "goal_s": 0.8, "tier": "0"}
-    assert granted(ask(scheduler, name="long", now=0.1, **long)) == []
+    assert granted(send_acquire(scheduler, name="long", now=0.1, **long)) == []
     assert granted(release(scheduler, "soon done", 0.2)) == [FAST]
 
 
 def test_long_prompt_starts_at_once_if_no_other_upstream_meets_its_goal():
     fast = upstream(FAST, slots=1, prefill=60_000.0)
     slow = upstream(SLOW, slots=4, prefill=20_000.0)
-    scheduler = make([fast, slow])
-    assert granted(ask(scheduler, name="holder", tier="0", likely_output=118)) == [FAST]
-    assert granted(ask(scheduler, name="stream", tier="0")) == [SLOW]
+    scheduler = make_scheduler([fast, slow])
+    assert granted(send_acquire(scheduler, name="holder", tier="0", likely_output=118)) == [FAST]
+    assert granted(send_acquire(scheduler, name="stream", tier="0")) == [SLOW]
     long = {"prompt_tokens": 9000, "goal_s": 0.8, "tier": "0"}
-    assert granted(ask(scheduler, name="long", now=0.0, **long)) == [SLOW]
+    assert granted(send_acquire(scheduler, name="long", now=0.0, **long)) == [SLOW]
 
 
 def test_new_scheduler_waits_for_lost_entries_less_than_a_short_goal():
-    pool = make([upstream(FAST)])
+    pool = make_scheduler([upstream(FAST)])
     lost = PoolScheduler(pool.spec, lambda: 0.5, 0.0, ["e1", "gone"], FEATURES)
     assert lost.acquire("e1", "z", acquire("q1", goal_s=0.3), 0.01) == []
     outs = lost.tick(0.11)
@@ -305,11 +309,11 @@
 
 
 def test_no_request_is_refused_early_before_new_scheduler_has_settled():
-    spec = make([upstream("u1"), upstream("u2")]).spec
+    spec = make_scheduler([upstream("u1"), upstream("u2")]).spec
     scheduler = PoolScheduler(spec, lambda: 0.5, 0.0, ["h", "other"], FEATURES)
     # Long answers, each of which occupies a slot for seconds.
     long_ones = {"likely_output": 0, "max_output": 2000, "gap_goal_s": 0.3, "goal_s": 1.0}
-    asked = [ask(scheduler, 0.01, name=f"x{number}", **long_ones) for number in range(3)]
+    asked = [send_acquire(scheduler, 0.01, name=f"x{number}", **long_ones) for number in range(3)]
     assert asked == [[], [], []]
     actions = [out.action for out in scheduler.tick(0.11)]
     assert [type(each) for each in actions] == [Grant] * 3
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_limited.py
@@ -5,14 +5,14 @@
 from chalkyoke.scheduling.messages import Grant, Release, Shed, Usage
 from chalkyoke.scheduling.state import ReleaseOutcome
 
-from .test_goals import FAST, SLOW, acquire, make, upstream
+from .test_goals import FAST, SLOW, acquire, make_scheduler, upstream
 
 TICK_S = 0.05
 LIMIT_PER_S = 4.0
 
 
 def limited(names, limit_per_s=LIMIT_PER_S, slots=8):
-    scheduler = make([upstream(FAST, slots=slots), upstream(SLOW, slots=slots)])
+    scheduler = make_scheduler([upstream(FAST, slots=slots), upstream(SLOW, slots=slots)])
     scheduler.set_allowances({name: Allowance(limit_per_s, 1.0, 0.0) for name in names}, 0.0)
     return scheduler
 
@@ -81,7 +81,7 @@
 def test_limit_still_applies_to_upstream_that_returns():
     scheduler = limited({FAST}, limit_per_s=1.0)
     spec = scheduler.spec
-    empty = make([upstream(SLOW)]).spec
+    empty = make_scheduler([upstream(SLOW)]).spec
     scheduler.configure(empty, 1.0)
     scheduler.configure(spec, 1.1)
     assert scheduler.upstreams[FAST].allowance is not None
--- a/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_scheduler.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/tests/test_scheduler.py
@@ -24,7 +24,7 @@
     )
 
 
-def make(expected=(), **options):
+def make_scheduler(expected=(), **options):
     return PoolScheduler(make_spec(**options), lambda: 0.5, 0.0, expected)
 
 
@@ -50,14 +50,14 @@
 
 
 def test_repeated_acquire_changes_nothing_and_repeats_the_grant():
-    scheduler = make()
+    scheduler = make_scheduler()
     first = send_acquires(scheduler, 0.0, acquire("x"))
     assert send_acquires(scheduler, 0.1, acquire("x")) == first
     assert (scheduler.running, scheduler.waiting) == (1, 0)
 
 
 def test_waiting_request_that_is_adopted_as_running_is_not_granted_again():
-    scheduler = make(expected=["e1", "e2"])
+    scheduler = make_scheduler(expected=["e1", "e2"])
     assert send_acquires(scheduler, 0.0, acquire("x")) == []
     scheduler.adopt("e1", Adopt("pool", (make_running_item("x"),)), 0.1)
     scheduler.adopt("e2", Adopt("pool", ()), 0.1)
@@ -65,26 +65,26 @@
 
 
 def test_released_grant_is_not_adopted_over_newer_attempt():
-    scheduler = make(expected=["e1", "e2"])
+    scheduler = make_scheduler(expected=["e1", "e2"])
     send_acquires(scheduler, 0.0, acquire("x", attempt=2))
     scheduler.adopt("e1", Adopt("pool", (make_running_item("x", attempt=1),)), 0.05)
     assert (scheduler.running, scheduler.waiting) == (0, 1)
 
 
 def test_nothing_is_granted_until_all_entries_report_or_settle_time_passes():
-    scheduler = make(expected=["e1", "e2"])
+    scheduler = make_scheduler(expected=["e1", "e2"])
     assert send_acquires(scheduler, 0.0, acquire("x")) == []
     scheduler.adopt("e1", Adopt("pool", (make_running_item("y"),)), 0.1)
     assert scheduler.tick(0.2) == []
     scheduler.adopt("e2", Adopt("pool", ()), 0.3)
     assert scheduler.running == 1
-    silent = make(expected=["e1", "e2"])
+    silent = make_scheduler(expected=["e1", "e2"])
     send_acquires(silent, 0.0, acquire("x"))
     assert isinstance(silent.tick(1.0)[0].action, Grant)
 
 
 def test_higher_tiers_go_first_and_teams_share_a_tier():
-    scheduler = make()
+    scheduler = make_scheduler()
     send_acquires(scheduler, 0.0, acquire("first"), acquire("low", "low"), acquire("high"))
     assert send_release(scheduler, "first", 1.0)[0].request == "high"
     assert send_release(scheduler, "high", 2.0)[0].request == "low"
@@ -103,19 +103,19 @@
 
 
 def test_team_gets_no_more_grants_than_its_limit():
-    scheduler = make(slots=5, max_running=2)
+    scheduler = make_scheduler(slots=5, max_running=2)
     send_acquires(scheduler, 0.0, *(acquire(f"a{i}") for i in range(4)), acquire("b", team="b"))
     assert sorted(scheduler._pool.running) == ["a0", "a1", "b"]
 
 
 def test_request_that_no_idle_upstream_can_finish_is_refused_as_hopeless():
-    action = send_acquires(make(), 0.0, acquire("x", budget=0.05))[0]
+    action = send_acquires(make_scheduler(), 0.0, acquire("x", budget=0.05))[0]
     assert isinstance(action, Shed)
     assert (action.reason, action.retry_after_s) == (Reason.HOPELESS, None)
 
 
 def test_unreachable_upstream_is_avoided_and_retried_later():
-    scheduler = make(upstreams=("u1", "u2"))
+    scheduler = make_scheduler(upstreams=("u1", "u2"))
     first = send_acquires(scheduler, 0.0, acquire("x"))[0].upstream
     send_release(scheduler, "x", 0.1, "unreachable")
     again = send_acquires(scheduler, 0.2, acquire("x", attempt=2))[0]
@@ -126,7 +126,7 @@
 
 
 def test_repeatedly_failing_upstream_is_suspended():
-    scheduler = make()
+    scheduler = make_scheduler()
     for index in range(3):
         send_acquires(scheduler, index, acquire(f"x{index}"))
         send_release(scheduler, f"x{index}", index + 0.5, "failed")
@@ -135,7 +135,7 @@
 
 
 def test_progress_report_ends_grant_whose_release_was_lost():
-    scheduler = make()
+    scheduler = make_scheduler()
     send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     assert scheduler.apply_progress("e1", Progress("pool", ()), 1.0) == []
     outs = scheduler.apply_progress("e1", Progress("pool", ()), 5.0)
@@ -143,7 +143,7 @@
 
 
 def test_load_report_adds_only_foreign_load():
-    scheduler = make(slots=3)
+    scheduler = make_scheduler(slots=3)
     send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     scheduler.apply_load_report(LoadReport("u1", 2, 0, 0.5), 0.5)
     assert scheduler.upstreams["u1"].foreign_load == 0
@@ -153,7 +153,7 @@
 
 
 def test_requests_of_dead_entry_process_are_removed():
-    scheduler = make()
+    scheduler = make_scheduler()
     send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     scheduler.remove_entry("e1", 1.0)
     assert (scheduler.running, scheduler.waiting) == (0, 0)
@@ -161,14 +161,14 @@
 
 
 def test_requests_of_removed_route_are_refused():
-    scheduler = make()
+    scheduler = make_scheduler()
     send_acquires(scheduler, 0.0, acquire("x"), acquire("y"))
     outs = scheduler.configure(PoolSpec("pool", make_spec().upstreams, make_spec().tiers), 1.0)
     assert [out.action.reason for out in outs] == [Reason.NO_UPSTREAM]
 
 
 def test_grants_of_silent_entry_process_are_ended():
-    scheduler = make()
+    scheduler = make_scheduler()
     scheduler.remove_entry("e1", 0.0)
     # A message that was in flight when its sender died arrives after the report of its death.
     send_acquires(scheduler, 0.1, acquire("x"))
@@ -181,7 +181,7 @@
 
 
 def test_refusal_states_whether_pool_is_mostly_free():
-    scheduler = make(slots=4)
+    scheduler = make_scheduler(slots=4)
     hopeless = acquire("x", budget=0.01)
     assert [out.pool_mostly_free for out in scheduler.acquire("e1", "d", hopeless, 0.0)] == [True]
     send_acquires(scheduler, 0.0, acquire("a"), acquire("b"))
--- a/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class TokenRecord:
-    """Hold the state of one used token.
+    """The state of one used token.
 
     :param digest: hash of the request that first used the token; another request is refused.
     :param dispatches: how often bytes may have been sent to an upstream; at most one.
