--- a/packages/chalkyoke/src/chalkyoke/balancing/observer.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/observer.py
@@ -52,7 +52,7 @@
 
 
 class _Evidence(msgspec.Struct):
-    """Hold the evidence that a replica is bad, and the time of its last failure."""
+    """The evidence that a replica is bad, and the time of its last failure."""
 
     weight: float = 0.0
     failed_at: float = 0.0
@@ -100,7 +100,7 @@
         return tuple(found[:max_suspects])
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether there is no evidence and no recent count of any route."""
+        """Return whether there is no evidence and no recent count of any route."""
         return not self._evidence and all(
             now - each.at > ROUTE_HALF_LIFE_S for each in self._routes.values()
         )
--- a/packages/chalkyoke/src/chalkyoke/gateway/grants.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/grants.py
@@ -51,7 +51,7 @@
 # Interval at which a scheduler that has queued a request is checked for being alive, in seconds:
 # half of the shortest goal in use.
 QUEUE_CHECK_INTERVAL_S = 0.15
-# Time for which no request asks a scheduler that was silent to one of them, in seconds.
+# Time for which all requests skip a scheduler that did not answer one of them, in seconds.
 SILENT_SCHEDULER_AVOID_S = 0.4
 # Highest number of schedulers that a request asks: the owner, the next one in another failure
 # domain and the next one in this node's own.
@@ -84,7 +84,8 @@
 
     :param random: source of numbers in [0, 1), to spread the retries of callers.
     :param now: the node's clock, in seconds.
-    :param pooled: whether pool schedulers are asked at all.
+    :param pooled: whether pool schedulers grant requests to engines; otherwise this node chooses
+        the replicas.
     """
 
     def __init__(
@@ -199,7 +200,7 @@
     ) -> Granted | Denied | None:
         """Ask one scheduler until it decides.
 
-        :return: None if the scheduler stops answering, or grants a replica that is gone.
+        :return: None if the scheduler stops answering, or grants an unknown replica.
         """
         self._schedulers.send(owner, self._acquire_message(wanted))
         wait_s = FIRST_ANSWER_TIMEOUT_S
--- a/packages/chalkyoke/src/chalkyoke/node/gateway.py
+++ b/packages/chalkyoke/src/chalkyoke/node/gateway.py
@@ -453,7 +453,7 @@
         log.notice("stopping", in_progress=self.gateway.in_progress)
         self.view.update_self(leaving=True, ready=False)
         self._send_heartbeats()
-        # Callers still connect until the load balancer has noticed.
+        # Callers still connect until the load balancer has removed this node.
         await asyncio.sleep(LEAVE_DELAY_S)
         server.close()
         for connection in list(self._connections):
@@ -600,7 +600,7 @@
         self.quarantine.apply_stored_holds(state.held_requests, state.released_requests)
 
     def _epoch_changed(self, epoch: int) -> None:
-        """Check this node's records in the store again if it was restored from a copy."""
+        """Check this node's records again after a restore of the store from a backup."""
         before, self._store_epoch = self._store_epoch, epoch
         if not before:
             return
--- a/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
+++ b/packages/chalkyoke/src/chalkyoke/quarantine/heldrecords.py
@@ -19,7 +19,7 @@
 # Time for which new records share one lease, in seconds, so that many requests at once need only
 # one call each.
 LEASE_REUSE_S = 30.0
-# Highest number of records that wait to be written. Each needs one call, and other nodes learn of
+# Highest number of records that wait to be written. Each needs one call, and other nodes receive
 # all held requests without the store.
 MAX_WAITING = 100
 # Backoff after a failed call, in seconds: doubled with each failure, up to the maximum.
@@ -52,7 +52,7 @@
         self._wake.set()
 
     def store_restored(self) -> None:
-        """Queue the records again that a store restored from a copy may have lost."""
+        """Queue the records again that a store restored from a backup may have lost."""
         self._lease_until = 0.0
         since = self._now() - MAX_BACKUP_AGE_S
         lost = [request for request, at in self._written if at >= since]
--- a/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/declines.py
@@ -124,7 +124,7 @@
         return [entry for entry, until in self._rests.items() if until > now]
 
     def is_clear(self, now: float) -> bool:
-        """Tell whether the upstream neither declines requests nor asks any process for rest."""
+        """Return whether the upstream neither declines requests nor asks any process for rest."""
         counts = (streak.count for streak in (self._all, *self._domains.values()))
         return not any(counts) and not self.resting(now)
 
@@ -135,7 +135,7 @@
 
 
 class Closure(msgspec.Struct, frozen=True):
-    """Describe a period in which no upstream accepts requests of an entry process.
+    """A period in which no upstream accepts requests of an entry process.
 
     :param until: when the first upstream may accept one again, on the scheduler's clock.
     :param refused: whether all upstreams refuse all requests, so that waiting is pointless.
--- a/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/forecast.py
@@ -21,10 +21,10 @@
 
 
 class Late(msgspec.Struct, frozen=True):
-    """Describe a waiting request that is predicted to miss its goal or deadline.
+    """A waiting request that is predicted to miss its goal or deadline.
 
     :param late_s: predicted lateness in seconds.
-    :param hopeless: whether the caller would be gone by then.
+    :param hopeless: whether the caller would have disconnected by then.
     """
 
     item: WaitingRequest
@@ -170,7 +170,7 @@
 
 
 def _could_start(item: WaitingRequest, upstream: Upstream, now: float) -> bool:
-    """Tell whether a slot is free and the optimistic prediction meets the deadline."""
+    """Return whether a slot is free and the optimistic prediction meets the deadline."""
     prediction = predict(item, upstream, 0, upstream.occupied(now) + 1, now)
     optimistic = prediction.first_s if item.has_goal else prediction.optimistic_s
     return upstream.has_slot(now) and now + optimistic <= item.deadline
--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -27,7 +27,7 @@
 
 
 class RefusalChange(msgspec.Struct, frozen=True):
-    """Report that an upstream starts or stops refusing all requests.
+    """A change: an upstream starts or stops refusing all requests.
 
     :param refuses: whether the upstream refuses all requests from now on.
     """
@@ -133,7 +133,7 @@
             self.refusal_changes.append(RefusalChange(upstream.spec.id, refuses=False))
 
     def _may_suspend(self, now: float) -> bool:
-        """Tell whether one more upstream may be suspended.
+        """Return whether one more upstream may be suspended.
 
         At most half of the upstreams (but at least one) may be, so that a pool does not lose all
         its upstreams on suspicion.
--- a/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
+++ b/packages/chalkyoke/src/chalkyoke/tokens/ledger.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class TokenRecord:
-    """Hold the state of one used token.
+    """The state of one used token.
 
     :param digest: hash of the request that first used the token; another request is refused.
     :param dispatches: how often bytes may have been sent to an upstream; at most one.
@@ -87,7 +87,7 @@
         return Token(self.host, self.address, self.incarnation, sequence, expires_ms)
 
     def is_issued_here(self, token: Token) -> bool:
-        """Tell whether this process issued a token; no other process may dispatch its request.
+        """Return whether this process issued a token; no other process may dispatch its request.
 
         :rtype: bool
         """
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -289,22 +289,25 @@
             await each.write_record("ready")
         await asyncio.sleep(1.0)
 
-        def read_shares():
-            return [node.rollouts._shares["model"] for node in fleet.nodes]
+        def read_rollouts():
+            return [node.rollouts._rollouts["model"] for node in fleet.nodes]
 
         async def write_order():
             fleet.store.put(ORDER_KEY, ROLLOUT_ORDER)
             await asyncio.sleep(2.0)
             assert STATUS_KEY in fleet.store.items
-            write_order.shares = read_shares()
+            write_order.rollouts = read_rollouts()
 
         await restore(fleet, write_order)
         assert STATUS_KEY not in fleet.store.items
         await asyncio.sleep(CONVERGED_S)
-        shares_kept = read_shares() == write_order.shares
+        rollouts_kept = read_rollouts() == write_order.rollouts
         fleet.store.put(ORDER_KEY, ROLLOUT_ORDER)
         await asyncio.sleep(2.0)
-        return shares_kept and read_shares() == write_order.shares, STATUS_KEY in fleet.store.items
+        return (
+            rollouts_kept and read_rollouts() == write_order.rollouts,
+            STATUS_KEY in fleet.store.items,
+        )
 
     result, _ = run_scenario_on_path("/chat/1", scenario)
     assert result == (True, True)
