--- a/conftest.py
+++ b/conftest.py
@@ -1,9 +1,9 @@
 """
 conftest
 
-Every run of the tests reaches the same verdict: hypothesis is derandomized and has no deadline.
-Tests that KNOWN-RED.txt names (``test id: cause, issue`` on a line, three at most) may fail; they
-are run and printed all the same.
+Hypothesis is derandomized and has no deadline, so that every test run gives the same result.
+Tests that KNOWN-RED.txt lists (``test id: cause, issue`` on a line, three at most) may fail; they
+still run, and their results are printed.
 """
 
 from pathlib import Path
@@ -12,7 +12,7 @@
 from hypothesis import HealthCheck, settings
 
 KNOWN_RED = Path(__file__).parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 settings.register_profile(
     "same-verdict",
@@ -24,19 +24,19 @@
 settings.load_profile("same-verdict")
 
 
-def known_red():
-    """Read the known red tests: reason by test id."""
+def read_known_red():
+    """Read the tests that may fail: the reason by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text(encoding="utf-8").splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
-        raise pytest.UsageError(f"{KNOWN_RED.name} has more than {MOST_KNOWN_RED} lines")
+    if len(lines) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"{KNOWN_RED.name} has more than {MAX_KNOWN_RED} lines")
     return {name: reason.strip() for name, _, reason in (line.partition(": ") for line in lines)}
 
 
 def pytest_collection_modifyitems(items):
-    """Let the known red tests fail, and no others."""
-    reasons = known_red()
+    """Mark the tests that may fail as expected failures."""
+    reasons = read_known_red()
     for item in items:
         reason = reasons.get(item.nodeid)
         if reason is not None:
@@ -44,8 +44,8 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the known red tests, and all that one of them that failed has to say."""
-    for name, reason in known_red().items():
+    """Print the tests that may fail, and the full report of each one that failed."""
+    for name, reason in read_known_red().items():
         terminalreporter.write_line(f"known red: {name}: {reason}")
     for report in terminalreporter.stats.get("xfailed", ()):
         terminalreporter.write_sep("_", f"known red, failed: {report.nodeid}")
--- a/tests/catalogfleet.py
+++ b/tests/catalogfleet.py
@@ -2,8 +2,8 @@
 tests.catalogfleet
 
 The real membership and catalog of several nodes over a simulated store and simulated links, in
-virtual time. Links have a bandwidth, connections may go silent for good, the store may turn hosts
-away. What each node lacks of what the store has acknowledged is sampled as it plays.
+virtual time. Links have a bandwidth, connections may go silent permanently, and the store may
+refuse hosts. The age of the oldest acknowledged change that a node lacks is sampled throughout.
 """
 
 import asyncio
@@ -34,7 +34,8 @@
 from tests import virtual
 
 KEYS = StoreKeys(documents.CONFIGURATION_KEY, (documents.REPLICAS_PREFIX,), "nodes/", "held/")
-# The smallest link of a host that the users run, and the delay between two failure domains.
+# The smallest link bandwidth of a host in production (5 Mbit/s), and the delay in seconds
+# between two failure domains.
 LINK_BYTES_PER_S = 5e6 / 8
 LINK_DELAY_S = 0.0005
 STORE_ANSWER_S = 0.004
@@ -43,7 +44,7 @@
 
 
 def configuration(version, routes=40, marked=()):
-    """Write a configuration; routes that are marked go to another service."""
+    """Encode a configuration; routes in ``marked`` (by number) go to the service ``other``."""
     each = [
         {
             "name": f"route-{number:05d}-{number * 2654435761 % 2**32:08x}",
@@ -63,7 +64,7 @@
 
 
 def replica(number, state="ready"):
-    """Write a replica's record as a replica does."""
+    """Encode the record that a replica writes to the store."""
     return json.dumps(
         {
             "service": "pool",
@@ -79,8 +80,8 @@
 
 
 @dataclass(frozen=True)
-class Copy:
-    """What a store held at a moment."""
+class StoreSnapshot:
+    """The content of a store at one moment."""
 
     items: dict
     history: list
@@ -88,83 +89,87 @@
 
 
 class Store:
-    """A store with revisions, whose calls may go silent or be turned away by host.
+    """A store with revisions that can refuse calls or leave them unanswered, by host.
 
-    :ivar epoch: rises by one each time the store comes back from a copy.
+    :ivar epoch: rises by one with each restore from a snapshot.
+    :ivar answer_delay_s: time that the store takes for an answer, in seconds.
+    :ivar refused_hosts: hosts whose calls fail at once.
+    :ivar silent_hosts: hosts whose calls get no answer.
+    :ivar acknowledged: all changes, each with its time on the loop's clock.
     """
 
     def __init__(self):
         self.epoch = 1
-        self.away = False
-        self._went_away = asyncio.Event()
+        self.offline = False
+        self._offline_event = asyncio.Event()
         self.revision = 0
         self.items = {}
         self.history = []
         self.acknowledged = []
-        self.answer_s = STORE_ANSWER_S
-        self.refused = set()
-        self.silent = set()
-        self.calls = 0
-        self._changed = asyncio.Event()
-        self._silenced = asyncio.Event()
+        self.answer_delay_s = STORE_ANSWER_S
+        self.refused_hosts = set()
+        self.silent_hosts = set()
+        self.call_count = 0
+        self._change_event = asyncio.Event()
+        self._silence_event = asyncio.Event()
 
     def put(self, key, value):
         self.revision += 1
         self.items[key] = item = Item(key, value, self.revision)
-        self._note(item)
+        self._record_change(item)
 
     def remove(self, key):
         self.revision += 1
         del self.items[key]
-        self._note(Removed(key, self.revision))
+        self._record_change(Removed(key, self.revision))
 
-    def _note(self, change):
+    def _record_change(self, change):
         self.history.append(change)
         self.acknowledged.append((asyncio.get_running_loop().time(), change))
-        self._changed.set()
-        self._changed = asyncio.Event()
-
-    def copy(self):
-        return Copy(dict(self.items), list(self.history), self.revision)
-
-    def go_away(self):
-        """Break all calls in progress off, and turn all away until the store is back."""
-        self.away = True
-        self._went_away.set()
-        self._went_away = asyncio.Event()
-
-    def restore(self, copy):
-        """Come back from a copy: what was written since is gone, its revisions are free again."""
-        self.items, self.history = dict(copy.items), list(copy.history)
-        self.revision = copy.revision
+        self._change_event.set()
+        self._change_event = asyncio.Event()
+
+    def snapshot(self):
+        return StoreSnapshot(dict(self.items), list(self.history), self.revision)
+
+    def go_offline(self):
+        """Fail all calls in progress, and refuse new ones until ``restore``."""
+        self.offline = True
+        self._offline_event.set()
+        self._offline_event = asyncio.Event()
+
+    def restore(self, snapshot):
+        """Return from a snapshot: later writes are lost, and their revisions are assigned again."""
+        self.items, self.history = dict(snapshot.items), list(snapshot.history)
+        self.revision = snapshot.revision
         self.epoch += 1
-        self.away = False
+        self.offline = False
 
     def silence_connections(self):
-        """Let all calls in progress go without an answer for good; new ones are answered."""
-        self._silenced.set()
-        self._silenced = asyncio.Event()
+        """Leave all calls in progress unanswered forever; new calls are answered."""
+        self._silence_event.set()
+        self._silence_event = asyncio.Event()
 
     async def call(self, host, work):
-        """Answer one call of a host, unless its connection goes silent."""
-        self.calls += 1
-        if self.away:
-            await asyncio.sleep(self.answer_s)
+        """Run one call of a host, unless the store refuses it or its connection goes silent."""
+        self.call_count += 1
+        if self.offline:
+            await asyncio.sleep(self.answer_delay_s)
             return Unavailable("reset", may_have_been_applied=False)
-        if host in self.refused:
-            await asyncio.sleep(self.answer_s)
+        if host in self.refused_hosts:
+            await asyncio.sleep(self.answer_delay_s)
             return Unavailable("503", may_have_been_applied=False)
-        if host in self.silent:
+        if host in self.silent_hosts:
             await asyncio.Event().wait()
-        silenced = asyncio.ensure_future(self._silenced.wait())
-        went_away = asyncio.ensure_future(self._went_away.wait())
+        silenced = asyncio.ensure_future(self._silence_event.wait())
+        offline = asyncio.ensure_future(self._offline_event.wait())
         answering = asyncio.ensure_future(work())
-        tasks = (silenced, went_away, answering)
+        tasks = (silenced, offline, answering)
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             if answering.done():
                 return answering.result()
-            if not went_away.done():
+            if not offline.done():
                 await asyncio.Event().wait()
             return Unavailable("reset", may_have_been_applied=True)
         finally:
@@ -172,17 +177,17 @@
                 each.cancel()
 
     async def read(self, prefix):
-        await asyncio.sleep(self.answer_s)
+        await asyncio.sleep(self.answer_delay_s)
         found = [item for key, item in self.items.items() if key.startswith(prefix)]
         return Listing(tuple(found), self.revision, self.epoch)
 
     async def watch(self, prefix, since, wait_s):
-        await asyncio.sleep(self.answer_s)
+        await asyncio.sleep(self.answer_delay_s)
         if since > self.revision:
             return HistoryLost()
         if since == self.revision:
             try:
-                await asyncio.wait_for(self._changed.wait(), wait_s)
+                await asyncio.wait_for(self._change_event.wait(), wait_s)
             except TimeoutError:
                 return Changes((), since, self.epoch)
         found = {
@@ -194,28 +199,36 @@
 
 
 class StoreClient:
-    """One host's way to the store, with the time-outs of the platform's adapter."""
+    """The store client of one host, with the timeouts of the platform adapter."""
 
     def __init__(self, store, host):
         self._store = store
         self._host = host
 
     async def read(self, prefix):
-        return await self._within(platform_store.CALL_TIMEOUT_S, lambda: self._store.read(prefix))
+        return await self._call_with_timeout(
+            platform_store.CALL_TIMEOUT_S, lambda: self._store.read(prefix)
+        )
 
     async def watch(self, prefix, since, wait_s, answer_s):
-        limit_s = wait_s + answer_s
-        return await self._within(limit_s, lambda: self._store.watch(prefix, since, wait_s))
+        timeout_s = wait_s + answer_s
+        return await self._call_with_timeout(
+            timeout_s, lambda: self._store.watch(prefix, since, wait_s)
+        )
 
-    async def _within(self, limit_s, work):
+    async def _call_with_timeout(self, timeout_s, work):
         try:
-            return await asyncio.wait_for(self._store.call(self._host, work), limit_s)
+            return await asyncio.wait_for(self._store.call(self._host, work), timeout_s)
         except TimeoutError:
             return Unavailable("timed out", may_have_been_applied=True)
 
 
 class Network:
-    """Links between nodes: each host sends and takes in one byte after the other."""
+    """Links between nodes; each host sends and receives serially at a fixed bandwidth.
+
+    :ivar max_queued_s: longest time that a message waited to be sent, in seconds.
+    :ivar dropped: number of messages dropped because too many bytes were queued.
+    """
 
     def __init__(self, bytes_per_s=LINK_BYTES_PER_S):
         self.nodes = {}
@@ -223,27 +236,29 @@
         self.sent_bytes = 0
         self.bytes_by_kind = Counter()
         self.dropped = 0
-        self.most_unsent_s = 0.0
+        self.max_queued_s = 0.0
         self._codec = FrameCodec(())
-        self._free_up = {}
-        self._free_down = {}
+        self._uplink_free_at = {}
+        self._downlink_free_at = {}
 
     def send(self, source, target, message):
         loop = asyncio.get_running_loop()
         now = loop.time()
         size = len(self._codec.encode(Stamp(1, 1), message)) + 60
-        waiting_s = max(0.0, self._free_up.get(source, 0.0) - now)
-        self.most_unsent_s = max(self.most_unsent_s, waiting_s)
+        waiting_s = max(0.0, self._uplink_free_at.get(source, 0.0) - now)
+        self.max_queued_s = max(self.max_queued_s, waiting_s)
         if waiting_s * self.bytes_per_s > MAX_UNSENT_BYTES:
             self.dropped += 1
             return
         self.sent_bytes += size
         self.bytes_by_kind[type(message).__name__] += size
-        up = now + waiting_s + size / self.bytes_per_s
-        self._free_up[source] = up
-        down = max(up, self._free_down.get(target, 0.0)) + size / self.bytes_per_s
-        self._free_down[target] = down
-        loop.call_at(down + LINK_DELAY_S, self._deliver, source, target, message)
+        sent_at = now + waiting_s + size / self.bytes_per_s
+        self._uplink_free_at[source] = sent_at
+        received_at = (
+            max(sent_at, self._downlink_free_at.get(target, 0.0)) + size / self.bytes_per_s
+        )
+        self._downlink_free_at[target] = received_at
+        loop.call_at(received_at + LINK_DELAY_S, self._deliver, source, target, message)
 
     def _deliver(self, source, target, message):
         node = self.nodes.get(target)
@@ -261,7 +276,7 @@
 
 
 class Node:
-    """One node's membership and catalog."""
+    """The membership and the catalog of one node."""
 
     def __init__(self, fleet, host, domain):
         loop = asyncio.get_running_loop()
@@ -271,7 +286,7 @@
         record = MemberRecord(host, 1, self.address, "", domain, False, True, 0, 0)
         self.view = MembershipView(record, DEFAULT_INTERVAL_S)
         self.state = CatalogState(documents.read_catalog, documents.read_record)
-        self.keeper = CatalogSynchronizer(
+        self.synchronizer = CatalogSynchronizer(
             self.state,
             StoreClient(fleet.store, host),
             KEYS,
@@ -286,40 +301,40 @@
 
     def receive(self, address, message):
         if not isinstance(message, MEMBERSHIP_MESSAGES):
-            self.keeper.receive(address, message)
+            self.synchronizer.receive(address, message)
             return
         _, sends = self.view.receive(address, message, self._now())
         for send in sends:
             self.links.send(send.address, send.message)
         if isinstance(message, Heartbeat):
-            self.keeper.receive_heartbeat(address, message.record)
+            self.synchronizer.receive_heartbeat(address, message.record)
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while True:
             for send in self.view.due_messages(self._now()):
                 self.links.send(send.address, send.message)
             await asyncio.sleep(DEFAULT_INTERVAL_S)
 
-    async def tick(self):
+    async def tick_view(self):
         while True:
             self.view.tick(self._now())
             await asyncio.sleep(TICK_S)
 
-    def knows(self, change):
-        """Tell whether this node goes by a change or by a newer one."""
+    def has_applied(self, change):
+        """Return whether this node has applied a change or a newer one of the same kind."""
         if change.key == KEYS.document:
-            return self.state.catalog.version >= version_of(change)
+            return self.state.catalog.version >= read_version(change)
         return self.state.replicas_revision >= change.revision
 
 
-def version_of(change):
-    """Read the version at the head of a configuration."""
+def read_version(change):
+    """Read the version at the start of an encoded configuration."""
     return int(change.value[:40].split(b",")[0].split(b":")[1])
 
 
 @dataclass
 class Lag:
-    """How long what the store had acknowledged was not known."""
+    """The longest time that an acknowledged change was unknown to a node."""
 
     worst_s: float = 0.0
     host: str = ""
@@ -329,9 +344,9 @@
 
 @dataclass
 class Fleet:
-    """A fleet to play with; set it up inside the loop.
+    """A simulated fleet; call ``start`` inside the event loop.
 
-    :param sizes: nodes by failure domain.
+    :param sizes: number of nodes by failure domain.
     """
 
     sizes: dict
@@ -358,12 +373,12 @@
         self._loops = []
         for node in self.nodes:
             node.view.set_candidates(listed)
-            for loop in (node.keeper.run(), node.beat(), node.tick()):
+            for loop in (node.synchronizer.run(), node.send_heartbeats(), node.tick_view()):
                 self._loops.append(asyncio.ensure_future(loop))
-        self._loops.append(asyncio.ensure_future(self._sample()))
+        self._loops.append(asyncio.ensure_future(self._sample_lag()))
 
-    async def _sample(self):
-        """Note for each node how old the oldest change is that it does not know."""
+    async def _sample_lag(self):
+        """Record the age of the oldest acknowledged change that a node has not applied."""
         done = {node.host: 0 for node in self.nodes}
         while True:
             now = asyncio.get_running_loop().time()
@@ -371,7 +386,7 @@
                 known = done[node.host]
                 while known < len(self.store.acknowledged):
                     at, change = self.store.acknowledged[known]
-                    if not node.knows(change):
+                    if not node.has_applied(change):
                         if now - at > self.lag.worst_s and now > 5.0:
                             self.lag = Lag(now - at, node.host, change.key, at)
                         break
@@ -383,14 +398,14 @@
         self.version += 1
         self.store.put(KEYS.document, configuration(self.version, self.routes, marked))
 
-    def drain(self, number):
+    def drain_replica(self, number):
         self.store.put(f"{KEYS.records[0]}i-{number:04d}", replica(number, "draining"))
 
     def watchers(self):
-        """List the hosts that follow the store for their failure domain at the start."""
+        """List the hosts that hold the duty to watch the store for their failure domain."""
         return {node.host for node in self.nodes if node.view.holds_duty(WATCH_DUTY, 2)}
 
 
-def play(make):
-    """Play a coroutine function in virtual time."""
-    return virtual.run(make)
+def run_in_virtual_time(coroutine_function):
+    """Run a coroutine function in virtual time."""
+    return virtual.run(coroutine_function)
--- a/tests/memberfleet.py
+++ b/tests/memberfleet.py
@@ -1,5 +1,5 @@
 """
-A fleet of membership views that hear each other at once, unless they are cut off or dead.
+A fleet of membership views that exchange messages without delay, unless blocked or dead.
 """
 
 import heapq
@@ -23,10 +23,12 @@
     """The views of all hosts.
 
     :param domains: hosts by failure domain.
-    :param capacities: of hosts that can bear another number of cores than one.
-    :ivar cut: hosts that nobody reaches, and pairs of which the one does not reach the other.
-    :ivar heard: messages by the host that took them.
-    :ivar crossing: messages from one failure domain to another.
+    :param capacities: in cores, by host; hosts that are not listed have 1 core.
+    :ivar blocked: hosts that no message reaches or leaves, and (sender, receiver) pairs whose
+        messages are lost.
+    :ivar received_by_host: number of received messages, by host.
+    :ivar sent_by_host: number of sent messages, by host.
+    :ivar cross_domain_messages: number of messages from one failure domain to another.
     """
 
     def __init__(self, domains, capacities=None):
@@ -47,16 +49,16 @@
             self.start(each.host)
 
     def start(self, host, incarnation=1, ready=True):
-        """Start a host, or start it anew, as a process that knows the list only."""
-        found = next(each for each in self.candidates if each.host == host)
-        made = member_record(
-            host, found.failure_domain, incarnation, ready=ready, capacity=found.capacity
+        """Start or restart a host as a process that knows only the host list."""
+        candidate = next(each for each in self.candidates if each.host == host)
+        record = member_record(
+            host, candidate.failure_domain, incarnation, ready=ready, capacity=candidate.capacity
         )
-        self.views[host] = MembershipView(made)
+        self.views[host] = MembershipView(record)
         self.views[host].set_candidates(self.candidates)
 
     def kill(self, host):
-        """End a process; its host answers nobody."""
+        """Stop a process; its host answers no messages from then on."""
         del self.views[host]
 
     def run(self, seconds):
@@ -93,41 +95,43 @@
 
 
 class DelayedFleet(Fleet):
-    """A fleet whose messages take time, and whose hosts all beat at the same moments.
+    """A fleet whose messages take time, and whose hosts send their heartbeats simultaneously.
 
-    :ivar delay_s: how long each message takes, in seconds.
+    :ivar delay_s: transit time of each message, in seconds.
     """
 
     delay_s = 0.02
 
     def __init__(self, domains, capacities=None):
-        self._on_way = []
-        self._numbers = itertools.count()
+        self._in_flight = []
+        self._sequence = itertools.count()
         super().__init__(domains, capacities)
 
     def run(self, seconds):
         end = self.now + seconds
-        beats = [self._next_beat(host) for host in self.views]
-        heapq.heapify(beats)
-        while (at := min(beats[0][0], self._on_way[0][0] if self._on_way else math.inf)) <= end:
+        heartbeats = [self._next_heartbeat(host) for host in self.views]
+        heapq.heapify(heartbeats)
+        while (
+            at := min(heartbeats[0][0], self._in_flight[0][0] if self._in_flight else math.inf)
+        ) <= end:
             self.now = at
-            if beats[0][0] > at:
-                _, _, sender, target, message = heapq.heappop(self._on_way)
+            if heartbeats[0][0] > at:
+                _, _, sender, target, message = heapq.heappop(self._in_flight)
                 _, answers = self.views[target].receive(f"{sender}:1", message, at)
                 self.deliver(self.views[target], answers)
                 continue
-            _, host = heapq.heappop(beats)
+            _, host = heapq.heappop(heartbeats)
             self.views[host].tick(at)
             self.deliver(self.views[host], self.views[host].due_messages(at))
-            heapq.heappush(beats, (at + INTERVAL_S, host))
+            heapq.heappush(heartbeats, (at + INTERVAL_S, host))
         self.now = end
 
-    def _next_beat(self, host):
+    def _next_heartbeat(self, host):
         return ((math.floor(self.now / INTERVAL_S) + 1) * INTERVAL_S, host)
 
     def deliver(self, sender, sends):
         for send in sends:
             target = send.address.split(":")[0]
             if target in self.views and self.can_reach(sender.record.host, target):
-                each = (self.now + self.delay_s, next(self._numbers), sender.record.host)
-                heapq.heappush(self._on_way, (*each, target, send.message))
+                each = (self.now + self.delay_s, next(self._sequence), sender.record.host)
+                heapq.heappush(self._in_flight, (*each, target, send.message))
--- a/tests/test_children.py
+++ b/tests/test_children.py
@@ -1,7 +1,7 @@
 """
 tests.test_children
 
-The processes that a stand-in fleet starts end with their parent, also when the parent is killed.
+The processes that a fake fleet has started end with it, also when their parent is killed.
 """
 
 import os
@@ -22,7 +22,7 @@
 
 
 def is_running(pid):
-    """Check whether a process runs; a zombie counts as ended."""
+    """Return whether a process runs; a zombie counts as ended."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8")
     except FileNotFoundError:
@@ -30,7 +30,7 @@
     return stat.rsplit(")", 1)[1].split()[0] != "Z"
 
 
-def test_children_end_when_their_starter_is_killed(tmp_path):
+def test_child_processes_end_when_their_parent_is_killed(tmp_path):
     starter = subprocess.Popen(
         [sys.executable, "-c", STARTER, str(tmp_path / "log")], stdout=subprocess.PIPE
     )
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -1,8 +1,8 @@
 """
 tests.test_gateway_processes
 
-The users' path over real sockets: gateway nodes as processes, before the stand-ins of the
-platform's store and replicas.
+The path of a request over real sockets: gateway nodes as processes, with the platform's fake store
+and replicas.
 """
 
 import asyncio
@@ -27,21 +27,21 @@
     asyncio.run(main())
 
 
-def engines(fleet):
+def engine_replicas(fleet):
     return [each for each in fleet.replicas.values() if each.engine]
 
 
-def plain(fleet):
+def plain_replicas(fleet):
     return [each for each in fleet.replicas.values() if not each.engine]
 
 
-def test_requests_go_whole_and_unaltered_to_one_replica_and_back():
+def test_requests_and_answers_pass_unaltered_to_and_from_one_replica():
     async def check(fleet):
         for name in fleet.nodes:
             got = await fleet.send_request(name, "/chat/x?y=%20z", body=b"\x00\xff")
             assert (got.status, got.body, got.whole) == (200, WHOLE_STREAM, True)
         assert sum(fleet.count_runs().values()) == 3
-        seen = next(each.seen[0] for each in engines(fleet) if each.seen)
+        seen = next(each.seen[0] for each in engine_replicas(fleet) if each.seen)
         assert (seen.method, seen.target, seen.body) == ("POST", "/chat/x?y=%20z", b"\x00\xff")
         assert seen.headers["x-tenant"] == "clerks" and "x-credential" not in seen.headers
         assert 0 < int(seen.headers["x-deadline-ms"]) <= 8000
@@ -50,7 +50,7 @@
             "n1", "/book/1", X_Tenant="forged", X_Expect_Instance="forged"
         )
         assert got.status == 200 and got.headers["x-server-stamp"]
-        seen = next(each.seen[-1] for each in plain(fleet) if each.seen)
+        seen = next(each.seen[-1] for each in plain_replicas(fleet) if each.seen)
         assert seen.headers["x-tenant"] == "clerks"
 
         for path, key, status in (
@@ -63,19 +63,19 @@
     with_fleet(check)
 
 
-def test_what_may_not_be_repeated_runs_once_and_what_may_is_sent_again():
+def test_only_repeatable_requests_are_sent_again():
     async def check(fleet):
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.lose_answers = 1
         got = await fleet.send_request("n1", "/book/1", request_id="once")
         assert got.status == 502
         assert fleet.count_runs()["once"] == 1
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.lose_answers = 0
             replica.faults.fail = 1
         got = await fleet.send_request("n1", "/find/1", method="GET", body=b"", request_id="twice")
         assert got.status == 500 and fleet.count_runs()["twice"] == 2
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.fail = 0
             replica.faults.shed = 1
         got = await fleet.send_request("n1", "/book/1", request_id="declined")
@@ -84,24 +84,24 @@
     with_fleet(check)
 
 
-def test_a_broken_stream_goes_on_elsewhere_where_it_may_and_is_visibly_broken_where_not():
+def test_a_broken_stream_is_resumed_elsewhere_if_resumable_and_else_visibly_truncated():
     async def check(fleet):
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.break_streams = 1
         got = await fleet.send_request("n1", "/chat/1", request_id="chat")
         assert not got.whole and WHOLE_STREAM.startswith(got.body) and got.body
         assert fleet.count_runs()["chat"] == 1
-        broken = next(each for each in engines(fleet) if each.faults.break_streams == 0)
+        broken = next(each for each in engine_replicas(fleet) if each.faults.break_streams == 0)
         broken.faults.break_streams = 1
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.break_after = 3
         got = await fleet.send_request("n2", "/explain/1", request_id="explain")
         assert fleet.count_runs()["explain"] == 2
-        seen = [each for replica in engines(fleet) for each in replica.seen]
+        seen = [each for replica in engine_replicas(fleet) for each in replica.seen]
         sends = [each for each in seen if each.headers["x-request-id"] == "explain"]
         assert sorted(each.headers.get("last-event-id", "") for each in sends) == ["", "2"]
         assert WHOLE_STREAM.startswith(got.body)
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.break_streams = 0
         got = await fleet.send_request("n2", "/explain/1", Last_Event_Id="4")
         assert got.whole and got.body == WHOLE_STREAM[WHOLE_STREAM.index(b"id: 5") :]
@@ -109,9 +109,9 @@
     with_fleet(check)
 
 
-def test_answers_that_nobody_asked_for_reach_nobody():
+def test_unsolicited_answers_are_dropped():
     async def check(fleet):
-        for replica in plain(fleet):
+        for replica in plain_replicas(fleet):
             replica.faults.extra_answers = 20
         for number in range(30):
             got = await fleet.send_request("n1", "/book/1", request_id=f"e{number}")
@@ -120,7 +120,7 @@
     with_fleet(check, ("a",))
 
 
-def test_another_replica_at_a_known_address_does_not_run_what_was_not_meant_for_it():
+def test_a_different_replica_at_a_known_address_runs_no_requests_meant_for_the_former():
     async def check(fleet):
         old = fleet.replicas["s0"]
         await old.crash()
@@ -134,24 +134,24 @@
     with_fleet(check)
 
 
-def test_a_replica_that_leaves_gets_nothing_once_its_node_knows():
+def test_a_leaving_replica_gets_no_requests_once_the_nodes_know():
     async def check(fleet):
         leaving = fleet.replicas["s0"]
         await leaving.write_record("draining")
 
-        async def is_left_alone():
+        async def gets_no_requests():
             before = sum(leaving.runs.values())
             for name in fleet.nodes:
                 for _ in range(4):
                     assert (await fleet.send_request(name, "/book/1")).status == 200
             return sum(leaving.runs.values()) == before
 
-        await fleet.wait_until(is_left_alone, "a leaving replica to be left alone")
+        await fleet.wait_until(gets_no_requests, "a leaving replica to get no requests")
 
     with_fleet(check)
 
 
-def test_a_crashed_replica_costs_no_request_that_was_not_on_it():
+def test_a_crashed_replica_fails_no_later_request():
     async def check(fleet):
         await fleet.replicas["m0"].crash()
         await fleet.replicas["s0"].crash()
@@ -162,7 +162,7 @@
     with_fleet(check)
 
 
-def test_a_configuration_is_in_force_everywhere_and_stays_without_the_store():
+def test_a_configuration_takes_effect_on_all_nodes_and_survives_a_store_outage():
     async def check(fleet):
         changed = default_configuration(5)
         changed["routes"][2]["path-prefix"] = "/moved/"
@@ -192,7 +192,7 @@
     with_fleet(check)
 
 
-def test_a_history_that_was_forgotten_hides_no_change():
+def test_a_lost_store_history_hides_no_change():
     async def check(fleet):
         await fleet.store.forget_history()
         changed = default_configuration(9)
@@ -209,7 +209,7 @@
     with_fleet(check)
 
 
-def test_the_loss_or_freeze_of_a_scheduler_stops_nobody():
+def test_the_loss_or_freeze_of_a_scheduler_interrupts_no_requests():
     async def check(fleet):
         await asyncio.gather(*(fleet.send_request(name, "/chat/1") for name in fleet.nodes))
         for name in fleet.nodes:
@@ -226,9 +226,9 @@
     with_fleet(check)
 
 
-def test_a_planned_stop_cuts_off_nothing_and_calls_for_no_more_at_once():
+def test_a_planned_stop_finishes_running_streams_and_reports_not_ready_at_once():
     async def check(fleet):
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.event_s = 0.15
         tasks = [asyncio.create_task(fleet.send_request("n1", "/chat/1")) for _ in range(4)]
         await fleet.wait_until(lambda: sum(fleet.count_runs().values()) == 4, "four streams to run")
@@ -237,7 +237,7 @@
         async def is_not_ready():
             return not await fleet.is_ready("n1")
 
-        await fleet.wait_until(is_not_ready, "a stopping node to say so")
+        await fleet.wait_until(is_not_ready, "a stopping node to report not ready")
         got = await fleet.send_request("n1", "/book/1")
         assert got.status == 200
         for each in await asyncio.gather(*tasks):
@@ -247,28 +247,30 @@
     with_fleet(check)
 
 
-def test_a_caller_that_leaves_is_felt_by_the_replica():
+def test_a_caller_that_disconnects_cancels_its_request_at_the_replica():
     async def check(fleet):
-        for replica in engines(fleet):
+        for replica in engine_replicas(fleet):
             replica.faults.event_s = 0.1
         task = asyncio.create_task(fleet.send_request("n1", "/chat/1"))
         await fleet.wait_until(lambda: sum(fleet.count_runs().values()) == 1, "a stream to run")
         task.cancel()
-        seen = [each for replica in engines(fleet) for each in replica.seen]
-        await fleet.wait_until(lambda: seen[0].client_disconnected, "a replica to notice")
+        seen = [each for replica in engine_replicas(fleet) for each in replica.seen]
+        await fleet.wait_until(
+            lambda: seen[0].client_disconnected, "a replica to see the disconnect"
+        )
 
-        def left():
+        def left_lines():
             lines = (fleet.folder / "n1.log").read_text().splitlines()
             return [each for each in map(json.loads, lines) if each["event"] == "left"]
 
-        await fleet.wait_until(left, "the line of a caller that left")
-        assert left()[0]["sends"] == 1 and 0 <= left()[0]["silent_s"] < 60
-        assert left()[0]["events"] >= 0
+        await fleet.wait_until(left_lines, "the log line of a disconnected caller")
+        assert left_lines()[0]["sends"] == 1 and 0 <= left_lines()[0]["silent_s"] < 60
+        assert left_lines()[0]["events"] >= 0
 
     with_fleet(check, ("a",))
 
 
-def test_the_pages_tell_readiness_and_metrics_and_the_log_has_each_request():
+def test_metrics_are_served_and_the_log_has_each_request():
     async def check(fleet):
         await fleet.send_request("n1", "/book/1", request_id="told")
         async with fleet.session.get(f"http://{fleet.nodes['n1'].metrics}/metrics") as page:
@@ -278,18 +280,18 @@
             text = (fleet.folder / "n1.log").read_text()
             return [json.loads(line) for line in text.splitlines()]
 
-        def told():
+        def events_of_request():
             return {each["event"]: each for each in lines() if each.get("request") == "told"}
 
-        await fleet.wait_until(lambda: "ended" in told(), "a request to be in the log")
-        sent, ended = told()["sent"], told()["ended"]
+        await fleet.wait_until(lambda: "ended" in events_of_request(), "a request to be in the log")
+        sent, ended = events_of_request()["sent"], events_of_request()["ended"]
         assert sent["replica"] == ended["replica"] and sent["version"] == ended["version"] == 1
         assert ended["end"] == "delivered" and sent["deadline_s"] <= 8.0
 
     with_fleet(check, ("a",))
 
 
-def test_settings_that_are_wrong_or_change_are_told():
+def test_invalid_settings_are_reported_at_reload_and_start():
     async def check(fleet):
         node = fleet.nodes["n1"]
         node.settings.write_text("[node]\n")
@@ -298,14 +300,14 @@
         def log():
             return (fleet.folder / "n1.log").read_text()
 
-        await fleet.wait_until(lambda: "reload_failed" in log(), "the mistake to be told")
+        await fleet.wait_until(lambda: "reload_failed" in log(), "the failed reload to be logged")
         assert (await fleet.send_request("n1", "/book/1")).status == 200
         node.send_signal(signal.SIGKILL)
         node.popen.wait()
         command = [sys.executable, "-m", "chalkyoke.gatewayd", str(node.settings)]
         process = await asyncio.create_subprocess_exec(*command, stderr=asyncio.subprocess.PIPE)
-        _, told = await process.communicate()
-        assert process.returncode == 2 and told.startswith(b"settings: ")
+        _, error_output = await process.communicate()
+        assert process.returncode == 2 and error_output.startswith(b"settings: ")
 
     with_fleet(check, ("a",))
 
@@ -327,7 +329,7 @@
     with_fleet(check, ("a",))
 
 
-def test_the_callers_connection_is_kept_between_requests():
+def test_a_callers_connection_is_reused_between_requests():
     async def check(fleet):
         connector = aiohttp.TCPConnector(limit=1)
         async with aiohttp.ClientSession(connector=connector) as session:
@@ -341,12 +343,12 @@
     with_fleet(check, ("a",))
 
 
-def test_a_node_that_was_frozen_serves_in_the_first_second_after_it_wakes():
+def test_a_frozen_node_serves_in_the_first_second_after_it_resumes():
     async def check(fleet):
         await asyncio.sleep(1.0)
         node = fleet.nodes["n1"]
         node.send_signal(signal.SIGSTOP)
-        # Longer than all that is promised for a time: leases, grants, signs of life.
+        # Longer than all leases, grants and heartbeat timeouts.
         await asyncio.sleep(6.0)
         node.send_signal(signal.SIGCONT)
         paths = ("/chat/1", "/explain/1", "/find/1", "/book/1")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,7 +1,7 @@
 """
 tests.test_operators
 
-The operators' command line and the administration API, against a real fleet.
+The operators' command line and the administration API, against a fleet of real processes.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 from chalkyoke_fakes.caller import ReplyOutcome
 from chalkyoke_fakes.fleet import OPERATOR_TOKEN
 
-from tests.test_processes import HASH, RESOURCES, body, until, with_fleet
+from tests.test_processes import KEY_SHA256, RESOURCES, completion_body, wait_until, with_fleet
 
 
 async def ctl(fleet, *arguments, host="n1"):
-    """Run chalkyokectl; give its exit code, output and errors."""
+    """Run chalkyokectl; return its exit code, standard output and standard error."""
     server = fleet.nodes[host].administration
     command = [sys.executable, "-m", "chalkyokectl.cli", *arguments]
     if arguments[0] != "check":
@@ -29,10 +29,12 @@
     async def check(fleet, caller):
         good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
         good.write_text(
-            f'[[team]]\nname = "team"\ntiers = ["low"]\nweight = 4\nkey_sha256 = ["{HASH}"]\n'
+            f'[[team]]\nname = "team"\ntiers = ["low"]\nweight = 4\nkey_sha256 = ["{KEY_SHA256}"]\n'
         )
         bad.write_text('[[route]]\nname = "r"\nservice = "model"\nupstreams = { host = "e0" }\n')
-        assert (await ctl(fleet, "check", str(good)))[0] == 2  # alone it names no tier
+        assert (await ctl(fleet, "check", str(good)))[
+            0
+        ] == 2  # without the tiers it names an unknown one
         code, _, errors = await ctl(fleet, "check", str(bad))
         assert (code, "route[0].upstreams" in errors) == (2, True)
         code, out, _ = await ctl(fleet, "plan", "-f", str(good))
@@ -55,11 +57,13 @@
     with_fleet(check)
 
 
-def test_the_time_line_shows_one_request_over_all_processes():
+def test_the_timeline_shows_one_request_across_all_processes():
     async def check(fleet, caller):
         token = await caller.take_token(fleet.nodes["n1"].address)
         for host in ("n1", "n2"):
-            reply = await caller.complete(fleet.nodes[host].address, body(4), Chalkyoke_Token=token)
+            reply = await caller.complete(
+                fleet.nodes[host].address, completion_body(4), Chalkyoke_Token=token
+            )
             assert reply.outcome is ReplyOutcome.WHOLE
         code, out, _ = await ctl(fleet, "events", "--token", token, "-o", "json")
         kinds = [event["kind"] for event in json.loads(out)]
@@ -89,15 +93,15 @@
         async def ended():
             return fleet.nodes["n2"].popen.poll() == 0
 
-        await until(ended)
+        await wait_until(ended)
         assert (
-            await caller.complete(fleet.nodes["n3"].address, body(4))
+            await caller.complete(fleet.nodes["n3"].address, completion_body(4))
         ).outcome is ReplyOutcome.WHOLE
 
     with_fleet(check)
 
 
-def test_roles_are_kept_apart_and_every_error_is_a_problem_document():
+def test_roles_are_separate_and_every_error_is_a_problem_document():
     async def check(fleet, caller):
         address = fleet.nodes["n1"].administration
         for path, method, status in (
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,7 +1,7 @@
 """
 tests.test_platform_names
 
-The platform's names stand in one small folder, and only the start-up code imports it.
+The names of the platform occur in one small folder, and only the start-up code imports it.
 """
 
 import re
@@ -9,13 +9,13 @@
 
 SOURCES = Path(__file__).parent.parent / "packages"
 ADAPTER = SOURCES / "chalkyoke/src/chalkyoke/platform"
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"X-(Server-Stamp|Not-Run|Expect-Instance|Token-Count|Prefix-Hash|Credential|Server-Load"
     r"|Weights-Version|Pin-Ms|Length-Hint|Kv-|Tenant|Hold|Model)|Kv-(From|Fetch)"
     r"|kv-(watch|txn|range|key|lease|keep)|path-prefix|api-keys|servers/|op/config",
     re.IGNORECASE,
 )
-MOST_LINES = 600
+MAX_ADAPTER_LINES = 600
 
 
 def sources():
@@ -25,11 +25,11 @@
             yield path
 
 
-def test_the_platforms_names_stand_nowhere_else():
+def test_platform_names_occur_only_in_the_adapter():
     found = [
         f"{path.relative_to(SOURCES)}: {match.group(0)}"
         for path in sources()
-        for match in NAMES.finditer(path.read_text(encoding="utf-8"))
+        for match in PLATFORM_NAMES.finditer(path.read_text(encoding="utf-8"))
     ]
     assert found == []
 
@@ -45,4 +45,4 @@
 
 def test_the_adapter_stays_small():
     lines = sum(len(path.read_text().splitlines()) for path in ADAPTER.glob("*.py"))
-    assert lines < MOST_LINES
+    assert lines < MAX_ADAPTER_LINES
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -1,12 +1,12 @@
 """
 tests.test_quarantine_fleet
 
-The quarantine of 9, 80 and 300 nodes over links that take 1 ms, in virtual time, without a network.
-The pattern: one request that ends each replica that runs it comes each 0.3 s anywhere; each end
-takes up to six other runs with it, as in the recorded day of a pool of six. Beside it, replicas
-that end by themselves: a rack at once, a domain one after the other, a bad release whose replicas
-end some seconds after each start. What is wanted: three sends more at most later than 3 s after the
-third end, and nobody else held back.
+The quarantine of 9, 80 and 300 nodes over links with a delay of 1 ms, in virtual time, without a
+network. A request that crashes each replica that runs it arrives every 0.3 s at any node; each
+crash ends up to six other runs as well, as in a recorded day of a pool of six. Other cases have
+replicas that crash on their own: half of them at once as when a rack fails, one after the other as
+in a failing domain, or a bad release whose replicas crash some seconds after each start. Required:
+at most three more sends later than 3 s after the third crash, and no innocent request held back.
 """
 
 import asyncio
@@ -22,15 +22,19 @@
 
 from tests import virtual
 
-LINK_S = 0.001
-FEW = 8
-MONITORS = 3
-CRASHING = b"crashing----"
-KNOWN_S = 3.0
+LINK_DELAY_S = 0.001
+MAX_FULL_MESH_NODES = 8
+MONITORS_PER_DOMAIN = 3
+CRASHING_REQUEST = b"crashing----"
+SPREAD_S = 3.0
 
 
 class View:
-    """Who is told news by whom, as the membership names them."""
+    """The broadcast targets of a node, as the membership gives them.
+
+    Up to ``MAX_FULL_MESH_DOMAIN`` nodes of a domain send to each other; a larger domain has
+    ``MONITORS`` relays.
+    """
 
     def __init__(self, fleet, number):
         self._fleet = fleet
@@ -40,8 +44,8 @@
     def broadcast_targets(self):
         direct, relays = [], []
         for domain in self._fleet.domains:
-            first = domain[:MONITORS]
-            if len(domain) <= FEW or self._number in first:
+            first = domain[:MONITORS_PER_DOMAIN]
+            if len(domain) <= MAX_FULL_MESH_NODES or self._number in first:
                 direct += [each for each in domain if each != self._number]
             else:
                 relays += first
@@ -53,30 +57,30 @@
 
 
 class Connections:
-    """Tells at once whether a replica lives."""
+    """Probes of replicas, which show after one link delay whether a replica is alive."""
 
     def __init__(self, fleet):
         self._fleet = fleet
 
     async def open(self, ip, port, *, limit, timeout_s):
-        await asyncio.sleep(LINK_S)
-        return ConnectFailure.REFUSED if ip in self._fleet.ended else object()
+        await asyncio.sleep(LINK_DELAY_S)
+        return ConnectFailure.REFUSED if ip in self._fleet.crashed_ips else object()
 
     def give_back(self, ip, port, connection):
         pass
 
 
 class Fleet:
-    """Nodes, and replicas of one pool that run requests until they end."""
+    """The nodes and the replicas of one pool, which run requests until they crash."""
 
     def __init__(self, nodes, domains, replicas, seed):
         self.random = random.Random(seed)
         self.domains = [list(range(each, nodes, domains)) for each in range(domains)]
-        self.ended = set()
+        self.crashed_ips = set()
         self.messages = Counter()
         self.cut = set()
         self._starts = 0
-        self.replicas = [self._start() for _ in range(replicas)]
+        self.replicas = [self._start_replica() for _ in range(replicas)]
         self.running = {each.id: {} for each in self.replicas}
         loop = asyncio.get_running_loop()
         self.nodes = [
@@ -93,7 +97,7 @@
             for number in range(nodes)
         ]
 
-    def _start(self):
+    def _start_replica(self):
         self._starts += 1
         name = f"r{self._starts}/1"
         return SimpleNamespace(id=name, ip=name, port=1)
@@ -103,10 +107,10 @@
         if (source in self.cut) != (target in self.cut):
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(LINK_S, lambda: self.nodes[target].receive(source, message))
+        loop.call_later(LINK_DELAY_S, lambda: self.nodes[target].receive(source, message))
 
     def run(self, request, *, node=None):
-        """Send a request to a replica that is there; nothing where a node holds it back."""
+        """Send a request to a random live replica; return None if the node holds it back."""
         node = self.random.randrange(len(self.nodes)) if node is None else node
         if self.nodes[node].is_held(lambda: request):
             return None
@@ -121,12 +125,12 @@
             return True
         return False
 
-    def end(self, replica):
-        """Let a replica end, with all that runs there; another starts in its place."""
+    def crash(self, replica):
+        """Crash a replica and all its runs, start another in its place, and return the runs."""
         now = asyncio.get_running_loop().time()
-        self.ended.add(replica.ip)
+        self.crashed_ips.add(replica.ip)
         runs = self.running.pop(replica.id)
-        self.replicas[self.replicas.index(replica)] = new = self._start()
+        self.replicas[self.replicas.index(replica)] = new = self._start_replica()
         self.running[new.id] = {}
         service = SimpleNamespace(service=SimpleNamespace(max_connections=100))
         for (request, node), at in runs.items():
@@ -142,7 +146,7 @@
             node.tick()
 
 
-def play(check, nodes, domains, replicas, seed=1):
+def run_check(check, nodes, domains, replicas, seed=1):
     async def main():
         await check(Fleet(nodes, domains, replicas, seed))
 
@@ -150,13 +154,13 @@
         virtual.run(main)
 
 
-async def usual_work(fleet, seconds, per_s, tries=4, served=None):
-    """Let callers ask; what breaks is sent again, up to four times over both of its attempts."""
+async def run_unique_requests(fleet, seconds, per_s, tries=4, served=None):
+    """Run callers with unique requests; a broken request is sent again, four times at most."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     names = (b"%012d" % number for number in range(1_000_000))
 
-    async def one(name):
+    async def send_until_delivered(name):
         work_s = fleet.random.choice((0.1, 0.3, 1.0, 3.0))
         for _ in range(tries):
             node = fleet.random.randrange(len(fleet.nodes))
@@ -171,127 +175,131 @@
 
     asked = []
     while loop.time() < until:
-        asked.append(asyncio.ensure_future(one(next(names))))
+        asked.append(asyncio.ensure_future(send_until_delivered(next(names))))
         await asyncio.sleep(1 / per_s)
     await asyncio.gather(*asked)
 
 
 @pytest.mark.parametrize("nodes, domains, replicas", [(9, 3, 5), (80, 4, 18), (300, 7, 60)])
-def test_all_know_at_once_and_what_an_end_costs(nodes, domains, replicas):
+def test_all_nodes_hold_a_request_back_at_once_with_bounded_messages(nodes, domains, replicas):
     async def check(fleet):
-        usual = asyncio.ensure_future(usual_work(fleet, 8.0, per_s=20))
+        unique_requests = asyncio.ensure_future(run_unique_requests(fleet, 8.0, per_s=20))
         loop = asyncio.get_running_loop()
         sends, third = [], None
         for _ in range(27):
-            replica = fleet.run(CRASHING)
+            replica = fleet.run(CRASHING_REQUEST)
             if replica is not None:
                 sends.append(loop.time())
                 await asyncio.sleep(0.1)
                 if replica.id in fleet.running:
-                    fleet.end(replica)
+                    fleet.crash(replica)
                 if len(sends) == 3:
                     third = loop.time()
                     await asyncio.sleep(0.02)
-                    knowing = sum(node.is_held(lambda: CRASHING) for node in fleet.nodes)
-                    assert knowing == nodes
+                    holding_nodes = sum(
+                        node.is_held(lambda: CRASHING_REQUEST) for node in fleet.nodes
+                    )
+                    assert holding_nodes == nodes
             await asyncio.sleep(0.2)
-        told = fleet.messages["ReplicaEnded"]
-        await usual
-        assert len([at for at in sends if at > third + KNOWN_S]) == 0
-        assert fleet.held() == {CRASHING}
-        # Each node with a run there tells all others: up to seven times the fleet for an end.
-        assert told <= 3 * 7 * 1.2 * nodes + 100
+        end_reports = fleet.messages["ReplicaEnded"]
+        await unique_requests
+        assert len([at for at in sends if at > third + SPREAD_S]) == 0
+        assert fleet.held() == {CRASHING_REQUEST}
+        # Each node with a run on the replica reports to all others: at most seven reports to the
+        # fleet per crash.
+        assert end_reports <= 3 * 7 * 1.2 * nodes + 100
 
-    play(check, nodes, domains, replicas)
+    run_check(check, nodes, domains, replicas)
 
 
-def test_two_sides_of_a_cut_agree_soon_after_it_heals():
+# Guards against evidence that reaches only the nodes on one side of a partition.
+def test_both_sides_of_a_partition_agree_soon_after_it_heals():
     async def check(fleet):
         loop = asyncio.get_running_loop()
         fleet.cut = set(fleet.domains[0])
         inside = fleet.domains[0][0]
         for _ in range(3):
-            replica = fleet.run(CRASHING, node=inside)
+            replica = fleet.run(CRASHING_REQUEST, node=inside)
             await asyncio.sleep(0.1)
-            fleet.end(replica)
+            fleet.crash(replica)
             await asyncio.sleep(0.2)
-        assert sum(node.is_held(lambda: CRASHING) for node in fleet.nodes) == len(fleet.cut)
+        assert sum(node.is_held(lambda: CRASHING_REQUEST) for node in fleet.nodes) == len(fleet.cut)
         fleet.cut = set()
         healed = loop.time()
-        while not all(node.is_held(lambda: CRASHING) for node in fleet.nodes):
+        while not all(node.is_held(lambda: CRASHING_REQUEST) for node in fleet.nodes):
             fleet.tick()
             await asyncio.sleep(1.0)
-            assert loop.time() < healed + KNOWN_S
+            assert loop.time() < healed + SPREAD_S
 
-    play(check, 80, 4, 18)
+    run_check(check, 80, 4, 18)
 
 
-async def end_a_rack(fleet):
-    """Half of the replicas at one moment, twice."""
+async def crash_half_at_once(fleet):
+    """Crash half of the replicas simultaneously, twice."""
     for _ in range(2):
         for replica in list(fleet.replicas)[: len(fleet.replicas) // 2]:
-            fleet.end(replica)
+            fleet.crash(replica)
         await asyncio.sleep(2.0)
 
 
-async def end_in_turn(fleet):
-    """All of the replicas, one each 0.2 s."""
+async def crash_in_turn(fleet):
+    """Crash all replicas one after the other, every 0.2 s."""
     for replica in list(fleet.replicas):
-        fleet.end(replica)
+        fleet.crash(replica)
         await asyncio.sleep(0.2)
 
 
-async def end_again_and_again(fleet):
-    """A bad release: a third of the replicas end some 5 s after each start, for 10 s."""
+async def crash_bad_release(fleet):
+    """Crash a third of the replicas about 5 s after each start, for 10 s, as a bad release does."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
     bad = max(1, len(fleet.replicas) // 3)
     while loop.time() < until:
         await asyncio.sleep(fleet.random.expovariate(bad / 5.0))
-        fleet.end(fleet.replicas[fleet.random.randrange(bad)])
+        fleet.crash(fleet.replicas[fleet.random.randrange(bad)])
 
 
-async def end_in_a_storm(fleet):
-    """Any replica, four a second for 10 s."""
+async def crash_at_random(fleet):
+    """Crash random replicas four times per second for 10 s."""
     loop = asyncio.get_running_loop()
     until = loop.time() + 10.0
     while loop.time() < until:
         await asyncio.sleep(fleet.random.expovariate(4.0))
-        fleet.end(fleet.random.choice(fleet.replicas))
+        fleet.crash(fleet.random.choice(fleet.replicas))
 
 
-def innocents_held(ending, seed, replicas=6):
+def count_innocents_held(ending, seed, replicas=6):
     found = []
 
     async def check(fleet):
-        work = asyncio.ensure_future(usual_work(fleet, 10.0, per_s=15))
+        callers = asyncio.ensure_future(run_unique_requests(fleet, 10.0, per_s=15))
         await asyncio.sleep(1.0)
         await ending(fleet)
-        await work
+        await callers
         found.append(len(fleet.held()))
 
-    play(check, 9, 3, replicas, seed=seed)
+    run_check(check, 9, 3, replicas, seed=seed)
     return found[0]
 
 
-@pytest.mark.parametrize("ending", [end_a_rack, end_in_turn, end_again_and_again])
-def test_replicas_that_end_by_themselves_hold_nobody_back(ending):
-    assert [innocents_held(ending, seed) for seed in range(10)] == [0] * 10
+@pytest.mark.parametrize("ending", [crash_half_at_once, crash_in_turn, crash_bad_release])
+def test_replicas_that_crash_on_their_own_hold_no_request_back(ending):
+    assert [count_innocents_held(ending, seed) for seed in range(10)] == [0] * 10
 
 
-def test_a_storm_of_ends_in_a_pool_of_twenty_holds_nobody_back():
-    assert [innocents_held(end_in_a_storm, seed, 20) for seed in range(20)] == [0] * 20
+def test_frequent_crashes_in_a_pool_of_twenty_hold_no_request_back():
+    assert [count_innocents_held(crash_at_random, seed, 20) for seed in range(20)] == [0] * 20
 
 
-CRASHING_TOO = b"d" * 12
+SECOND_CRASHING_REQUEST = b"d" * 12
 
 
-async def popular_work(fleet, seconds, kinds=4, per_s=20):
-    """Let callers ask for the same few things again and again; what breaks is sent once more."""
+async def run_popular_requests(fleet, seconds, kinds=4, per_s=20):
+    """Run callers that repeat a few requests; a broken request is sent once more."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
 
-    async def one(name):
+    async def send_until_delivered(name):
         for _ in range(2):
             node = fleet.random.randrange(len(fleet.nodes))
             replica = fleet.run(name, node=node)
@@ -303,13 +311,15 @@
 
     asked = []
     while loop.time() < until:
-        asked.append(asyncio.ensure_future(one(b"kind%08d" % fleet.random.randrange(kinds))))
+        asked.append(
+            asyncio.ensure_future(send_until_delivered(b"kind%08d" % fleet.random.randrange(kinds)))
+        )
         await asyncio.sleep(1 / per_s)
     await asyncio.gather(*asked)
 
 
-async def keep_crashing(fleet, request, seconds):
-    """Send a request that ends each replica 50 ms after it began; give how often it was sent."""
+async def send_crashing_repeatedly(fleet, request, seconds):
+    """Send a request that crashes each replica 50 ms after its start; count the sends."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     sends = 0
@@ -319,24 +329,27 @@
             sends += 1
             await asyncio.sleep(0.05)
             if replica.id in fleet.running:
-                fleet.end(replica)
+                fleet.crash(replica)
         await asyncio.sleep(0.3)
     return sends
 
 
-# Guards against popular requests that are held back since they run under most ends of others.
-def test_popular_requests_are_not_held_back_for_two_that_end_replicas():
+# Guards against popular requests that are held back because they run on most crashing replicas.
+def test_popular_requests_are_not_held_back_for_two_that_crash_replicas():
     found = []
 
     async def check(fleet):
-        work = asyncio.ensure_future(popular_work(fleet, 14.0))
+        callers = asyncio.ensure_future(run_popular_requests(fleet, 14.0))
         await asyncio.sleep(2.0)
-        crashing = (keep_crashing(fleet, each, 9.0) for each in (CRASHING, CRASHING_TOO))
+        crashing = (
+            send_crashing_repeatedly(fleet, each, 9.0)
+            for each in (CRASHING_REQUEST, SECOND_CRASHING_REQUEST)
+        )
         sends = await asyncio.gather(*crashing)
-        await work
+        await callers
         found.append((fleet.held(), max(sends)))
 
     for seed in range(20):
-        play(check, 3, 3, 3, seed=seed)
-    assert all(held == {CRASHING, CRASHING_TOO} for held, _ in found), found
+        run_check(check, 3, 3, 3, seed=seed)
+    assert all(held == {CRASHING_REQUEST, SECOND_CRASHING_REQUEST} for held, _ in found), found
     assert max(sends for _, sends in found) <= 5
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,8 +1,8 @@
 """
 tests.test_restored_store
 
-Whole nodes before a store that comes back from a copy some seconds old: the revisions that it gives
-out again must not hide what replicas and operators write from then on.
+Complete nodes with a store that returns from a snapshot some seconds old. The store assigns the
+lost revisions again; these must not hide what replicas and operators write afterwards.
 """
 
 import asyncio
@@ -11,40 +11,40 @@
 import pytest
 from chalkyoke_fakes.platformfleet import default_configuration
 
-from tests.gatewayfleet import play
-from tests.test_leaving_and_rest import keep_asking, of_path, served_share
+from tests.gatewayfleet import run_check
+from tests.test_leaving_and_rest import replicas_of_path, run_callers, served_share
 
 PATHS = ("/chat/1", "/find/1")
-# How many revisions the copy lacks, and how long before the return it was made, in seconds.
+# Number of revisions that the snapshot lacks, and the seconds in which they were written.
 LOST_REVISIONS = 40
-COPY_AGE_S = 3.0
-AWAY_S = 0.5
-# How long after it said that it leaves a replica may still get requests, in seconds.
-LEFT_ALONE_S = 2.0
-# How soon after the store's return all nodes go by it again, in seconds.
-AGREED_S = 1.0
-PLAYED_S = 5.0
-# How long the platform lists a silent replica, in seconds: three heartbeats.
-LAPSES_S = 3.6
+SNAPSHOT_AGE_S = 3.0
+OUTAGE_S = 0.5
+# Seconds after a replica has announced that it is leaving in which it may still get requests.
+LEAVING_GRACE_S = 2.0
+# Seconds after the store's return within which all nodes follow it again.
+CONVERGED_S = 1.0
+DURATION_S = 5.0
+# Seconds after which the platform removes the record of a silent replica: three heartbeats.
+RECORD_TIMEOUT_S = 3.6
 
 
 def now():
     return asyncio.get_running_loop().time()
 
 
-def later_sends(replica, since):
-    """Count what reached a replica too long after it had said that it leaves."""
-    return sum(each.at > since + LEFT_ALONE_S for each in replica.seen)
+def count_late_sends(replica, since):
+    """Count the requests that reached a replica after the grace time of its leaving."""
+    return sum(each.at > since + LEAVING_GRACE_S for each in replica.seen)
 
 
-def first_after(replica, since):
-    """Give how long after a moment a replica got its first request; nothing where it got none."""
+def seconds_until_first_request(replica, since):
+    """Return the seconds until a replica got its first request after ``since``, or None."""
     later = [each.at for each in replica.seen if each.at > since]
     return later[0] - since if later else None
 
 
 class Operator:
-    """Writes configurations, and writes the last one again where the store has lost it."""
+    """Writes configurations, and rewrites the last one after the store has lost it."""
 
     def __init__(self, store):
         self._store = store
@@ -60,245 +60,254 @@
 
 
 async def restore(fleet, in_lost_seconds=None):
-    """Let the store lose its last seconds and come back from a copy.
+    """Let the store go offline, lose its last seconds and return from a snapshot.
 
-    :param in_lost_seconds: done just before the store goes away.
+    :param in_lost_seconds: called just before the store goes offline.
     """
     store, operator = fleet.store, Operator(fleet.store)
-    copy = store.copy()
+    snapshot = store.snapshot()
     for _ in range(LOST_REVISIONS):
         operator.configure()
-        await asyncio.sleep(COPY_AGE_S / LOST_REVISIONS)
+        await asyncio.sleep(SNAPSHOT_AGE_S / LOST_REVISIONS)
     if in_lost_seconds is not None:
         await in_lost_seconds()
         await asyncio.sleep(0.5)
-    store.go_away()
-    await asyncio.sleep(AWAY_S)
-    store.restore(copy)
+    store.go_offline()
+    await asyncio.sleep(OUTAGE_S)
+    store.restore(snapshot)
     operator.write_again()
     return operator
 
 
-async def asking(fleet, path, story):
-    """Let callers ask while a story goes on, and for some seconds after it."""
-    callers = asyncio.ensure_future(keep_asking(fleet, path, COPY_AGE_S + AWAY_S + PLAYED_S + 6.0))
+async def run_scenario_with_callers(fleet, path, scenario):
+    """Run callers during a scenario and for some seconds after it."""
+    callers = asyncio.ensure_future(
+        run_callers(fleet, path, SNAPSHOT_AGE_S + OUTAGE_S + DURATION_S + 6.0)
+    )
     await asyncio.sleep(1.0)
-    found = await story()
-    return found, await callers
+    result = await scenario()
+    return result, await callers
 
 
-def play_path(path, story):
-    """Play a story beside callers.
+def run_scenario_on_path(path, scenario):
+    """Play a scenario on a fleet with running callers.
 
-    :return: what the story gives, and the share of callers that were served.
+    :return: the result of the scenario, and the share of callers that were served.
     """
-    found = []
+    outcomes = []
 
     async def check(fleet):
-        result, got = await asking(fleet, path, lambda: story(fleet, of_path(fleet, path)))
-        found.append((result, served_share(got)))
+        result, got = await run_scenario_with_callers(
+            fleet, path, lambda: scenario(fleet, replicas_of_path(fleet, path))
+        )
+        outcomes.append((result, served_share(got)))
 
-    play(check)
-    return found[0]
+    run_check(check)
+    return outcomes[0]
 
 
-def assert_left_alone(path, story):
-    """Assert that a replica got nothing too late, and that callers were served by the others."""
-    late, served = play_path(path, story)
+def assert_gets_no_requests(path, scenario):
+    """Assert that a replica got no late requests, and that other replicas served the callers."""
+    late, served = run_scenario_on_path(path, scenario)
     assert late == 0, late
     assert served > 0.99, served
 
 
-def assert_gets_work(path, story):
+def assert_gets_requests(path, scenario):
     """Assert that a replica soon got its first request, and that callers were served."""
-    first, served = play_path(path, story)
-    assert first is not None and first < AGREED_S, first
+    first, served = run_scenario_on_path(path, scenario)
+    assert first is not None and first < CONVERGED_S, first
     assert served > 0.99, served
 
 
-# Guards against sends to a replica that said it leaves after the store's revisions went back.
-def test_a_replica_that_leaves_after_a_restore_is_left_alone():
-    async def story(fleet, replicas):
+# Guards against requests to a replica that announces leaving after the store's revisions went back.
+def test_a_replica_that_leaves_after_a_restore_gets_no_requests():
+    async def scenario(fleet, replicas):
         operator = await restore(fleet)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         await replicas[0].write_record("draining")
         since = now()
-        for _ in range(int(PLAYED_S)):
+        for _ in range(int(DURATION_S)):
             await asyncio.sleep(1.0)
             operator.configure()
-        return later_sends(replicas[0], since)
+        return count_late_sends(replicas[0], since)
 
-    found = {path: play_path(path, story) for path in PATHS}
-    assert all(late == 0 and served > 0.99 for late, served in found.values()), found
+    results = {path: run_scenario_on_path(path, scenario) for path in PATHS}
+    assert all(late == 0 and served > 0.99 for late, served in results.values()), results
 
 
-# Guards against sends to a replica whose record went after the store's revisions went back.
+# Guards against requests to a replica whose record is removed after the revisions went back.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_whose_record_goes_after_a_restore_is_left_alone(path):
-    async def story(fleet, replicas):
+def test_a_replica_whose_record_is_removed_after_a_restore_gets_no_requests(path):
+    async def scenario(fleet, replicas):
         await restore(fleet)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         fleet.store.remove(f"servers/{replicas[0].id}")
         since = now()
-        await asyncio.sleep(PLAYED_S)
-        return later_sends(replicas[0], since)
+        await asyncio.sleep(DURATION_S)
+        return count_late_sends(replicas[0], since)
 
-    assert_left_alone(path, story)
+    assert_gets_no_requests(path, scenario)
 
 
-# Guards against work for a replica that left in the seconds that the store has lost, whose record
-# in the copy says that it is ready.
+# Guards against requests to a replica that left in the seconds that the store has lost: its record
+# in the snapshot still says that it is ready.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_left_in_the_lost_seconds_stays_left_alone(path):
-    async def story(fleet, replicas):
-        async def leave():
+def test_a_replica_that_left_in_the_lost_seconds_gets_no_requests(path):
+    async def scenario(fleet, replicas):
+        async def start_leaving():
             await replicas[0].write_record("draining")
-            leave.at = now()
+            start_leaving.at = now()
 
-        await restore(fleet, leave)
-        await asyncio.sleep(AGREED_S)
+        await restore(fleet, start_leaving)
+        await asyncio.sleep(CONVERGED_S)
         await replicas[0].write_record("draining")
-        await asyncio.sleep(PLAYED_S)
-        return later_sends(replicas[0], leave.at)
+        await asyncio.sleep(DURATION_S)
+        return count_late_sends(replicas[0], start_leaving.at)
 
-    assert_left_alone(path, story)
+    assert_gets_no_requests(path, scenario)
 
 
-# Guards against work for a replica that was gone, which the copy lists until it lapses again.
+# Guards against requests to a removed replica that the snapshot lists until its record expires.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_went_in_the_lost_seconds_stays_gone(path):
-    async def story(fleet, replicas):
+def test_a_replica_removed_in_the_lost_seconds_gets_no_requests(path):
+    async def scenario(fleet, replicas):
         key = f"servers/{replicas[0].id}"
 
-        async def go():
+        async def remove_record():
             fleet.store.remove(key)
-            go.at = now()
+            remove_record.at = now()
 
-        await restore(fleet, go)
-        await asyncio.sleep(LAPSES_S)
+        await restore(fleet, remove_record)
+        await asyncio.sleep(RECORD_TIMEOUT_S)
         fleet.store.remove(key)
-        await asyncio.sleep(PLAYED_S - LAPSES_S)
-        return later_sends(replicas[0], go.at)
+        await asyncio.sleep(DURATION_S - RECORD_TIMEOUT_S)
+        return count_late_sends(replicas[0], remove_record.at)
 
-    assert_left_alone(path, story)
+    assert_gets_no_requests(path, scenario)
 
 
-# Guards against new replicas that get no work after the store's revisions went back.
+# Guards against new replicas that get no requests after the store's revisions went back.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_comes_after_a_restore_gets_work(path):
-    async def story(fleet, replicas):
+def test_a_replica_that_registers_after_a_restore_gets_requests(path):
+    async def scenario(fleet, replicas):
         await restore(fleet)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         service = replicas[0].service
         new = await fleet.add_replica("new", service, "a", service == "model")
         since = now()
-        await asyncio.sleep(PLAYED_S)
+        await asyncio.sleep(DURATION_S)
         return new.seen[0].at - since if new.seen else None
 
-    assert_gets_work(path, story)
+    assert_gets_requests(path, scenario)
 
 
-# Guards against a new start under a known id that gets no work after the revisions went back.
+# Guards against a replica that restarts under its id and gets no requests after a restore.
 @pytest.mark.parametrize("path", PATHS)
-def test_a_replica_that_starts_anew_after_a_restore_gets_work(path):
-    async def story(fleet, replicas):
-        async def leave():
+def test_a_replica_that_restarts_after_a_restore_gets_requests(path):
+    async def scenario(fleet, replicas):
+        async def start_leaving():
             await replicas[0].write_record("draining")
 
-        await restore(fleet, leave)
-        await asyncio.sleep(AGREED_S)
+        await restore(fleet, start_leaving)
+        await asyncio.sleep(CONVERGED_S)
         replicas[0].born += 1000
         await replicas[0].write_record("ready")
         since = now()
-        await asyncio.sleep(PLAYED_S)
-        return first_after(replicas[0], since)
+        await asyncio.sleep(DURATION_S)
+        return seconds_until_first_request(replicas[0], since)
 
-    assert_gets_work(path, story)
+    assert_gets_requests(path, scenario)
 
 
-# Guards against a live replica, listed in the copy only, that never gets work again.
-def test_a_replica_that_lapsed_and_lives_gets_work_again():
-    async def story(fleet, replicas):
-        async def lapse():
+# Guards against a live replica that only the snapshot lists and that never gets requests again.
+def test_a_live_replica_whose_record_expired_gets_requests_again():
+    async def scenario(fleet, replicas):
+        async def expire_record():
             fleet.store.remove(f"servers/{replicas[0].id}")
 
-        await restore(fleet, lapse)
+        await restore(fleet, expire_record)
         since = now()
-        await asyncio.sleep(2 * PLAYED_S)
-        return first_after(replicas[0], since)
+        await asyncio.sleep(2 * DURATION_S)
+        return seconds_until_first_request(replicas[0], since)
 
-    first, _ = play_path("/find/1", story)
-    assert first is not None and LAPSES_S < first < 2 * LAPSES_S, first
+    first, _ = run_scenario_on_path("/find/1", scenario)
+    assert first is not None and RECORD_TIMEOUT_S < first < 2 * RECORD_TIMEOUT_S, first
 
 
-# Guards against nodes that start after a restore and are told what the others still believed.
-def test_nodes_that_start_amid_a_restore_go_by_it():
-    async def story(fleet, replicas):
+# Guards against nodes that start after a restore and receive the outdated state of their peers.
+def test_nodes_that_start_during_a_restore_follow_the_restored_store():
+    async def scenario(fleet, replicas):
         await restore(fleet)
         for node in (1, 4):
             await fleet.kill_node(node)
             fleet.start_node(node, first_start=False)
-        await asyncio.sleep(AGREED_S)
+        await asyncio.sleep(CONVERGED_S)
         await replicas[0].write_record("draining")
         since = now()
-        await asyncio.sleep(PLAYED_S)
+        await asyncio.sleep(DURATION_S)
         states = [node.catalog.state for node in fleet.nodes]
-        return later_sends(replicas[0], since), {
+        return count_late_sends(replicas[0], since), {
             (each.epoch, each.replicas_revision) for each in states
         }
 
-    (late, positions), _ = play_path("/find/1", story)
+    (late, positions), _ = run_scenario_on_path("/find/1", scenario)
     assert late == 0, late
     assert len(positions) == 1, positions
 
 
-# Guards against a node that starts after a restore and knows of a leaving replica by the copy only.
-def test_a_node_that_starts_after_a_restore_is_told_who_left_in_the_lost_seconds():
-    async def story(fleet, replicas):
-        async def leave():
+# Guards against a node that starts after a restore and learns of a leaving replica only from the
+# snapshot, which says that the replica is ready.
+def test_a_node_that_starts_after_a_restore_learns_who_left_in_the_lost_seconds():
+    async def scenario(fleet, replicas):
+        async def start_leaving():
             await replicas[0].write_record("draining")
-            leave.at = now()
+            start_leaving.at = now()
 
-        await restore(fleet, leave)
-        await asyncio.sleep(AGREED_S)
+        await restore(fleet, start_leaving)
+        await asyncio.sleep(CONVERGED_S)
         for node in (1, 4):
             await fleet.kill_node(node)
             fleet.start_node(node, first_start=False)
-        await asyncio.sleep(PLAYED_S)
-        return later_sends(replicas[0], leave.at)
+        await asyncio.sleep(DURATION_S)
+        return count_late_sends(replicas[0], start_leaving.at)
 
-    late, _ = play_path("/find/1", story)
+    late, _ = run_scenario_on_path("/find/1", scenario)
     assert late == 0, late
 
 
 ORDER_KEY, STATUS_KEY = "op/rollout/model", "status/rollout/model"
-ORDER = json.dumps({"to-version": "v2", "over-s": 30.0}).encode()
+ROLLOUT_ORDER = json.dumps({"to-version": "v2", "over-s": 30.0}).encode()
 
 
-# Guards against a trial that begins anew, and an answer that is never given again, after a restore.
-def test_an_order_of_the_lost_seconds_goes_on_and_is_answered_again():
-    async def story(fleet, replicas):
+# Guards against a trial that begins anew, and a rollout status that is never written again, after a
+# restore.
+def test_a_rollout_order_of_the_lost_seconds_continues_and_its_status_is_rewritten():
+    async def scenario(fleet, replicas):
         for each in replicas[:3]:
             each.version = "v2"
             await each.write_record("ready")
         await asyncio.sleep(1.0)
 
-        def rollouts():
+        def read_rollouts():
             return [node.rollouts._rollouts["model"] for node in fleet.nodes]
 
-        async def order():
-            fleet.store.put(ORDER_KEY, ORDER)
+        async def write_order():
+            fleet.store.put(ORDER_KEY, ROLLOUT_ORDER)
             await asyncio.sleep(2.0)
             assert STATUS_KEY in fleet.store.items
-            order.rollouts = rollouts()
+            write_order.rollouts = read_rollouts()
 
-        await restore(fleet, order)
+        await restore(fleet, write_order)
         assert STATUS_KEY not in fleet.store.items
-        await asyncio.sleep(AGREED_S)
-        kept = rollouts() == order.rollouts
-        fleet.store.put(ORDER_KEY, ORDER)
+        await asyncio.sleep(CONVERGED_S)
+        rollouts_kept = read_rollouts() == write_order.rollouts
+        fleet.store.put(ORDER_KEY, ROLLOUT_ORDER)
         await asyncio.sleep(2.0)
-        return kept and rollouts() == order.rollouts, STATUS_KEY in fleet.store.items
+        return (
+            rollouts_kept and read_rollouts() == write_order.rollouts,
+            STATUS_KEY in fleet.store.items,
+        )
 
-    found, _ = play_path("/chat/1", story)
-    assert found == (True, True)
+    result, _ = run_scenario_on_path("/chat/1", scenario)
+    assert result == (True, True)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,7 +1,7 @@
 """
 tests.virtual
 
-An event loop in virtual time: where nothing is ready, the clock jumps to the next timer.
+An event loop in virtual time: when no callback is ready, the clock advances to the next timer.
 """
 
 import asyncio
@@ -11,51 +11,52 @@
 class _JumpingSelector(selectors.SelectSelector):
     def __init__(self):
         super().__init__()
-        self.jump = None
+        self.advance_clock = None
 
     def select(self, timeout=None):
         if timeout is None:
             raise RuntimeError("nothing is ready and no timer is set: a deadlock")
         if timeout > 0:
-            self.jump()
+            self.advance_clock()
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Run coroutines without waiting."""
+    """Run coroutines without waiting for timers in real time."""
 
     def __init__(self):
         selector = _JumpingSelector()
         super().__init__(selector)
-        self._virtual = 0.0
-        selector.jump = self._jump
+        self._virtual_time_s = 0.0
+        selector.advance_clock = self._advance_clock
 
     def time(self):
-        return self._virtual
+        return self._virtual_time_s
 
-    def _jump(self):
-        # Whole nanoseconds, the loop's resolution: sums of times fall short of a timer by less, and
-        # who then sets it for the same moment anew would be woken again and again.
-        self._virtual = round(self._scheduled[0].when(), 9)
+    def _advance_clock(self):
+        # The clock is rounded to whole nanoseconds, the loop's resolution. The floating-point error
+        # of a sum of times is smaller; without rounding, the clock could stay just before a timer,
+        # and code that sets the timer again for the same moment would be woken endlessly.
+        self._virtual_time_s = round(self._scheduled[0].when(), 9)
 
 
-def run(make):
-    """Run a coroutine function in virtual time; a fault in any task ends it."""
+def run(coroutine_function):
+    """Run a coroutine function in virtual time; raise the first unhandled error of any task."""
     loop = VirtualLoop()
-    faults = []
-    loop.set_exception_handler(lambda _, context: faults.append(context))
+    error_contexts = []
+    loop.set_exception_handler(lambda _, context: error_contexts.append(context))
     try:
-        result = loop.run_until_complete(make())
+        result = loop.run_until_complete(coroutine_function())
     finally:
-        leftover = [task for task in asyncio.all_tasks(loop) if not task.done()]
-        for task in leftover:
+        unfinished = [task for task in asyncio.all_tasks(loop) if not task.done()]
+        for task in unfinished:
             task.cancel()
-        if leftover:
-            loop.run_until_complete(asyncio.wait(leftover))
+        if unfinished:
+            loop.run_until_complete(asyncio.wait(unfinished))
         loop.close()
-    for fault in faults:
-        error = fault.get("exception")
-        # The end of a run cancels what still waits, which streams report as a fault.
+    for context in error_contexts:
+        error = context.get("exception")
+        # Unfinished tasks are cancelled at the end of a run, which streams report as an error.
         if error is not None and not isinstance(error, asyncio.CancelledError):
             raise error
     return result
