--- a/packages/chalkyoke/src/chalkyoke/administration/metrics.py
+++ b/packages/chalkyoke/src/chalkyoke/administration/metrics.py
@@ -8,9 +8,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-# Range of the histograms, in microseconds, and their resolution in decimal digits.
+# Range of the histograms, in microseconds.
 LOWEST_US = 1
 HIGHEST_US = 3_600_000_000
+# Resolution of the histograms, in significant decimal digits.
 SIGNIFICANT_DIGITS = 2
 
 Labels = tuple[tuple[str, str], ...]
--- a/packages/chalkyoke/src/chalkyoke/balancing/local.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/local.py
@@ -20,10 +20,10 @@
 SUSPICION_VALID_S = 4.0
 # Cost of a replica in another failure domain, in requests per slot: such traffic is charged.
 OTHER_DOMAIN_COST = 0.05
-# Costs, in requests per slot, that rank an unreachable replica after all reachable ones and a
-# replica that the caller excludes after all others.
+# Cost of an unreachable replica, in requests per slot: it ranks after all reachable replicas.
 UNREACHABLE_COST = 1_000.0
-EXCLUDED_COST = 10_000.0
+# Cost of a replica that the caller asks to avoid, in requests per slot: it ranks after all others.
+AVOIDED_COST = 10_000.0
 # Latencies below this value are treated as equal, in seconds.
 LATENCY_FLOOR_S = 0.005
 
@@ -86,7 +86,7 @@
             if not trusts_all and self._is_suspect(replica, now):
                 cost += SUSPECT_COST
             if replica.id in avoid:
-                cost += EXCLUDED_COST
+                cost += AVOIDED_COST
             if best is None or cost < best[0]:
                 best = (cost, replica)
         if best is None or (good_is_full and best[0] >= UNREACHABLE_COST):
--- a/packages/chalkyoke/src/chalkyoke/balancing/tests/test_suspicions.py
+++ b/packages/chalkyoke/src/chalkyoke/balancing/tests/test_suspicions.py
@@ -26,9 +26,10 @@
 HOSTS_A_DOMAIN = 39
 REQUESTS_A_SECOND = 29.0
 REPEATABLE_SHARE = 0.29
-BAD_SHARE = 0.45
+# Share of the requests sent to the bad replica that fail because of it.
+BAD_REPLICA_FAILURE_SHARE = 0.45
 # Share of repeatable requests that fail on any replica.
-USUAL_SHARE = 0.14
+REPEATABLE_FAILURE_SHARE = 0.14
 BAD_FROM_S, BAD_TO_S = 5.0, 11.5
 END_S = 20.0
 DELAY_S = 0.002
@@ -73,8 +74,8 @@
         bad = chosen.id == "r2" and BAD_FROM_S <= self.now < BAD_TO_S
         if not bad and self.now > BAD_TO_S + 6.0:
             self.late_choices += chosen.id == "r2"
-        failed = bad and self.random_source.random() < BAD_SHARE
-        failed = failed or (repeatable and self.random_source.random() < USUAL_SHARE)
+        failed = bad and self.random_source.random() < BAD_REPLICA_FAILURE_SHARE
+        failed = failed or (repeatable and self.random_source.random() < REPEATABLE_FAILURE_SHARE)
         if failed and not repeatable:
             self.failed += 1
         route = "find" if repeatable else "book"
--- a/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
+++ b/packages/chalkyoke/src/chalkyoke/catalog/keeper.py
@@ -292,33 +292,33 @@
         else:
             age_s = message.age_s
             applied = state.apply_replicas_delta(message, now - age_s, now)
-        whole = isinstance(message, ReplicasDelta) and bool(message.base_epoch)
-        if self._check_applied(address, "replicas", applied, whole=whole):
+        request_snapshot = isinstance(message, ReplicasDelta) and bool(message.base_epoch)
+        if self._check_applied(address, "replicas", applied, request_snapshot=request_snapshot):
             self._handle_records_change("peer", age_s)
 
     def _check_applied(
-        self, address: str, what: str, applied: Result[bool, str], *, whole: bool = False
+        self, address: str, what: str, applied: Result[bool, str], *, request_snapshot: bool = False
     ) -> bool:
         """Return whether a peer's update changed anything; request another if it did not apply.
 
         :param what: the kind of update, for the log.
-        :param whole: whether that request is for a snapshot.
+        :param request_snapshot: whether that request is for a snapshot.
         """
         if isinstance(applied, Err):
             log.info("not_taken", what=what, peer=address, why=applied.err_value)
-            self._request_update(address, whole=whole)
+            self._request_update(address, request_snapshot=request_snapshot)
             return False
         return applied.ok_value
 
-    def _request_update(self, address: str, *, whole: bool = False) -> None:
+    def _request_update(self, address: str, *, request_snapshot: bool = False) -> None:
         """Request newer state from a peer, unless a request was sent within the interval.
 
-        :param whole: whether to request a snapshot of the records.
+        :param request_snapshot: whether to request a snapshot of the records.
         """
         if self._now() - self._requested_at < REQUEST_INTERVAL_S:
             return
         self._requested_at = self._now()
-        held_at = 0 if whole else self.state.replicas_revision
+        held_at = 0 if request_snapshot else self.state.replicas_revision
         request = CatalogRequest(self.state.catalog.version, held_at, self.state.epoch)
         self._links.send(address, request)
 
@@ -328,8 +328,8 @@
         The other watchers are included, since the store may not be answering them.
         """
         for record in self._view.live():
-            mine = record.failure_domain == self._view.domain
-            if mine and record.host != self._view.record.host:
+            in_same_domain = record.failure_domain == self._view.domain
+            if in_same_domain and record.host != self._view.record.host:
                 self._links.send(record.address, message)
 
     # Changes.
--- a/packages/chalkyoke/src/chalkyoke/entry/reception.py
+++ b/packages/chalkyoke/src/chalkyoke/entry/reception.py
@@ -18,7 +18,9 @@
 from chalkyoke.entry.messages import CallerRequest
 from chalkyoke.scheduling.placement import BLOCK_TOKENS
 
-# Assumed length of a prompt token, in characters: a usual figure for English text.
+# Assumed length of a prompt token, in characters: about the average in English text. A larger
+# value estimates fewer tokens for a prompt, and so a shorter prefill; a smaller value estimates
+# more tokens and a longer prefill.
 CHARACTERS_PER_TOKEN = 4
 # Length of a prompt block, in characters.
 BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN
--- a/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
+++ b/packages/chalkyoke/src/chalkyoke/gateway/exchange.py
@@ -45,7 +45,9 @@
 # Number of times that each replica must decline a request before the node refuses the request.
 MAX_DECLINES_PER_REPLICA = 2
 # A stream that another replica can resume is abandoned after a pause of this many gap goals, and of
-# at least this many seconds. This is a trade-off: the other replica reads the whole prompt again.
+# at least this many seconds. Larger values let the caller wait longer for a stream that has
+# stopped; smaller ones abandon more streams that are only slow, and for each of them the other
+# replica reads the whole prompt again.
 STALL_MIN_S = 0.9
 STALL_GAP_GOALS = 2.0
 # Time to wait for the first output before another replica is tried, as a multiple of the goal of
--- a/packages/chalkyoke/src/chalkyoke/links/keepalive.py
+++ b/packages/chalkyoke/src/chalkyoke/links/keepalive.py
@@ -9,9 +9,11 @@
 
 # Interval at which a node checks for silent links, in seconds: one heartbeat interval.
 KEEPALIVE_INTERVAL_S = 0.25
-# Interval of confirmations, in seconds; with sparse heartbeats, in heartbeat intervals.
+# Minimum interval of confirmations, in seconds.
 MIN_CONFIRM_INTERVAL_S = 0.5
-CONFIRM_HEARTBEATS = 1.45
+# Interval of confirmations, in heartbeat intervals; it applies with sparse heartbeats, where it is
+# longer than the minimum.
+CONFIRM_HEARTBEAT_INTERVALS = 1.45
 # Time for which messages may stay unconfirmed, in confirmation intervals. Together with the
 # interval of checks it is shorter than the time without heartbeats after which a peer is lost.
 SILENT_CONFIRM_INTERVALS = 2.0
@@ -28,7 +30,7 @@
 
     :return: the interval in seconds.
     """
-    return max(MIN_CONFIRM_INTERVAL_S, CONFIRM_HEARTBEATS * heartbeat_spacing_s)
+    return max(MIN_CONFIRM_INTERVAL_S, CONFIRM_HEARTBEAT_INTERVALS * heartbeat_spacing_s)
 
 
 class Unconfirmed:
--- a/packages/chalkyoke/src/chalkyoke/membership/view.py
+++ b/packages/chalkyoke/src/chalkyoke/membership/view.py
@@ -33,10 +33,12 @@
 FULL_BEATS_AFTER_CHANGE = 4
 FULL_EVERY_BEATS = 5
 # Number of heartbeats in which a new member does not report its domain, because other members know
-# more of it. It waits longer if an older member is alive, and longest while it knows only a few of
-# many candidates.
+# more of it.
 NEWCOMER_BEATS = 2
+# Number of these heartbeats if an older member is alive: the new member waits longer.
 NEWCOMER_BEATS_WITH_SENIORS = 3
+# Number of these heartbeats while the new member knows only a few of many candidates: it waits
+# longest.
 LARGE_NEWCOMER_BEATS = 8
 
 
--- a/packages/chalkyoke/src/chalkyoke/quotas/leases.py
+++ b/packages/chalkyoke/src/chalkyoke/quotas/leases.py
@@ -19,11 +19,12 @@
 LEASE_AHEAD_S = 0.4
 # Time over which a node's demand is averaged, in seconds: a quarter of the usual window.
 DEMAND_MEMORY_S = 2.0
-# Limits on the spending of all nodes together without an owner: a burst, as a fraction of the
-# window limit, and a rate, as a fraction of the team's rate. Both fit into the part of the limit
-# that owners don't lease (owner.LEASABLE_SHARE).
-OWN_SHARE_BURST = 0.12
-OWN_SHARE_RATE = 0.7
+# Burst that all nodes together may spend without an owner, as a fraction of the window limit. This
+# burst and the rate below fit into the part of the limit that owners don't lease
+# (owner.LEASABLE_SHARE).
+OWN_SHARE_BURST_FRACTION = 0.12
+# Rate at which all nodes together may spend without an owner, as a fraction of the team's rate.
+OWN_SHARE_RATE_FRACTION = 0.7
 
 
 class _HeldLease(msgspec.Struct):
@@ -131,9 +132,9 @@
         :return: whether the share was large enough.
         """
         nodes = max(1, self._nodes())
-        rate = OWN_SHARE_RATE * team.rate_per_s / nodes
+        rate = OWN_SHARE_RATE_FRACTION * team.rate_per_s / nodes
         window_limit = self.limits.window_limit(team.rate_per_s, team.burst)
-        capacity = OWN_SHARE_BURST * window_limit / nodes
+        capacity = OWN_SHARE_BURST_FRACTION * window_limit / nodes
         bucket = self._own_shares.get(team.name)
         if bucket is None:
             bucket = self._own_shares[team.name] = Bucket(rate, capacity, capacity, now)
--- a/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/estimates.py
@@ -13,9 +13,10 @@
 # tokens; smaller samples weigh proportionally less.
 SPEED_GAIN = 0.4
 FULL_SAMPLE_TOKENS = 40.0
-# Weight of a first output in the learned prefill speed, as a share, and the weight of the first
-# such sample.
+# Minimum weight of a first output in the learned prefill speed, as a share.
 PREFILL_GAIN = 0.15
+# Weight of the first such sample, as a share; the weight of the n-th sample is this share divided
+# by n, but at least the minimum.
 FIRST_PREFILL_GAIN = 0.6
 # Bounds, as factors, of the change by one sample and of the deviation from the initial estimate.
 MAX_STEP_FACTOR = 3.0
@@ -29,8 +30,10 @@
 MEDIAN_QUANTILE = 0.5
 OPTIMISTIC_QUANTILE = 0.15
 DEFAULT_CAUTION_QUANTILE = 0.65
-# Step of a tracked quantile per sample, in natural logarithms: initial and minimum.
+# Initial step of a tracked quantile per sample, in natural logarithms; it is divided by the square
+# root of the number of samples.
 QUANTILE_STEP = 0.35
+# Minimum step of a tracked quantile per sample, in natural logarithms.
 QUANTILE_MIN_STEP = 0.05
 # Number of samples from which a team's own output lengths are used.
 MIN_LENGTH_SAMPLES = 8
--- a/packages/chalkyoke/src/chalkyoke/scheduling/headroom.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/headroom.py
@@ -13,7 +13,9 @@
 # a burst.
 USAGE_MEMORY_S = 3.0
 # Number of reserved slots, in standard deviations of a Poisson distribution with twice the mean
-# number of running requests; a trade-off between tiers.
+# number of running requests of higher tiers. With a larger value, fewer requests of higher tiers
+# wait for a slot, but long requests of lower tiers start later; with a smaller value, these start
+# sooner and more requests of higher tiers wait.
 SWING_DEVIATIONS = 0.6
 # A request counts as long from this many seconds of output: as long as the longest goals.
 LONG_OUTPUT_S = 0.6
--- a/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/learning.py
@@ -20,8 +20,8 @@
 # Upper bound of the failure count, so that an upstream is retried soon after a long outage.
 MAX_FAILURES = 6.0
 # Initial backoff of an upstream, doubled with each further failure (for connections already with
-# the first one), and maximum backoff, in seconds: a trade-off between repeated failures and unused
-# capacity.
+# the first one), and maximum backoff, in seconds. Smaller values send more requests to an upstream
+# that still fails; larger ones leave the capacity of a recovered upstream unused for longer.
 BACKOFF_S = 0.5
 MAX_BACKOFF_S = 30.0
 
--- a/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/placement.py
@@ -11,11 +11,13 @@
 
 from chalkyoke.scheduling.state import RunningRequest, Upstream, WaitingRequest
 
-# Size of a prefix-cache block in prompt tokens; a trade-off: smaller blocks match longer prefixes
-# and cost more to hash and compare.
+# Size of a prefix-cache block, in prompt tokens. Smaller blocks match longer prefixes but cost more
+# to hash and compare; larger ones cost less but match shorter prefixes.
 BLOCK_TOKENS = 256
-# Minimum advantage of a busy upstream for which a request is held, as a share of the predicted time
-# and in seconds; about as large as the error of predictions.
+# Minimum time that waiting for a busy upstream must save: this share of the predicted time on the
+# best free upstream, plus this many seconds; together about as large as the error of predictions.
+# Smaller values hold requests for savings that may only be prediction errors; larger ones start
+# requests on a free upstream although waiting would save time.
 HOLD_MARGIN_SHARE = 0.10
 HOLD_MARGIN_S = 0.02
 # Number of busy upstreams considered for holding, those with the earliest free slots; it bounds the
--- a/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
+++ b/packages/chalkyoke/src/chalkyoke/scheduling/refusals.py
@@ -37,9 +37,10 @@
 REOPENING_SPREAD_S = 0.5
 # Minimum number of waiting requests ahead for a refusal at arrival.
 MIN_REQUESTS_AHEAD = 1
-# Retry-After of a request refused at arrival: its minimum in seconds, and its length as a multiple
-# of the queue's predicted wait.
+# Minimum Retry-After of a request refused at arrival, in seconds, before it is randomly reduced.
 MIN_EARLY_RETRY_S = 0.4
+# Retry-After of a request refused at arrival, as a multiple of the queue's predicted wait, before
+# it is randomly reduced.
 EARLY_RETRY_WAITS = 1.5
 # How long after its Retry-After a refused request still takes precedence over new ones, in seconds.
 RETRY_PRIORITY_S = 1.5
--- a/tests/gatewayfleet.py
+++ b/tests/gatewayfleet.py
@@ -29,8 +29,9 @@
 DEADLINE_MS = 8000
 # Seconds until all nodes of a started fleet know each other.
 SETTLED_S = 3.0
-# Time limit of a check in virtual seconds; without it, a check that waits in vain never ends.
-MAX_PLAY_S = 120.0
+# Longest time that a check may run, in virtual seconds. Without this limit, a check that waits for
+# an event that never happens would not end.
+MAX_CHECK_S = 120.0
 
 
 class _StoreClient(catalogfleet.StoreClient):
@@ -226,7 +227,7 @@
     async def main():
         fleet_under_test = GatewayFleet(**fleet)
         await fleet_under_test.start()
-        async with asyncio.timeout(MAX_PLAY_S):
+        async with asyncio.timeout(MAX_CHECK_S):
             await check(fleet_under_test)
 
     # The nodes break ties with the global random generator; the seed makes each run the same.
